--- a/admission/gate/src/batchRoom.ts
+++ b/admission/gate/src/batchCapacity.ts
@@ -4,12 +4,12 @@
 
 const MS_PER_SECOND = 1000;
 /** Steps for which arrivals are expected ahead, because that long a cancelled stream still holds its place. */
-const HEAD_ROOM_STEPS = 1;
+const HEADROOM_STEPS = 1;
 /** Standard deviations of the expected arrivals that are kept free. */
-const HEAD_ROOM_DEVIATIONS = 1;
+const HEADROOM_DEVIATIONS = 1;
 
 /** What the next step of the engine has left for batch work, after online work and head-room. */
-export class BatchRoom {
+export class BatchCapacity {
     private readonly state: GateState;
     private readonly limitMs: number;
     private readonly reservedSequences: number;
@@ -37,8 +37,8 @@
     }
 
     /** The room once `admitOnline` of the waiting online calls have entered. */
-    static after(state: GateState, admitOnline: number): BatchRoom {
-        return new BatchRoom(state, admitOnline);
+    static afterAdmitting(state: GateState, admitOnline: number): BatchCapacity {
+        return new BatchCapacity(state, admitOnline);
     }
 
     /** Whether the batch work that runs has to give way. */
@@ -49,7 +49,7 @@
         return this.onlineSequences + this.batchSequences > this.state.limits.maxSequences
             || this.onlineKvTokens + this.batchKvTokens > this.state.limits.kvTokens
             || (this.isStepExceeded(0) && !this.isOnlySequence)
-            || this.hasLongPrefill
+            || this.hasMultiStepPrefill
             || (this.blockingPrefills > 0 && this.onlinePrefillTokens > 0);
     }
 
@@ -60,13 +60,13 @@
 
     /** Sequences that batch work could add. */
     get freeSequences(): number {
-        const stepRoomMs = this.limitMs - this.stepMs(0);
-        const byStep = stepRoomMs / Math.max(this.state.costs.perSequenceMs, Number.EPSILON);
+        const freeStepMs = this.limitMs - this.stepMs(0);
+        const byStep = freeStepMs / Math.max(this.state.costs.perSequenceMs, Number.EPSILON);
         return Math.max(0, Math.floor(Math.min(this.freeSlots, byStep)));
     }
 
     /** Gives back what a cancelled item held. @returns true */
-    free(item: RunningBatchItem): boolean {
+    release(item: RunningBatchItem): boolean {
         this.blockingPrefills -= this.isBlocking(item) ? 1 : 0;
         this.batchSequences -= 1;
         this.batchPrefillTokens -= item.isPending ? item.prefillTokens : 0;
@@ -75,14 +75,14 @@
     }
 
     /** Takes the room for an item, if there is enough. @returns whether there was */
-    take(item: WorkSize): boolean {
+    tryReserve(item: WorkSize): boolean {
         if (this.freeSequences === 0 || !this.hasKvTokens(item)) {
             return false;
         }
-        if (this.hasLongPrefill || this.isOversized(item) || this.isStepExceeded(item.prefillTokens, 1)) {
+        if (this.hasMultiStepPrefill || this.isOversized(item) || this.isStepExceeded(item.prefillTokens, 1)) {
             return false;
         }
-        this.hold(item);
+        this.reserve(item);
         return true;
     }
 
@@ -91,12 +91,12 @@
      *
      * @returns whether there was a slot
      */
-    takeOversized(item: WorkSize): boolean {
+    tryReserveOversized(item: WorkSize): boolean {
         const hasSequence = this.batchSequences === 0 ? this.freeSlots > 0 : this.freeSequences > 0;
         if (!hasSequence || !this.hasKvTokens(item) || this.onlinePrefillTokens > 0) {
             return false;
         }
-        this.hold(item);
+        this.reserve(item);
         return true;
     }
 
@@ -109,7 +109,7 @@
         return this.batchSequences === 1 && this.batchPrefillTokens === 0;
     }
 
-    private hold(item: WorkSize): void {
+    private reserve(item: WorkSize): void {
         this.batchSequences += 1;
         this.batchPrefillTokens += item.prefillTokens;
         this.batchKvTokens += item.kvTokens;
@@ -128,7 +128,7 @@
     }
 
     /** Whether an online prefill takes several steps, each of which batch work would lengthen. */
-    private get hasLongPrefill(): boolean {
+    private get hasMultiStepPrefill(): boolean {
         return this.onlinePrefillTokens > this.state.limits.prefillTokensPerStep;
     }
 
@@ -143,8 +143,8 @@
 
 function expectedArrivals(state: GateState): number {
     const stepMs = Math.max(state.objective.tokenGapObjectiveMs, state.costs.fixedMs);
-    const expected = state.online.arrivalsPerSecond * HEAD_ROOM_STEPS * stepMs / MS_PER_SECOND;
-    return Math.floor(expected + HEAD_ROOM_DEVIATIONS * Math.sqrt(expected));
+    const expected = state.online.arrivalsPerSecond * HEADROOM_STEPS * stepMs / MS_PER_SECOND;
+    return Math.floor(expected + HEADROOM_DEVIATIONS * Math.sqrt(expected));
 }
 
 function sumOf(items: WorkSize[], field: keyof WorkSize): number {
--- a/admission/gate/src/batchLane.ts
+++ b/admission/gate/src/batchExecutor.ts
@@ -12,91 +12,91 @@
 import type { BatchKey } from "./batchKey.js";
 import type { BatchRun } from "./batchRun.js";
 import { CancelledJobs } from "./cancelledJobs.js";
-import { EngineCanary } from "./engineCanary.js";
+import { EngineProbe } from "./engineProbe.js";
 import type { EngineStreams } from "./engineStreams.js";
-import type { FailureJudge } from "./failureJudge.js";
+import type { FailureClassifier } from "./failureClassifier.js";
 import { GenerationRun } from "./generationRun.js";
-import type { HeldItem } from "./heldItem.js";
 import type { ResultReporter } from "./resultReporter.js";
 import type { StopReason } from "./stopReason.js";
+import type { TrackedItem } from "./trackedItem.js";
 import type { WorkEstimator } from "./workEstimator.js";
 
-/** How long an item is held here without running before it is given back for others to run. */
-const MAX_HOLD_MS = 10_000;
+/** How long an item is tracked here without running before it is given back for others to run. */
+const MAX_WAIT_MS = 10_000;
 const OK = 200;
 
 /** The batch items of one gate: those that run and those that wait here for room. */
-export class BatchLane {
+export class BatchExecutor {
     /** Counts since the start. */
-    readonly totals = { preemptions: 0, tokensThrownAway: 0, batchTokens: 0 };
-    private readonly opts: BatchLaneOptions;
+    readonly totals = { preemptions: 0, discardedTokens: 0, batchTokens: 0 };
+    private readonly opts: BatchExecutorOptions;
     private readonly cancelledJobs = new CancelledJobs();
-    private readonly held = new Map<BatchKey, HeldItem>();
+    private readonly trackedItems = new Map<BatchKey, TrackedItem>();
 
-    private readonly canary: EngineCanary;
+    private readonly engineProbe: EngineProbe;
 
-    constructor(opts: BatchLaneOptions) {
+    constructor(opts: BatchExecutorOptions) {
         this.opts = opts;
-        this.canary = new EngineCanary(opts);
+        this.engineProbe = new EngineProbe(opts);
     }
 
-    /** All items held here, running ones among them, shape [items]. */
-    get items(): HeldItem[] {
-        return [...this.held.values()];
+    /** All items tracked here, running ones among them, shape [items]. */
+    get items(): TrackedItem[] {
+        return [...this.trackedItems.values()];
     }
 
     /** Takes pulled items in. Items of cancelled jobs go straight back. @returns how many were kept */
     add(items: BatchItem[]): number {
-        const added = items.map(item => this.hold(item));
-        const unwanted = added.filter(held => this.cancelledJobs.has(held.item.jobId));
-        unwanted.forEach(held => this.giveBack(held));
+        const added = items.map(item => this.track(item));
+        const unwanted = added.filter(tracked => this.cancelledJobs.has(tracked.item.jobId));
+        unwanted.forEach(tracked => this.returnItem(tracked));
         return added.length - unwanted.length;
     }
 
     /** Starts the stream of a waiting item. */
     start(key: BatchKey): void {
-        const held = this.held.get(key);
-        if (held !== undefined && held.run === undefined) {
-            void this.run(held);
+        const tracked = this.trackedItems.get(key);
+        if (tracked !== undefined && tracked.run === undefined) {
+            void this.run(tracked);
         }
     }
 
     /** Cancels the stream of an item and keeps the item here, with what was produced. */
     preempt(key: BatchKey): void {
-        const held = this.held.get(key);
-        if (held?.run !== undefined) {
+        const tracked = this.trackedItems.get(key);
+        if (tracked?.run !== undefined) {
             this.totals.preemptions += 1;
             this.opts.metrics.increment("gate.preempted");
-            this.stop(held.run, "preempted");
+            this.stop(tracked.run, "preempted");
         }
     }
 
     /** Stops all items of a job; none of it is run here any more. */
     cancelJob(jobId: JobId): void {
         this.cancelledJobs.add(jobId);
-        this.giveBackAll(this.items.filter(held => held.item.jobId === jobId), "cancelled");
+        this.stopOrReturn(this.items.filter(tracked => tracked.item.jobId === jobId), "cancelled");
     }
 
     /** Gives items back that have waited here for long. */
-    giveBackStale(): void {
+    returnStale(): void {
         const nowMs = this.opts.clock.nowMs();
         this.items
-            .filter(held => held.run === undefined && nowMs - held.waitingSinceMs > MAX_HOLD_MS)
-            .forEach(held => this.giveBack(held));
+            .filter(tracked => tracked.run === undefined && nowMs - tracked.waitingSinceMs > MAX_WAIT_MS)
+            .forEach(tracked => this.returnItem(tracked));
     }
 
     /** Stops all items and gives them back, with what was produced. */
     leave(): void {
-        this.giveBackAll(this.items, "leaving");
+        this.stopOrReturn(this.items, "leaving");
     }
 
-    private giveBackAll(items: HeldItem[], reason: StopReason): void {
-        items.forEach(held => {
-            if (held.run === undefined) {
-                this.giveBack(held);
+    private stopOrReturn(items: TrackedItem[], reason: StopReason): void {
+        items.forEach(tracked => {
+            if (tracked.run === undefined) {
+                this.returnItem(tracked);
                 return;
             }
-            this.stop(held.run, reason);
+            this.stop(tracked.run, reason);
         });
     }
 
@@ -106,8 +106,8 @@
         this.opts.streams.cancelled(run.stream);
     }
 
-    private hold(item: BatchItem): HeldItem {
-        const held: HeldItem = {
+    private track(item: BatchItem): TrackedItem {
+        const tracked: TrackedItem = {
             key: `${item.jobId}/${item.itemIndex}/${item.attempt}` as BatchKey,
             item,
             size: this.sizeOf(item),
@@ -116,8 +116,8 @@
             waitingSinceMs: this.opts.clock.nowMs(),
             run: undefined,
         };
-        this.held.set(held.key, held);
-        return held;
+        this.trackedItems.set(tracked.key, tracked);
+        return tracked;
     }
 
     private sizeOf(item: BatchItem) {
@@ -126,20 +126,20 @@
             : { prefillTokens: 1, kvTokens: 1 };
     }
 
-    private async run(held: HeldItem): Promise<void> {
-        const stream = this.opts.streams.open("batch", held.size);
+    private async run(tracked: TrackedItem): Promise<void> {
+        const stream = this.opts.streams.open("batch", tracked.size);
         const run: BatchRun = { abort: new AbortController(), stream, producedTokens: 0, stopReason: undefined };
-        held.run = run;
-        const generation = isGeneration(held.item) ? this.generationOf(held) : undefined;
+        tracked.run = run;
+        const generation = isGeneration(tracked.item) ? this.generationOf(tracked) : undefined;
         try {
-            const answer = generation === undefined
-                ? await this.opts.itemRunner.run(held.item, { signal: run.abort.signal })
-                : await this.generate(held, run, generation);
-            this.finish(held, { kind: "completed", ...answer });
+            const response = generation === undefined
+                ? await this.opts.itemRunner.run(tracked.item, { signal: run.abort.signal })
+                : await this.generate(tracked, run, generation);
+            this.finish(tracked, { kind: "completed", ...response });
         }
         catch (thrown) {
             this.opts.streams.close(stream);
-            await this.fail(held, run, { error: toKnapweedError(thrown), generation });
+            await this.fail(tracked, run, { error: toKnapweedError(thrown), generation });
         }
         finally {
             this.opts.streams.close(stream);
@@ -147,14 +147,14 @@
         }
     }
 
-    private generationOf(held: HeldItem): { request: GenerateRequest; run: GenerationRun; } {
-        const request = requestOf(held.item, held.resumeFrom);
-        const answerId = `${held.item.jobId}-${held.item.itemIndex}`;
+    private generationOf(tracked: TrackedItem): { request: GenerateRequest; run: GenerationRun; } {
+        const request = requestOf(tracked.item, tracked.resumeFrom);
+        const answerId = `${tracked.item.jobId}-${tracked.item.itemIndex}`;
         return { request, run: new GenerationRun({ request, answerId, clock: this.opts.clock }) };
     }
 
     private async generate(
-        held: HeldItem,
+        tracked: TrackedItem,
         run: BatchRun,
         generation: { request: GenerateRequest; run: GenerationRun; },
     ) {
@@ -167,77 +167,80 @@
                 this.opts.streams.tokenArrived(run.stream, generation.request);
             }
             else {
-                this.opts.estimator.learn(generation.request, held.size, event.usage);
+                this.opts.estimator.learn(generation.request, tracked.size, event.usage);
             }
         }
         return { statusCode: OK, body: generation.run.response() };
     }
 
     private async fail(
-        held: HeldItem,
+        tracked: TrackedItem,
         run: BatchRun,
         failure: { error: KnapweedError; generation: { run: GenerationRun; } | undefined; },
     ): Promise<void> {
         if (run.stopReason !== undefined) {
-            this.keep(held, run, failure.generation?.run);
+            this.handleStopped(tracked, run, failure.generation?.run);
             return;
         }
-        const { judge, engine } = this.opts;
-        judge.failed();
+        const { failureClassifier, engine } = this.opts;
+        failureClassifier.attemptFailed();
         const isReachable = await engine.load().then(() => true, () => false);
-        if (isReachable && judge.isInstanceSuspect && await this.canary.answers(held.item.body["model"])) {
-            judge.began();
+        if (
+            isReachable && failureClassifier.isInstanceSuspect
+            && await this.engineProbe.isServing(tracked.item.body["model"])
+        ) {
+            failureClassifier.requestStarted();
         }
-        const outcome = judge.judge(failure.error, isReachable);
+        const outcome = failureClassifier.classify(failure.error, isReachable);
         if (outcome.kind === "failed" && outcome.blame === "instance") {
-            this.opts.onEngineTrouble();
+            this.opts.onInstanceBlamed();
         }
         this.opts.metrics.increment("gate.batch-failed", { code: failure.error.code });
-        this.finish(held, outcome);
+        this.finish(tracked, outcome);
     }
 
     /** Keeps what a cancelled stream had produced. */
-    private keep(held: HeldItem, run: BatchRun, generation: GenerationRun | undefined): void {
-        const resumeFrom = generation?.resumePoint() ?? held.resumeFrom;
+    private handleStopped(tracked: TrackedItem, run: BatchRun, generation: GenerationRun | undefined): void {
+        const resumeFrom = generation?.resumePoint() ?? tracked.resumeFrom;
         const producedTokens = generation?.tokenCount ?? 0;
-        this.totals.tokensThrownAway += Math.max(0, producedTokens - (resumeFrom?.tokenCount ?? 0));
-        held.resumeFrom = resumeFrom;
-        held.run = undefined;
-        held.waitingSinceMs = this.opts.clock.nowMs();
+        this.totals.discardedTokens += Math.max(0, producedTokens - (resumeFrom?.tokenCount ?? 0));
+        tracked.resumeFrom = resumeFrom;
+        tracked.run = undefined;
+        tracked.waitingSinceMs = this.opts.clock.nowMs();
         if (run.stream.hasFirstToken) {
-            held.isResumed = true;
-            held.size = this.opts.estimator.sizeOfResumed(held.size);
+            tracked.isResumed = true;
+            tracked.size = this.opts.estimator.sizeOfResumed(tracked.size);
         }
         if (run.stopReason !== "preempted") {
-            this.giveBack(held);
+            this.returnItem(tracked);
         }
     }
 
-    private giveBack(held: HeldItem): void {
-        this.finish(held, { kind: "returned", resumeFrom: held.resumeFrom });
+    private returnItem(tracked: TrackedItem): void {
+        this.finish(tracked, { kind: "returned", resumeFrom: tracked.resumeFrom });
     }
 
-    private finish(held: HeldItem, outcome: BatchResult["outcome"]): void {
-        const { jobId, itemIndex, attempt } = held.item;
-        this.held.delete(held.key);
+    private finish(tracked: TrackedItem, outcome: BatchResult["outcome"]): void {
+        const { jobId, itemIndex, attempt } = tracked.item;
+        this.trackedItems.delete(tracked.key);
         this.opts.reporter.add({ jobId, itemIndex, attempt, outcome });
         this.opts.metrics.increment("gate.batch-result", { outcome: outcome.kind });
     }
 }
 
-interface BatchLaneOptions {
+interface BatchExecutorOptions {
     engine: ModelEngine;
     itemRunner: BatchItemRunner;
     clock: Clock;
     metrics: Metrics;
     estimator: WorkEstimator;
     streams: EngineStreams;
-    judge: FailureJudge;
+    failureClassifier: FailureClassifier;
     reporter: ResultReporter;
     /** Called when an item has left the engine. */
     onChange: () => void;
     /** Called when a failure speaks against the engine. */
-    onEngineTrouble: () => void;
+    onInstanceBlamed: () => void;
 }
 
 function isGeneration(item: BatchItem): boolean {
--- a/admission/gate/src/batchOffPolicy.ts
+++ b/admission/gate/src/batchOffPolicy.ts
@@ -1,5 +1,5 @@
 import type { AdmissionPolicy } from "./admissionPolicy.js";
-import { fittingOnlineCalls } from "./fittingOnlineCalls.js";
+import { countFittingOnlineCalls } from "./countFittingOnlineCalls.js";
 import type { GateDecision } from "./gateDecision.js";
 import type { GateState } from "./gateState.js";
 
@@ -7,10 +7,10 @@
 export class BatchOffPolicy implements AdmissionPolicy {
     decide(state: GateState): GateDecision {
         return {
-            admitOnline: fittingOnlineCalls(state),
+            admitOnline: countFittingOnlineCalls(state),
             preempt: state.batch.running.map(item => item.key),
             start: [],
-            wantedWaiting: 0,
+            targetWaiting: 0,
         };
     }
 }
--- a/admission/gate/src/batchPuller.ts
+++ b/admission/gate/src/batchPuller.ts
@@ -6,8 +6,8 @@
 
 const MIN_PAUSE_MS = 20;
 const MAX_PAUSE_MS = 500;
-const TROUBLE_PAUSE_MS = 1000;
-const MAX_ITEMS_A_PULL = 64;
+const ENGINE_FAILURE_PAUSE_MS = 1000;
+const MAX_ITEMS_PER_PULL = 64;
 
 /** Pulls batch items, one pull at a time; pauses longer and longer while there are none to run. */
 export class BatchPuller {
@@ -27,15 +27,15 @@
     }
 
     /** Asks for `count` items, unless a pull is under way or a pause is on. */
-    want(count: number): void {
+    requestItems(count: number): void {
         if (count > 0 && !this.isPulling && this.opts.clock.nowMs() >= this.notBeforeMs) {
-            void this.pull(Math.min(count, MAX_ITEMS_A_PULL));
+            void this.pull(Math.min(count, MAX_ITEMS_PER_PULL));
         }
     }
 
     /** Pulls nothing for a while, because the engine is in trouble. */
     pause(): void {
-        this.notBeforeMs = this.opts.clock.nowMs() + TROUBLE_PAUSE_MS;
+        this.notBeforeMs = this.opts.clock.nowMs() + ENGINE_FAILURE_PAUSE_MS;
     }
 
     private async pull(count: number): Promise<void> {
@@ -44,9 +44,9 @@
             this.opts.logger.debug("gate.pull-failed", { code: toKnapweedError(thrown).code });
             return [];
         });
-        const usefulItems = this.opts.onItems(items);
+        const runnableItems = this.opts.onItems(items);
         this.isPulling = false;
-        if (usefulItems === 0) {
+        if (runnableItems === 0) {
             this.notBeforeMs = Math.max(this.notBeforeMs, this.opts.clock.nowMs() + this.pauseMs);
             this.pauseMs = Math.min(MAX_PAUSE_MS, this.pauseMs * 2);
             return;
--- a/admission/gate/src/batchStateOf.ts
+++ b/admission/gate/src/batchStateOf.ts
@@ -1,9 +1,9 @@
 import type { EngineStreams } from "./engineStreams.js";
 import type { GateState } from "./gateState.js";
-import type { HeldItem } from "./heldItem.js";
+import type { TrackedItem } from "./trackedItem.js";
 
 /** The batch items of a gate as its policy sees them. Streams that are being cancelled are in neither list. */
-export function batchStateOf(items: HeldItem[], streams: EngineStreams): GateState["batch"] {
+export function batchStateOf(items: TrackedItem[], streams: EngineStreams): GateState["batch"] {
     return {
         running: items.flatMap(({ key, item, size, run }) =>
             run === undefined || run.stopReason !== undefined ? [] : {
--- a/admission/gate/src/engineCanary.ts
+++ b/admission/gate/src/engineProbe.ts
@@ -7,7 +7,7 @@
 const FIRST_SERVER_ERROR = 500;
 
 /** Tells, by a request of one token, whether an engine still serves a model while items keep failing at it. */
-export class EngineCanary {
+export class EngineProbe {
     private readonly engine: ModelEngine;
     private readonly clock: Clock;
 
@@ -17,7 +17,7 @@
     }
 
     /** Whether the engine answers a harmless request; a refusal of the request is an answer too. */
-    async answers(model: unknown): Promise<boolean> {
+    async isServing(model: unknown): Promise<boolean> {
         const timeout = new AbortController();
         const timer = this.clock.setTimer(TIMEOUT_MS, () => timeout.abort());
         try {
--- a/admission/gate/src/firstComeFirstServedPolicy.ts
+++ b/admission/gate/src/firstComeFirstServedPolicy.ts
@@ -6,12 +6,12 @@
 export class FirstComeFirstServedPolicy implements AdmissionPolicy {
     decide(state: GateState): GateDecision {
         const { batch, limits, online } = state;
-        const room = Math.max(0, limits.maxSequences - online.running - batch.running.length);
+        const freeSlots = Math.max(0, limits.maxSequences - online.running - batch.running.length);
         return {
             admitOnline: online.waiting.length,
             preempt: [],
-            start: batch.waiting.slice(0, room).map(item => item.key),
-            wantedWaiting: limits.maxSequences,
+            start: batch.waiting.slice(0, freeSlots).map(item => item.key),
+            targetWaiting: limits.maxSequences,
         };
     }
 }
--- a/admission/gate/src/gate.ts
+++ b/admission/gate/src/gate.ts
@@ -10,13 +10,13 @@
 import type { ActiveStream } from "./activeStream.js";
 import type { AdmissionPolicy } from "./admissionPolicy.js";
 import { ArrivalRate } from "./arrivalRate.js";
-import { BatchLane } from "./batchLane.js";
+import { BatchExecutor } from "./batchExecutor.js";
 import { BatchPuller } from "./batchPuller.js";
 import { batchStateOf } from "./batchStateOf.js";
 import { EmbeddingRunner } from "./embeddingRunner.js";
 import { EngineLimits } from "./engineLimits.js";
 import { EngineStreams } from "./engineStreams.js";
-import { FailureJudge } from "./failureJudge.js";
+import { FailureClassifier } from "./failureClassifier.js";
 import { GateGauges } from "./gateGauges.js";
 import type { GateLoad } from "./gateLoad.js";
 import type { GateObjective } from "./gateObjective.js";
@@ -39,13 +39,13 @@
     private readonly policy: AdmissionPolicy;
     private readonly estimator = new WorkEstimator();
     private readonly arrivals = new ArrivalRate();
-    private readonly judge = new FailureJudge();
+    private readonly failureClassifier = new FailureClassifier();
     private readonly streams: EngineStreams;
     private readonly limits: EngineLimits;
     private readonly online: OnlineQueue;
     private readonly gauges: GateGauges;
     private readonly reporter: ResultReporter | undefined;
-    private readonly batch: BatchLane | undefined;
+    private readonly batch: BatchExecutor | undefined;
     private readonly puller: BatchPuller | undefined;
     private objective: GateObjective;
     private isLeaving = false;
@@ -64,7 +64,7 @@
             estimator: this.estimator,
             objectiveMs: () => this.objective.tokenGapObjectiveMs,
             onFirstToken: () => {
-                this.judge.began();
+                this.failureClassifier.requestStarted();
                 this.decideSoon();
             },
         });
@@ -74,7 +74,7 @@
             return;
         }
         this.reporter = new ResultReporter({ clock, source, logger });
-        this.batch = this.createLane(this.reporter);
+        this.batch = this.createBatchExecutor(this.reporter);
         this.puller = new BatchPuller({
             clock,
             source,
@@ -119,8 +119,8 @@
 
     load(): GateLoad {
         const items = this.batch?.items ?? [];
-        const batchRunning = items.filter(held => held.run !== undefined).length;
-        const totals = this.batch?.totals ?? { preemptions: 0, tokensThrownAway: 0, batchTokens: 0 };
+        const batchRunning = items.filter(tracked => tracked.run !== undefined).length;
+        const totals = this.batch?.totals ?? { preemptions: 0, discardedTokens: 0, batchTokens: 0 };
         const streams = [...this.streams.of("online"), ...this.streams.of("batch")];
         const pending = streams.filter(stream => this.streams.isPending(stream));
         return {
@@ -154,7 +154,7 @@
         while ((this.batch?.items.length ?? 0) > 0) {
             await sleep(this.clock, DRAIN_CHECK_MS);
         }
-        await this.reporter?.idle();
+        await this.reporter?.whenIdle();
     }
 
     /** Leaves, then lets the online calls in progress end. */
@@ -168,9 +168,9 @@
         this.pendingDecision?.cancel();
     }
 
-    private createLane(reporter: ResultReporter): BatchLane {
+    private createBatchExecutor(reporter: ResultReporter): BatchExecutor {
         const { engine, clock, metrics, itemRunner } = this.opts;
-        return new BatchLane({
+        return new BatchExecutor({
             engine,
             clock,
             metrics,
@@ -178,9 +178,9 @@
             itemRunner: itemRunner ?? new EmbeddingRunner({ engine }),
             estimator: this.estimator,
             streams: this.streams,
-            judge: this.judge,
+            failureClassifier: this.failureClassifier,
             onChange: () => this.decideSoon(),
-            onEngineTrouble: () => this.puller?.pause(),
+            onInstanceBlamed: () => this.puller?.pause(),
         });
     }
 
@@ -221,7 +221,7 @@
     }
 
     private tick(): void {
-        this.batch?.giveBackStale();
+        this.batch?.returnStale();
         this.gauges.send(this.clock.nowMs(), () => this.load());
         this.decide();
         this.ticker = this.clock.setTimer(TICK_MS, () => this.tick());
@@ -243,8 +243,8 @@
             return;
         }
         decision.start.forEach(key => this.batch?.start(key));
-        const waiting = this.batch?.items.filter(held => held.run === undefined).length ?? 0;
-        this.puller?.want(decision.wantedWaiting - waiting);
+        const waiting = this.batch?.items.filter(tracked => tracked.run === undefined).length ?? 0;
+        this.puller?.requestItems(decision.targetWaiting - waiting);
         this.limits.countChanged();
     }
 
--- a/admission/gate/src/gateDecision.ts
+++ b/admission/gate/src/gateDecision.ts
@@ -9,5 +9,5 @@
     /** Batch items to start, in order. */
     start: BatchKey[];
     /** Batch items to have at hand, beyond those that run. */
-    wantedWaiting: number;
+    targetWaiting: number;
 }
--- a/admission/gate/src/gateLoad.ts
+++ b/admission/gate/src/gateLoad.ts
@@ -12,7 +12,7 @@
     /** Batch streams cancelled to make room, since the start. */
     preemptions: number;
     /** Tokens of cancelled batch streams that were not kept for a resume, since the start. */
-    tokensThrownAway: number;
+    discardedTokens: number;
     /** Tokens that batch items have produced here, since the start. */
     batchTokens: number;
 }
--- a/admission/gate/src/onlineFirstPolicy.ts
+++ b/admission/gate/src/onlineFirstPolicy.ts
@@ -1,6 +1,6 @@
 import type { AdmissionPolicy } from "./admissionPolicy.js";
-import { BatchRoom } from "./batchRoom.js";
-import { fittingOnlineCalls } from "./fittingOnlineCalls.js";
+import { BatchCapacity } from "./batchCapacity.js";
+import { countFittingOnlineCalls } from "./countFittingOnlineCalls.js";
 import type { GateDecision } from "./gateDecision.js";
 import type { GateState, RunningBatchItem, WaitingBatchItem } from "./gateState.js";
 
@@ -9,8 +9,8 @@
 /** An item that has waited so long at the gate is started even where its prefill exceeds the room of a step. */
 const MAX_WAIT_MS = 5000;
 /** Items held ahead of need, as a share of those that run. */
-const AHEAD_SHARE = 0.25;
-const MIN_AHEAD = 2;
+const PREFETCH_SHARE = 0.25;
+const MIN_PREFETCHED = 2;
 
 /**
  * Online work enters at once; batch work fills what the next step has left, and leaves it again as soon as online work
@@ -18,49 +18,49 @@
  */
 export class OnlineFirstPolicy implements AdmissionPolicy {
     decide(state: GateState): GateDecision {
-        const admitOnline = fittingOnlineCalls(state);
-        const room = BatchRoom.after(state, admitOnline);
-        const preempted = this.choosePreempted(state, room);
-        const started = preempted.length > 0 ? [] : this.chooseStarted(state, room);
+        const admitOnline = countFittingOnlineCalls(state);
+        const capacity = BatchCapacity.afterAdmitting(state, admitOnline);
+        const preempted = this.choosePreempted(state, capacity);
+        const started = preempted.length > 0 ? [] : this.chooseStarted(state, capacity);
         return {
             admitOnline,
             preempt: preempted.map(item => item.key),
             start: started.map(item => item.key),
-            wantedWaiting: this.wantedWaiting(state, room),
+            targetWaiting: this.targetWaiting(state, capacity),
         };
     }
 
-    private choosePreempted(state: GateState, room: BatchRoom): RunningBatchItem[] {
-        if (!room.isExceeded) {
+    private choosePreempted(state: GateState, capacity: BatchCapacity): RunningBatchItem[] {
+        if (!capacity.isExceeded) {
             return [];
         }
         return [...state.batch.running]
             .sort((left, right) =>
-                Number(room.isBlocking(right)) - Number(room.isBlocking(left))
-                || compareCostOfCancel(left, right)
+                Number(capacity.isBlocking(right)) - Number(capacity.isBlocking(left))
+                || compareCancellationCost(left, right)
             )
-            .filter(item => room.isExceeded && room.free(item));
+            .filter(item => capacity.isExceeded && capacity.release(item));
     }
 
-    private chooseStarted(state: GateState, room: BatchRoom): WaitingBatchItem[] {
+    private chooseStarted(state: GateState, capacity: BatchCapacity): WaitingBatchItem[] {
         const candidates = [...state.batch.waiting].sort(compareUrgency);
-        const started = candidates.filter(item => room.take(item));
+        const started = candidates.filter(item => capacity.tryReserve(item));
         if (started.length > 0 || state.batch.running.some(item => item.isPending)) {
             return started;
         }
         return candidates
-            .filter(item => state.nowMs - item.waitingSinceMs > MAX_WAIT_MS && room.takeOversized(item))
+            .filter(item => state.nowMs - item.waitingSinceMs > MAX_WAIT_MS && capacity.tryReserveOversized(item))
             .slice(0, 1);
     }
 
-    private wantedWaiting(state: GateState, room: BatchRoom): number {
+    private targetWaiting(state: GateState, capacity: BatchCapacity): number {
         const running = state.batch.running.length;
-        return Math.ceil(Math.max(MIN_AHEAD, room.freeSequences + running * AHEAD_SHARE));
+        return Math.ceil(Math.max(MIN_PREFETCHED, capacity.freeSequences + running * PREFETCH_SHARE));
     }
 }
 
 /** Items that no step has taken in yet cost nothing to cancel; else those with the least progress cost least. */
-function compareCostOfCancel(left: RunningBatchItem, right: RunningBatchItem): number {
+function compareCancellationCost(left: RunningBatchItem, right: RunningBatchItem): number {
     return Number(right.isPending) - Number(left.isPending) || left.producedTokens - right.producedTokens;
 }
 
--- a/admission/gate/src/resultReporter.ts
+++ b/admission/gate/src/resultReporter.ts
@@ -5,10 +5,10 @@
 import { toKnapweedError } from "@knapweedwood/core.errors/toKnapweedError";
 import type { Logger } from "@knapweedwood/observability.logs/logger";
 
-const GATHER_MS = 10;
+const COALESCING_DELAY_MS = 10;
 const MIN_RETRY_MS = 100;
 const MAX_RETRY_MS = 5000;
-const MAX_RESULTS_A_REPORT = 128;
+const MAX_RESULTS_PER_REPORT = 128;
 
 /** Reports results of batch items, several at a time, until an owner has taken them. */
 export class ResultReporter {
@@ -31,16 +31,16 @@
     }
 
     /** Resolves when all results that were added have been taken. */
-    async idle(): Promise<void> {
+    async whenIdle(): Promise<void> {
         while (this.flushing !== undefined) {
             await this.flushing;
         }
     }
 
     private async flush(): Promise<void> {
-        await sleep(this.clock, GATHER_MS);
+        await sleep(this.clock, COALESCING_DELAY_MS);
         while (this.results.length > 0) {
-            await this.report(this.results.splice(0, MAX_RESULTS_A_REPORT));
+            await this.report(this.results.splice(0, MAX_RESULTS_PER_REPORT));
         }
         this.flushing = undefined;
     }
--- a/admission/gate/src/heldItem.ts
+++ b/admission/gate/src/trackedItem.ts
@@ -5,7 +5,7 @@
 import type { WorkSize } from "./gateState.js";
 
 /** A batch item at the gate. */
-export interface HeldItem {
+export interface TrackedItem {
     key: BatchKey;
     item: BatchItem;
     size: WorkSize;
