--- a/admission/gate/src/arrivalRate.ts
+++ b/admission/gate/src/arrivalRate.ts
@@ -3,20 +3,20 @@
 
 /** Rate of recent arrivals; each counts for about a second. */
 export class ArrivalRate {
-    private weight = 0;
+    private decayedCount = 0;
     private lastMs = 0;
 
     /** Notes an arrival. */
-    add(nowMs: number): void {
-        this.weight = this.weightAt(nowMs) + 1;
+    record(nowMs: number): void {
+        this.decayedCount = this.decayedCountAt(nowMs) + 1;
         this.lastMs = nowMs;
     }
 
     perSecond(nowMs: number): number {
-        return this.weightAt(nowMs) * MS_PER_SECOND / WINDOW_MS;
+        return this.decayedCountAt(nowMs) * MS_PER_SECOND / WINDOW_MS;
     }
 
-    private weightAt(nowMs: number): number {
-        return this.weight * Math.exp(-(nowMs - this.lastMs) / WINDOW_MS);
+    private decayedCountAt(nowMs: number): number {
+        return this.decayedCount * Math.exp(-(nowMs - this.lastMs) / WINDOW_MS);
     }
 }
--- a/admission/gate/src/batchCapacity.ts
+++ b/admission/gate/src/batchCapacity.ts
@@ -26,7 +26,7 @@
         const { running } = state.batch;
         this.state = state;
         this.limitMs = batchStepLimitMs(state);
-        this.onlineSequences = state.online.running + admitOnline + state.foreignSequences;
+        this.onlineSequences = state.online.running + admitOnline + state.externalSequences;
         this.onlinePrefillTokens = state.online.prefillTokens + sumOf(admitted, "prefillTokens");
         this.onlineKvTokens = state.online.kvTokens + sumOf(admitted, "kvTokens");
         this.blockingPrefills = running.filter(item => this.isBlocking(item)).length;
--- a/admission/gate/src/batchExecutor.ts
+++ b/admission/gate/src/batchExecutor.ts
@@ -103,7 +103,7 @@
     private stop(run: BatchRun, reason: StopReason): void {
         run.stopReason = reason === "preempted" ? run.stopReason ?? reason : reason;
         run.abort.abort();
-        this.opts.streams.cancelled(run.stream);
+        this.opts.streams.streamCancelled(run.stream);
     }
 
     private track(item: BatchItem): TrackedItem {
@@ -167,7 +167,7 @@
                 this.opts.streams.tokenArrived(run.stream, generation.request);
             }
             else {
-                this.opts.estimator.learn(generation.request, tracked.size, event.usage);
+                this.opts.estimator.recordUsage(generation.request, tracked.size, event.usage);
             }
         }
         return { statusCode: OK, body: generation.run.response() };
--- a/admission/gate/src/cancelledJobs.ts
+++ b/admission/gate/src/cancelledJobs.ts
@@ -1,6 +1,6 @@
 import type { JobId } from "@knapweedwood/core.ids/jobId";
 
-const MAX_REMEMBERED = 1000;
+const MAX_JOB_IDS = 1000;
 
 /** The jobs that were cancelled of late, so that items still on their way are not run. */
 export class CancelledJobs {
@@ -9,7 +9,7 @@
     add(jobId: JobId): void {
         this.jobIds.add(jobId);
         const oldest = this.jobIds.values().next().value;
-        if (this.jobIds.size > MAX_REMEMBERED && oldest !== undefined) {
+        if (this.jobIds.size > MAX_JOB_IDS && oldest !== undefined) {
             this.jobIds.delete(oldest);
         }
     }
--- a/admission/gate/src/countFittingOnlineCalls.ts
+++ b/admission/gate/src/countFittingOnlineCalls.ts
@@ -4,7 +4,7 @@
 export function countFittingOnlineCalls(state: GateState): number {
     const { costs, limits, objective, online } = state;
     const decodeSlots = (objective.tokenGapObjectiveMs - costs.fixedMs) / Math.max(costs.perSequenceMs, Number.EPSILON);
-    const slots = Math.floor(Math.min(limits.maxSequences - state.foreignSequences, Math.max(1, decodeSlots)));
+    const slots = Math.floor(Math.min(limits.maxSequences - state.externalSequences, Math.max(1, decodeSlots)));
     const freeSlots = Math.max(0, slots - online.running);
     let kvTokens = online.kvTokens;
     const firstTooLarge = online.waiting.slice(0, freeSlots).findIndex(call => {
--- a/admission/gate/src/engineLimits.ts
+++ b/admission/gate/src/engineLoadPoller.ts
@@ -5,13 +5,13 @@
 
 const POLL_MS = 500;
 /** How old the engine's report may be. */
-const REPORT_LAG_MS = 2000;
+const MAX_REPORT_AGE_MS = 2000;
 /** Counts within this time are kept as their highest. */
 const COUNT_RESOLUTION_MS = 100;
 const DEFAULT_LIMITS: GateState["limits"] = { maxSequences: 8, kvTokens: 16_384, prefillTokensPerStep: 512 };
 
 /** What the engine's lagging report adds to the gate's own counts: its limits, and sequences that came another way. */
-export class EngineLimits {
+export class EngineLoadPoller {
     private readonly clock: Clock;
     private readonly engine: ModelEngine;
     private readonly ownSequences: () => number;
@@ -34,21 +34,21 @@
     }
 
     /** Sequences beyond the most that this gate had in the engine while the report may have been made. */
-    get foreignSequences(): number {
+    get externalSequences(): number {
         const reported = (this.report?.runningSequences ?? 0) + (this.report?.waitingSequences ?? 0);
         const own = this.recentCounts.reduce((most, { count }) => Math.max(most, count), this.ownSequences());
         return Math.max(0, reported - own);
     }
 
     /** Notes that the number of this gate's sequences has changed. */
-    countChanged(): void {
+    recordOwnSequences(): void {
         const nowMs = this.clock.nowMs();
         const last = this.recentCounts.at(-1);
         if (last !== undefined && nowMs - last.atMs < COUNT_RESOLUTION_MS) {
             last.count = Math.max(last.count, this.ownSequences());
             return;
         }
-        const firstRecent = this.recentCounts.findLastIndex(({ atMs }) => atMs < nowMs - REPORT_LAG_MS);
+        const firstRecent = this.recentCounts.findLastIndex(({ atMs }) => atMs < nowMs - MAX_REPORT_AGE_MS);
         this.recentCounts.splice(0, Math.max(0, firstRecent));
         this.recentCounts.push({ atMs: nowMs, count: this.ownSequences() });
     }
--- a/admission/gate/src/engineStreams.ts
+++ b/admission/gate/src/engineStreams.ts
@@ -63,7 +63,7 @@
     }
 
     /** Notes that a stream was cancelled; it stays open until the engine has let it go. */
-    cancelled(stream: ActiveStream): void {
+    streamCancelled(stream: ActiveStream): void {
         this.observer.streamCancelled(stream);
     }
 
@@ -71,7 +71,7 @@
         this.observer.tokenArrived(stream, this.clock.nowMs());
         if (!stream.hasFirstToken) {
             stream.hasFirstToken = true;
-            this.estimator.processed(request);
+            this.estimator.recordProcessed(request);
             this.onFirstToken(stream);
         }
     }
@@ -81,7 +81,7 @@
         return !stream.hasFirstToken && stream.startedAtMs >= (this.observer.lastStepEndMs ?? 0);
     }
 
-    of(kind: ActiveStream["kind"]): ActiveStream[] {
+    ofKind(kind: ActiveStream["kind"]): ActiveStream[] {
         return [...this.active].filter(stream => stream.kind === kind);
     }
 }
--- a/admission/gate/src/gate.ts
+++ b/admission/gate/src/gate.ts
@@ -14,7 +14,7 @@
 import { BatchPuller } from "./batchPuller.js";
 import { batchStateOf } from "./batchStateOf.js";
 import { EmbeddingRunner } from "./embeddingRunner.js";
-import { EngineLimits } from "./engineLimits.js";
+import { EngineLoadPoller } from "./engineLoadPoller.js";
 import { EngineStreams } from "./engineStreams.js";
 import { FailureClassifier } from "./failureClassifier.js";
 import { GateGauges } from "./gateGauges.js";
@@ -41,7 +41,7 @@
     private readonly arrivals = new ArrivalRate();
     private readonly failureClassifier = new FailureClassifier();
     private readonly streams: EngineStreams;
-    private readonly limits: EngineLimits;
+    private readonly loadPoller: EngineLoadPoller;
     private readonly online: OnlineQueue;
     private readonly gauges: GateGauges;
     private readonly reporter: ResultReporter | undefined;
@@ -65,11 +65,11 @@
             objectiveMs: () => this.objective.tokenGapObjectiveMs,
             onFirstToken: () => {
                 this.failureClassifier.requestStarted();
-                this.decideSoon();
+                this.scheduleDecision();
             },
         });
         this.gauges = new GateGauges({ metrics: opts.metrics, streams: this.streams });
-        this.limits = new EngineLimits({ clock, engine, ownSequences: () => this.streams.count });
+        this.loadPoller = new EngineLoadPoller({ clock, engine, ownSequences: () => this.streams.count });
         if (source === undefined) {
             return;
         }
@@ -79,13 +79,13 @@
             clock,
             source,
             logger,
-            onItems: items => this.takePulled(items),
+            onItems: items => this.acceptPulled(items),
         });
     }
 
     /** Starts the batch loop and the reading of the engine's load. */
     start(): void {
-        this.limits.start();
+        this.loadPoller.start();
         this.tick();
     }
 
@@ -106,13 +106,13 @@
         const startedAtMs = this.clock.nowMs();
         try {
             for await (const event of this.opts.engine.generate(request, { signal: opts.signal })) {
-                this.noteOnline(request, stream, event);
+                this.recordOnlineEvent(request, stream, event);
                 yield event;
             }
         }
         finally {
             this.streams.close(stream);
-            this.online.ended(this.clock.nowMs() - startedAtMs);
+            this.online.recordDuration(this.clock.nowMs() - startedAtMs);
             this.decide();
         }
     }
@@ -121,12 +121,12 @@
         const items = this.batch?.items ?? [];
         const batchRunning = items.filter(tracked => tracked.run !== undefined).length;
         const totals = this.batch?.totals ?? { preemptions: 0, discardedTokens: 0, batchTokens: 0 };
-        const streams = [...this.streams.of("online"), ...this.streams.of("batch")];
+        const streams = [...this.streams.ofKind("online"), ...this.streams.ofKind("batch")];
         const pending = streams.filter(stream => this.streams.isPending(stream));
         return {
-            onlineRunning: this.streams.of("online").length,
+            onlineRunning: this.streams.ofKind("online").length,
             onlineQueued: this.online.waiting.length,
-            onlinePrefillTokens: prefillTokensOf(this.streams.of("online").filter(stream => !stream.hasFirstToken)),
+            onlinePrefillTokens: prefillTokensOf(this.streams.ofKind("online").filter(stream => !stream.hasFirstToken)),
             batchRunning,
             batchQueued: items.length - batchRunning,
             predictedStepMs: stepDurationMs(this.streams.costs, {
@@ -144,7 +144,7 @@
 
     setObjective(objective: GateObjective): void {
         this.objective = objective;
-        this.decideSoon();
+        this.scheduleDecision();
     }
 
     /** Refuses new online calls and gives all batch items back; resolves when their owners have them. */
@@ -163,7 +163,7 @@
         while (this.streams.count + this.online.waiting.length > 0) {
             await sleep(this.clock, DRAIN_CHECK_MS);
         }
-        this.limits.stop();
+        this.loadPoller.stop();
         this.ticker?.cancel();
         this.pendingDecision?.cancel();
     }
@@ -179,7 +179,7 @@
             estimator: this.estimator,
             streams: this.streams,
             failureClassifier: this.failureClassifier,
-            onChange: () => this.decideSoon(),
+            onChange: () => this.scheduleDecision(),
             onInstanceBlamed: () => this.puller?.pause(),
         });
     }
@@ -189,12 +189,12 @@
         opts: { signal: AbortSignal; deadlineMs?: number; },
     ): Promise<ActiveStream> {
         const size = this.estimator.sizeOf(request);
-        this.arrivals.add(this.clock.nowMs());
-        const running = this.streams.of("online").length;
-        const entered = this.online.enter({ size, running, signal: opts.signal, deadlineMs: opts.deadlineMs });
+        this.arrivals.record(this.clock.nowMs());
+        const running = this.streams.ofKind("online").length;
+        const admission = this.online.enqueue({ size, running, signal: opts.signal, deadlineMs: opts.deadlineMs });
         this.decide();
         try {
-            return await entered;
+            return await admission;
         }
         catch (thrown) {
             this.opts.metrics.increment("gate.refused", { code: (thrown as KnapweedError).code });
@@ -202,22 +202,22 @@
         }
     }
 
-    private noteOnline(request: GenerateRequest, stream: ActiveStream, event: GenerateEvent): void {
+    private recordOnlineEvent(request: GenerateRequest, stream: ActiveStream, event: GenerateEvent): void {
         if (event.kind === "chunk") {
             this.streams.tokenArrived(stream, request);
             return;
         }
-        this.estimator.learn(request, stream, event.usage);
+        this.estimator.recordUsage(request, stream, event.usage);
     }
 
-    private takePulled(items: BatchItem[]): number {
-        const keptItems = this.batch?.add(items) ?? 0;
+    private acceptPulled(items: BatchItem[]): number {
+        const acceptedCount = this.batch?.add(items) ?? 0;
         if (this.isLeaving) {
             this.batch?.leave();
             return 0;
         }
-        this.decideSoon();
-        return keptItems;
+        this.scheduleDecision();
+        return acceptedCount;
     }
 
     private tick(): void {
@@ -228,7 +228,7 @@
     }
 
     /** Decides once for events that come together. */
-    private decideSoon(): void {
+    private scheduleDecision(): void {
         this.pendingDecision ??= this.clock.setTimer(0, () => {
             this.pendingDecision = undefined;
             this.decide();
@@ -245,18 +245,18 @@
         decision.start.forEach(key => this.batch?.start(key));
         const waiting = this.batch?.items.filter(tracked => tracked.run === undefined).length ?? 0;
         this.puller?.requestItems(decision.targetWaiting - waiting);
-        this.limits.countChanged();
+        this.loadPoller.recordOwnSequences();
     }
 
     private state(): GateState {
         const nowMs = this.clock.nowMs();
-        const online = this.streams.of("online");
+        const online = this.streams.ofKind("online");
         return {
             nowMs,
             objective: this.objective,
             costs: this.streams.costs,
-            limits: this.limits.limits,
-            foreignSequences: this.limits.foreignSequences,
+            limits: this.loadPoller.limits,
+            externalSequences: this.loadPoller.externalSequences,
             online: {
                 running: online.length,
                 kvTokens: online.reduce((sum, stream) => sum + stream.kvTokens, 0),
--- a/admission/gate/src/gateState.ts
+++ b/admission/gate/src/gateState.ts
@@ -42,7 +42,7 @@
     costs: StepCosts;
     limits: { maxSequences: number; kvTokens: number; prefillTokensPerStep: number; };
     /** Sequences at the engine that did not come through this gate. */
-    foreignSequences: number;
+    externalSequences: number;
     online: {
         running: number;
         kvTokens: number;
--- a/admission/gate/src/onlineCall.ts
+++ b/admission/gate/src/onlineCall.ts
@@ -9,5 +9,5 @@
     /** Lets the call into the engine. */
     admit(stream: ActiveStream): void;
     /** Refuses the call, which has not run. */
-    refuse(thrown: unknown): void;
+    reject(thrown: unknown): void;
 }
--- a/admission/gate/src/onlineQueue.ts
+++ b/admission/gate/src/onlineQueue.ts
@@ -29,7 +29,7 @@
      * Queues a call. The promise resolves with its stream when it is admitted; it rejects, always as not run, when it is refused or
      * cancelled.
      */
-    enter(opts: {
+    enqueue(opts: {
         size: WorkSize;
         signal: AbortSignal;
         deadlineMs: number | undefined;
@@ -38,14 +38,16 @@
         const nowMs = this.clock.nowMs();
         const waitMs = this.expectedWaitMs(opts.running);
         if (this.calls.length >= this.maxWaiting) {
-            return Promise.reject(refusal("GATE_OVERLOADED", "The upstream and its queue are full", waitMs));
+            return Promise.reject(rejectionError("GATE_OVERLOADED", "The upstream and its queue are full", waitMs));
         }
         if (opts.deadlineMs !== undefined && nowMs + waitMs >= opts.deadlineMs) {
-            return Promise.reject(refusal("GATE_DEADLINE", "The call can't be answered before its deadline", waitMs));
+            return Promise.reject(
+                rejectionError("GATE_DEADLINE", "The call can't be answered before its deadline", waitMs),
+            );
         }
-        return new Promise((admit, refuse) => {
+        return new Promise((admit, reject) => {
             const { size, deadlineMs } = opts;
-            this.wait({ size, arrivedAtMs: nowMs, deadlineMs, admit, refuse }, opts.signal);
+            this.addWaiting({ size, arrivedAtMs: nowMs, deadlineMs, admit, reject }, opts.signal);
         });
     }
 
@@ -57,37 +59,45 @@
     }
 
     /** Notes how long a call was in the engine. */
-    ended(durationMs: number): void {
+    recordDuration(durationMs: number): void {
         this.meanDurationMs += DURATION_SMOOTHING * (durationMs - this.meanDurationMs);
     }
 
-    private wait(call: OnlineCall, signal: AbortSignal): void {
-        const leave = (error: KnapweedError) => {
+    private addWaiting(call: OnlineCall, signal: AbortSignal): void {
+        const removeAndReject = (error: KnapweedError) => {
             this.calls = this.calls.filter(other => other !== call);
-            call.refuse(error);
+            call.reject(error);
         };
         const onAbort = () =>
-            leave(new KnapweedError("CANCELLED", "The call was cancelled before it ran", { outcome: "not-run" }));
+            removeAndReject(
+                new KnapweedError("CANCELLED", "The call was cancelled before it ran", { outcome: "not-run" }),
+            );
         const timer = call.deadlineMs === undefined
             ? undefined
             : this.clock.setTimer(
                 call.deadlineMs - call.arrivedAtMs,
                 () =>
-                    leave(refusal("GATE_DEADLINE", "The deadline passed before the call ran", this.expectedWaitMs(1))),
+                    removeAndReject(
+                        rejectionError(
+                            "GATE_DEADLINE",
+                            "The deadline passed before the call ran",
+                            this.expectedWaitMs(1),
+                        ),
+                    ),
             );
         signal.addEventListener("abort", onAbort, { once: true });
-        const settle = () => {
+        const cleanUp = () => {
             timer?.cancel();
             signal.removeEventListener("abort", onAbort);
         };
-        const { admit, refuse } = call;
+        const { admit, reject } = call;
         call.admit = stream => {
-            settle();
+            cleanUp();
             admit(stream);
         };
-        call.refuse = thrown => {
-            settle();
-            refuse(thrown);
+        call.reject = thrown => {
+            cleanUp();
+            reject(thrown);
         };
         this.calls.push(call);
         if (signal.aborted) {
@@ -101,7 +111,7 @@
     }
 }
 
-function refusal(code: string, message: string, waitMs: number): KnapweedError {
+function rejectionError(code: string, message: string, waitMs: number): KnapweedError {
     return new KnapweedError(code, message, {
         outcome: "not-run",
         statusCode: 503,
--- a/admission/gate/src/stepObserver.ts
+++ b/admission/gate/src/stepObserver.ts
@@ -46,7 +46,7 @@
     /** Notes that a token of a stream has arrived. */
     tokenArrived(stream: ActiveStream, nowMs: number): void {
         if (this.current === undefined || this.startsNewStep(this.current, stream, nowMs)) {
-            this.endCurrent();
+            this.finishCurrentStep();
             this.previous = this.current;
             this.current = {
                 startMs: this.previous?.endMs ?? nowMs,
@@ -71,31 +71,31 @@
             || nowMs - current.endMs > SAME_STEP_SHARE * this.model.costs.fixedMs;
     }
 
-    private endCurrent(): void {
+    private finishCurrentStep(): void {
         const { previous, current } = this;
         if (previous === undefined || current === undefined || !isContiguous(previous, current)) {
             return;
         }
         const durationMs = current.endMs - previous.endMs;
-        if (!this.hasLongPrefill({ previous, current })) {
+        if (!this.hasMultiStepPrefill({ previous, current })) {
             this.model.observe({
                 durationMs,
                 sequences: current.streams.size + current.cancelled.length,
                 prefillTokens: firstPrefillTokens(current, () => true),
             });
         }
-        this.noteStretch(current, durationMs);
+        this.recordStretch(current, durationMs);
     }
 
     /** Whether a prefill took more than this step, so that its share of the step is not known. */
-    private hasLongPrefill(steps: { previous: ObservedStep; current: ObservedStep; }): boolean {
+    private hasMultiStepPrefill(steps: { previous: ObservedStep; current: ObservedStep; }): boolean {
         const { previous, current } = steps;
         return [...this.active].some(stream => !stream.hasFirstToken && stream.startedAtMs < previous.endMs)
             || [...current.streams].some(([stream, { isFirst }]) => isFirst && stream.startedAtMs < previous.startMs)
             || current.cancelled.some(stream => !stream.hasFirstToken);
     }
 
-    private noteStretch(step: ObservedStep, durationMs: number): void {
+    private recordStretch(step: ObservedStep, durationMs: number): void {
         const streams = [...step.streams.keys()];
         const onlineCount = streams.filter(stream => stream.kind === "online").length;
         const { perSequenceMs, perPrefillTokenMs } = this.model.costs;
--- a/admission/gate/src/workEstimator.ts
+++ b/admission/gate/src/workEstimator.ts
@@ -5,7 +5,7 @@
 import { PrefixIndex } from "./prefixIndex.js";
 
 const INITIAL_CHARACTERS_PER_TOKEN = 4;
-const INITIAL_ANSWER_TOKENS = 64;
+const INITIAL_COMPLETION_TOKENS = 64;
 const SMOOTHING = 0.05;
 /** Prompt tokens that are processed again when a cancelled stream is resumed from the cache. */
 const RESUMED_PREFILL_TOKENS = 8;
@@ -14,19 +14,19 @@
 export class WorkEstimator {
     private readonly prefixes = new PrefixIndex();
     private charactersPerToken = INITIAL_CHARACTERS_PER_TOKEN;
-    private answerTokens = INITIAL_ANSWER_TOKENS;
+    private meanCompletionTokens = INITIAL_COMPLETION_TOKENS;
     /** Share of the prefix tokens expected in the cache that were there. */
-    private cacheTrust = 1;
+    private cacheHitShare = 1;
 
     /** The size of a request that has not run yet. */
     sizeOf(request: GenerateRequest): WorkSize {
         const prompt = promptTextOf(request.body);
         const promptTokens = prompt.length / this.charactersPerToken;
-        const cachedTokens = this.cacheTrust * this.prefixes.matchCharacters(prompt) / this.charactersPerToken;
+        const cachedTokens = this.cacheHitShare * this.prefixes.matchCharacters(prompt) / this.charactersPerToken;
         const resumedTokens = request.resumeFrom?.tokenCount ?? 0;
         return {
             prefillTokens: Math.max(1, promptTokens + resumedTokens - cachedTokens),
-            kvTokens: promptTokens + this.answerTokensOf(request),
+            kvTokens: promptTokens + this.completionTokensOf(request),
         };
     }
 
@@ -36,27 +36,27 @@
     }
 
     /** Notes that the engine has processed the prompt of a request. */
-    processed(request: GenerateRequest): void {
+    recordProcessed(request: GenerateRequest): void {
         this.prefixes.add(promptTextOf(request.body));
     }
 
     /** Learns from the token counts of a finished request; `size` is what was estimated. */
-    learn(request: GenerateRequest, size: WorkSize, usage: Usage): void {
+    recordUsage(request: GenerateRequest, size: WorkSize, usage: Usage): void {
         if (usage.promptTokens === 0) {
             return;
         }
         const characters = promptTextOf(request.body).length;
         this.charactersPerToken += SMOOTHING * (characters / usage.promptTokens - this.charactersPerToken);
-        this.answerTokens += SMOOTHING * (usage.completionTokens - this.answerTokens);
+        this.meanCompletionTokens += SMOOTHING * (usage.completionTokens - this.meanCompletionTokens);
         const expectedTokens = usage.promptTokens - size.prefillTokens;
         if (expectedTokens > 0 && request.resumeFrom === undefined) {
             const share = Math.min(1, usage.cachedTokens / expectedTokens);
-            this.cacheTrust += SMOOTHING * (share - this.cacheTrust);
+            this.cacheHitShare += SMOOTHING * (share - this.cacheHitShare);
         }
     }
 
-    private answerTokensOf(request: GenerateRequest): number {
+    private completionTokensOf(request: GenerateRequest): number {
         const limit = request.body.max_completion_tokens ?? request.body.max_tokens;
-        return typeof limit === "number" ? limit : this.answerTokens;
+        return typeof limit === "number" ? limit : this.meanCompletionTokens;
     }
 }
--- a/admission/gate/test/gateFuzz.test.ts
+++ b/admission/gate/test/gateFuzz.test.ts
@@ -34,9 +34,9 @@
 const JOBS = ["job-a", "job-b", "job-c"] as JobId[];
 
 /** Knows which requests are in the engine. */
-class WatchedEngine extends InMemoryEngine {
+class RecordingEngine extends InMemoryEngine {
     readonly active = new Set<string>();
-    mostActive = 0;
+    peakActive = 0;
     onlineKvTokens = 0;
 
     override async *generate(request: GenerateRequest, opts: { signal: AbortSignal; }): AsyncGenerator<GenerateEvent> {
@@ -44,24 +44,24 @@
         const kvTokens = request.body.user === "online"
             ? Math.ceil(String(request.body.prompt).length / 4) + Number(request.body.max_tokens)
             : 0;
-        const leave = () => {
+        const removeRequest = () => {
             this.onlineKvTokens -= this.active.delete(marker) ? kvTokens : 0;
         };
         this.active.add(marker);
         this.onlineKvTokens += kvTokens;
-        this.mostActive = Math.max(this.mostActive, this.active.size);
-        opts.signal.addEventListener("abort", leave);
+        this.peakActive = Math.max(this.peakActive, this.active.size);
+        opts.signal.addEventListener("abort", removeRequest);
         try {
             yield* super.generate(request, opts);
         }
         finally {
-            leave();
+            removeRequest();
         }
     }
 }
 
 /** Hands out the items of three jobs, a few of which can't be completed, and keeps what is reported. */
-class ListedSource implements BatchSource {
+class GeneratedSource implements BatchSource {
     readonly pulled = new Map<string, BatchItem>();
     readonly reported = new Map<string, BatchResult[]>();
     readonly returned: BatchItem[] = [];
@@ -152,10 +152,10 @@
 
 class Scenario {
     readonly clock = new ManualClock();
-    readonly engine = new WatchedEngine({ clock: this.clock, stepModel: STEP_MODEL });
-    readonly source = new ListedSource();
+    readonly engine = new RecordingEngine({ clock: this.clock, stepModel: STEP_MODEL });
+    readonly source = new GeneratedSource();
     readonly cancelled = new Set<JobId>();
-    readonly answers: Promise<void>[] = [];
+    readonly calls: Promise<void>[] = [];
     readonly gate = new Gate({
         engine: this.engine,
         clock: this.clock,
@@ -168,7 +168,7 @@
     async run(command: Command): Promise<void> {
         switch (command.kind) {
             case "online":
-                this.answers.push(this.call(command));
+                this.calls.push(this.call(command));
                 return;
             case "advance":
                 await this.clock.advance(command.durationMs);
@@ -194,7 +194,7 @@
             await this.clock.advance(100);
         }
         assert.ok(isClosed, "the gate did not close");
-        await Promise.all(this.answers);
+        await Promise.all(this.calls);
         this.source.pulled.forEach((_item, key) => assert.equal(this.source.reported.get(key)?.length, 1, key));
         assert.equal(this.source.reported.size, this.source.pulled.size);
         [...this.source.reported.values()].flat().forEach(result => this.checkResult(result));
@@ -223,7 +223,7 @@
 
     private checkNow(): void {
         const load = this.gate.load();
-        assert.ok(this.engine.mostActive <= STEP_MODEL.maxSequences, "a request had to wait inside the engine");
+        assert.ok(this.engine.peakActive <= STEP_MODEL.maxSequences, "a request had to wait inside the engine");
         assert.ok(load.onlineQueued === 0 || load.onlineRunning > 0, "online waits while none runs");
         if (load.onlineQueued > 0 && load.onlineRunning < ONLINE_SLOTS) {
             assert.ok(this.isKvFull(), "online waits behind batch work");
--- a/admission/gate/test/onlineFirstPolicy.test.ts
+++ b/admission/gate/test/onlineFirstPolicy.test.ts
@@ -21,7 +21,7 @@
         objective: { tokenGapObjectiveMs: 50, batchBalance: parts.balance ?? 1 },
         costs: { fixedMs: 20, perSequenceMs: 1, perPrefillTokenMs: 0.05 },
         limits: { maxSequences: 16, kvTokens: 4000, prefillTokensPerStep: 512 },
-        foreignSequences: 0,
+        externalSequences: 0,
         online: {
             running: 0,
             kvTokens: 0,
