--- a/admission/cost-model/src/stepCostModel.ts
+++ b/admission/cost-model/src/stepCostModel.ts
@@ -11,13 +11,13 @@
 /** A sample that exceeds its prediction by this factor counts as a pause of the process, not as a step. */
 const OUTLIER_FACTOR = 3;
 /** After so many outliers in a row they are the new truth. */
-const MAX_OUTLIERS_IN_A_ROW = 8;
+const MAX_CONSECUTIVE_OUTLIERS = 8;
 const ERROR_SMOOTHING = 0.05;
 
 /** Learns the cost of an engine's steps from observed ones, by recursive least squares with forgetting. */
 export class StepCostModel {
     private readonly estimator: RecursiveLeastSquares;
-    private outliersInARow = 0;
+    private consecutiveOutliers = 0;
     private smoothedError = 0;
     private count = 0;
 
@@ -69,8 +69,8 @@
     }
 
     private isOutlier(sample: StepSample, predictedMs: number): boolean {
-        const isFar = this.count > 0 && sample.durationMs > predictedMs * OUTLIER_FACTOR;
-        this.outliersInARow = isFar ? this.outliersInARow + 1 : 0;
-        return isFar && this.outliersInARow <= MAX_OUTLIERS_IN_A_ROW;
+        const exceedsFactor = this.count > 0 && sample.durationMs > predictedMs * OUTLIER_FACTOR;
+        this.consecutiveOutliers = exceedsFactor ? this.consecutiveOutliers + 1 : 0;
+        return exceedsFactor && this.consecutiveOutliers <= MAX_CONSECUTIVE_OUTLIERS;
     }
 }
--- a/admission/cost-model/test/stepCostModel.test.ts
+++ b/admission/cost-model/test/stepCostModel.test.ts
@@ -8,17 +8,21 @@
 const INITIAL: StepCosts = { fixedMs: 10, perSequenceMs: 1, perPrefillTokenMs: 0.1 };
 const NOISE_MS = 2;
 
-function feed(model: StepCostModel, truth: StepCosts, opts: { random: SeededRandom; steps: number; }): void {
+function observeSteps(
+    model: StepCostModel,
+    trueCosts: StepCosts,
+    opts: { random: SeededRandom; steps: number; },
+): void {
     Array.from({ length: opts.steps }).forEach(() => {
         const load = { sequences: 1 + opts.random.nextInteger(60), prefillTokens: opts.random.nextInteger(400) };
         const noiseMs = NOISE_MS * opts.random.next();
-        model.observe({ ...load, durationMs: stepDurationMs(truth, load) + noiseMs });
+        model.observe({ ...load, durationMs: stepDurationMs(trueCosts, load) + noiseMs });
     });
 }
 
-function assertPredicts(model: StepCostModel, truth: StepCosts): void {
+function assertPredicts(model: StepCostModel, trueCosts: StepCosts): void {
     [{ sequences: 4, prefillTokens: 0 }, { sequences: 50, prefillTokens: 300 }].forEach(load => {
-        const expectedMs = stepDurationMs(truth, load);
+        const expectedMs = stepDurationMs(trueCosts, load);
         const predictedMs = stepDurationMs(model.costs, load);
         assert.ok(Math.abs(predictedMs - expectedMs) < 0.1 * expectedMs, `${predictedMs} for ${expectedMs}`);
     });
@@ -27,21 +31,21 @@
 test("the costs are learned from noisy steps, and a drift is followed", () => {
     const model = new StepCostModel({ initial: INITIAL });
     const random = new SeededRandom(1);
-    const truth = { fixedMs: 22, perSequenceMs: 0.25, perPrefillTokenMs: 0.04 };
-    feed(model, truth, { random, steps: 300 });
-    assertPredicts(model, truth);
+    const trueCosts = { fixedMs: 22, perSequenceMs: 0.25, perPrefillTokenMs: 0.04 };
+    observeSteps(model, trueCosts, { random, steps: 300 });
+    assertPredicts(model, trueCosts);
     const drifted = { fixedMs: 35, perSequenceMs: 0.5, perPrefillTokenMs: 0.04 };
-    feed(model, drifted, { random, steps: 1500 });
+    observeSteps(model, drifted, { random, steps: 1500 });
     assertPredicts(model, drifted);
 });
 
 test("a pause is not taken for a step, unless it stays", () => {
     const model = new StepCostModel({ initial: INITIAL });
-    const truth = { fixedMs: 22, perSequenceMs: 0.25, perPrefillTokenMs: 0.04 };
-    feed(model, truth, { random: new SeededRandom(2), steps: 300 });
+    const trueCosts = { fixedMs: 22, perSequenceMs: 0.25, perPrefillTokenMs: 0.04 };
+    observeSteps(model, trueCosts, { random: new SeededRandom(2), steps: 300 });
     model.observe({ durationMs: 5000, sequences: 10, prefillTokens: 0 });
-    assertPredicts(model, truth);
+    assertPredicts(model, trueCosts);
     const slower = { fixedMs: 120, perSequenceMs: 1, perPrefillTokenMs: 0.2 };
-    feed(model, slower, { random: new SeededRandom(3), steps: 3000 });
+    observeSteps(model, slower, { random: new SeededRandom(3), steps: 3000 });
     assertPredicts(model, slower);
 });
