--- a/daemons/entry/src/createDispatcher.ts
+++ b/daemons/entry/src/createDispatcher.ts
@@ -17,7 +17,7 @@
 export function createDispatcher(parts: EntryParts, directory: UpstreamDirectory): Dispatcher {
     const { endpoint, random, clock, metrics, tracer } = parts;
     const { instanceId, zone } = endpoint.identity;
-    const retryBudget = new RetryBudget({ maxSaved: MAX_SAVED_RETRIES });
+    const retryBudget = new RetryBudget({ maxBalance: MAX_SAVED_RETRIES });
     const choosers = new ServiceChoosers({
         create: () => new AffinityChooser({ entryId: instanceId, zone, random, subsetSize: LINKED_SUBSET_SIZE }),
     });
--- a/daemons/entry/src/entryProcess.ts
+++ b/daemons/entry/src/entryProcess.ts
@@ -83,7 +83,7 @@
     async stop(): Promise<void> {
         const { settings, clock, logger, configuration, watcher, endpoint } = this.parts;
         this.stopping.abort();
-        await this.announcer?.leave();
+        await this.announcer?.announceLeaving();
         await sleep(clock, LEAVE_PAUSE_MS);
         await this.listener?.close(settings.shutdownGraceMs);
         await this.roles?.stop();
--- a/daemons/side/src/sideProcess.ts
+++ b/daemons/side/src/sideProcess.ts
@@ -118,7 +118,7 @@
         const { clock, logger, settings } = this.opts;
         this.isLeaving = true;
         this.reporter.send();
-        await this.announcer?.leave();
+        await this.announcer?.announceLeaving();
         await sleep(clock, LEAVE_PAUSE_MS);
         await this.gate?.leave();
         await this.plainGate?.stop();
@@ -138,7 +138,7 @@
 
     /** Ends at once, as a crash would: links are cut, nothing is given back or withdrawn. For tests. */
     async crash(): Promise<void> {
-        await this.announcer?.abandon();
+        await this.announcer?.stopWithoutWithdrawing();
         await this.reporter.stop();
         await this.cacheReporter?.stop();
         await this.endpoint.close(0);
--- a/routing/instance-list/src/httpInstanceList.ts
+++ b/routing/instance-list/src/httpInstanceList.ts
@@ -21,8 +21,8 @@
     }
 
     async list(): Promise<InstanceRecord[]> {
-        const answer = await this.call<{ instances: InstanceRecord[]; }>({ method: "GET", path: PATH });
-        return answer.instances.map(record => ({ ...record, service: record.service ?? undefined }));
+        const response = await this.call<{ instances: InstanceRecord[]; }>({ method: "GET", path: PATH });
+        return response.instances.map(record => ({ ...record, service: record.service ?? undefined }));
     }
 
     async announce(record: InstanceRecord): Promise<void> {
@@ -38,8 +38,8 @@
     }
 
     private call<Value>(call: Pick<HttpCall, "method" | "path" | "body">): Promise<Value> {
-        const whole: HttpCall = { ...call, timeoutMs: this.timeoutMs, repeatable: true };
-        return callJson<Value>(this.client, whole, "INSTANCE_LIST_UNAVAILABLE");
+        const request: HttpCall = { ...call, timeoutMs: this.timeoutMs, repeatable: true };
+        return callJson<Value>(this.client, request, "INSTANCE_LIST_UNAVAILABLE");
     }
 }
 
--- a/routing/instance-watch/src/instanceAnnouncer.ts
+++ b/routing/instance-watch/src/instanceAnnouncer.ts
@@ -11,7 +11,7 @@
     private readonly opts: { instanceList: InstanceList; clock: Clock; logger: Logger; record: InstanceRecord; };
     private readonly stopping = new AbortController();
     private record: InstanceRecord;
-    private running: Promise<void> = Promise.resolve();
+    private loop: Promise<void> = Promise.resolve();
 
     constructor(opts: InstanceAnnouncer["opts"]) {
         this.opts = opts;
@@ -20,23 +20,23 @@
 
     async start(): Promise<void> {
         await this.announce();
-        this.running = this.run();
+        this.loop = this.run();
     }
 
     /** Announces that this instance is leaving. */
-    async leave(): Promise<void> {
+    async announceLeaving(): Promise<void> {
         this.record = { ...this.record, state: "leaving" };
         await this.announce();
     }
 
     /** Ends without a withdrawal, as a crash would. */
-    async abandon(): Promise<void> {
+    async stopWithoutWithdrawing(): Promise<void> {
         this.stopping.abort();
-        await this.running;
+        await this.loop;
     }
 
     async stop(): Promise<void> {
-        await this.abandon();
+        await this.stopWithoutWithdrawing();
         await this.opts.instanceList.withdraw(this.record.instanceId).catch((error: unknown) => {
             this.opts.logger.debug("instance-list.unavailable", { error: String(error) });
         });
--- a/routing/instance-watch/src/instanceWatcher.ts
+++ b/routing/instance-watch/src/instanceWatcher.ts
@@ -20,7 +20,7 @@
     private readonly stopping = new AbortController();
     private readonly listeners = new Set<(records: InstanceRecord[]) => void>();
     private records: InstanceRecord[] = [];
-    private running: Promise<void> = Promise.resolve();
+    private loop: Promise<void> = Promise.resolve();
 
     constructor(opts: InstanceWatcher["opts"]) {
         this.opts = opts;
@@ -29,12 +29,12 @@
     /** Resolves after the first attempt to read the list. */
     async start(): Promise<void> {
         await this.poll();
-        this.running = this.run();
+        this.loop = this.run();
     }
 
     async stop(): Promise<void> {
         this.stopping.abort();
-        await this.running;
+        await this.loop;
     }
 
     /** The instances as last listed, shape [instances]. */
--- a/routing/retries/src/budgetedRetryPolicy.ts
+++ b/routing/retries/src/budgetedRetryPolicy.ts
@@ -19,7 +19,7 @@
 const DEFAULT_BASE_DELAY_MS = 20;
 const DEFAULT_MAX_DELAY_MS = 1000;
 const DEFAULT_MINIMUM_ATTEMPT_MS = 5;
-const TEMPORARY_STATUS_CODES = [408, 425, 429];
+const RETRYABLE_STATUS_CODES = [408, 425, 429];
 
 /**
  * Tries again within a budget and the deadline, after a jittered pause: a call that provably did not run, or one that
@@ -45,7 +45,7 @@
         if (state.outcome === "unknown" && !state.repeatable) {
             return { kind: "give-up", reason: "not-repeatable" };
         }
-        if (isRefusedForGood(state.statusCode)) {
+        if (isPermanentClientError(state.statusCode)) {
             return { kind: "give-up", reason: "refused" };
         }
         if (state.attempt >= this.opts.maxAttempts) {
@@ -55,7 +55,7 @@
         if (state.nowMs + delayMs + this.opts.minimumAttemptMs > (state.deadlineMs ?? Number.POSITIVE_INFINITY)) {
             return { kind: "give-up", reason: "deadline" };
         }
-        return this.opts.budget.tryRetry(state.nowMs)
+        return this.opts.budget.trySpend(state.nowMs)
             ? { kind: "retry", delayMs }
             : { kind: "give-up", reason: "budget" };
     }
@@ -66,7 +66,7 @@
     }
 }
 
-function isRefusedForGood(statusCode: number | undefined): boolean {
+function isPermanentClientError(statusCode: number | undefined): boolean {
     return statusCode !== undefined && statusCode >= 400 && statusCode < 500
-        && !TEMPORARY_STATUS_CODES.includes(statusCode);
+        && !RETRYABLE_STATUS_CODES.includes(statusCode);
 }
--- a/routing/retries/src/durationQuantile.ts
+++ b/routing/retries/src/durationQuantile.ts
@@ -1,5 +1,5 @@
 const SAMPLE_COUNT = 256;
-const SORT_EVERY = 16;
+const SAMPLES_PER_SORT = 16;
 
 /** A quantile of the latest durations. */
 export class DurationQuantile {
@@ -23,7 +23,7 @@
         this.samplesMs[this.sampleIndex] = durationMs;
         this.sampleIndex = (this.sampleIndex + 1) % SAMPLE_COUNT;
         this.observedCount += 1;
-        if (this.observedCount % SORT_EVERY === 0) {
+        if (this.observedCount % SAMPLES_PER_SORT === 0) {
             const sorted = [...this.samplesMs].sort((left, right) => left - right);
             this.currentMs = sorted[Math.floor(sorted.length * this.quantile)];
         }
--- a/routing/retries/src/hedgePolicy.ts
+++ b/routing/retries/src/hedgePolicy.ts
@@ -38,18 +38,18 @@
 
     /** When to hedge an attempt that starts now, in milliseconds; undefined for never. */
     hedgeAfterMs(state: HedgeState): number | undefined {
-        const usualMs = this.durations.valueMs;
-        if (!state.repeatable || usualMs === undefined) {
+        const quantileMs = this.durations.valueMs;
+        if (!state.repeatable || quantileMs === undefined) {
             return undefined;
         }
-        const delayMs = Math.max(this.minimumDelayMs, usualMs);
-        return state.nowMs + delayMs + usualMs / 2 > (state.deadlineMs ?? Number.POSITIVE_INFINITY)
+        const delayMs = Math.max(this.minimumDelayMs, quantileMs);
+        return state.nowMs + delayMs + quantileMs / 2 > (state.deadlineMs ?? Number.POSITIVE_INFINITY)
             ? undefined
             : delayMs;
     }
 
     /** Takes the hedge from the budget when its time has come. @returns whether it may be sent */
     tryHedge(nowMs: number): boolean {
-        return this.budget.tryRetry(nowMs);
+        return this.budget.trySpend(nowMs);
     }
 }
--- a/routing/retries/src/retryBudget.ts
+++ b/routing/retries/src/retryBudget.ts
@@ -2,7 +2,7 @@
     /** Retries allowed per request, such as 0.1. */
     ratio: number;
     /** Retries that may be saved up, and that a new budget starts with. */
-    maxSaved: number;
+    maxBalance: number;
 }
 
 /**
@@ -11,24 +11,24 @@
  */
 export class RetryBudget {
     private readonly opts: RetryBudgetOptions;
-    private saved: number;
+    private balance: number;
 
     constructor(opts: Partial<RetryBudgetOptions> = {}) {
-        this.opts = { ratio: 0.1, maxSaved: 10, ...opts };
-        this.saved = this.opts.maxSaved;
+        this.opts = { ratio: 0.1, maxBalance: 10, ...opts };
+        this.balance = this.opts.maxBalance;
     }
 
     /** Counts a request that a caller has sent, not a retry. */
     onRequest(_nowMs: number): void {
-        this.saved = Math.min(this.opts.maxSaved, this.saved + this.opts.ratio);
+        this.balance = Math.min(this.opts.maxBalance, this.balance + this.opts.ratio);
     }
 
     /** Takes one retry from the budget. @returns whether it may be sent */
-    tryRetry(_nowMs: number): boolean {
-        if (this.saved < 1) {
+    trySpend(_nowMs: number): boolean {
+        if (this.balance < 1) {
             return false;
         }
-        this.saved -= 1;
+        this.balance -= 1;
         return true;
     }
 }
--- a/routing/retries/test/retries.test.ts
+++ b/routing/retries/test/retries.test.ts
@@ -12,7 +12,7 @@
 test("retries never exceed a tenth of the requests and what was saved, whatever the order", () => {
     fc.assert(
         fc.property(fc.array(fc.boolean(), { maxLength: 2000, size: "max" }), events => {
-            const budget = new RetryBudget({ ratio: 0.1, maxSaved: 5 });
+            const budget = new RetryBudget({ ratio: 0.1, maxBalance: 5 });
             let requests = 0;
             let retries = 0;
             events.forEach(isRequest => {
@@ -21,7 +21,7 @@
                     requests += 1;
                     return;
                 }
-                retries += budget.tryRetry(0) ? 1 : 0;
+                retries += budget.trySpend(0) ? 1 : 0;
                 assert.ok(retries <= requests * 0.1 + 5 + 1e-6);
             });
         }),
@@ -48,7 +48,7 @@
 });
 
 test("a call is tried again only where that is safe, in time and useful", () => {
-    const state: fc.Arbitrary<RetryState> = fc.record({
+    const states: fc.Arbitrary<RetryState> = fc.record({
         attempt: fc.integer({ min: 1, max: 5 }),
         outcome: fc.constantFrom("answered", "not-run", "unknown"),
         statusCode: fc.option(fc.integer({ min: 200, max: 599 }), { nil: undefined }),
@@ -58,28 +58,28 @@
         nowMs: fc.integer({ min: 0, max: 10_000 }),
     });
     fc.assert(
-        fc.property(state, fc.integer(), (one, seed) => {
+        fc.property(states, fc.integer(), (state, seed) => {
             const policy = new BudgetedRetryPolicy({ budget: new RetryBudget(), random: new SeededRandom(seed) });
-            const decision = policy.decide(one);
-            const isSafe = one.outcome === "not-run" || one.outcome === "unknown" && one.repeatable;
+            const decision = policy.decide(state);
+            const isSafe = state.outcome === "not-run" || state.outcome === "unknown" && state.repeatable;
             if (decision.kind === "retry") {
                 assert.ok(isSafe);
-                assert.ok(one.attempt < 3);
-                assert.ok(decision.delayMs >= (one.retryAfterMs ?? 0));
-                assert.ok(one.nowMs + decision.delayMs < (one.deadlineMs ?? Infinity));
+                assert.ok(state.attempt < 3);
+                assert.ok(decision.delayMs >= (state.retryAfterMs ?? 0));
+                assert.ok(state.nowMs + decision.delayMs < (state.deadlineMs ?? Infinity));
                 return;
             }
-            const isTemporary = one.statusCode === undefined || one.statusCode >= 500 || one.statusCode < 400
-                || [408, 425, 429].includes(one.statusCode);
-            const hasTime = one.nowMs + Math.max(100, one.retryAfterMs ?? 0) + 5 <= (one.deadlineMs ?? Infinity);
-            assert.ok(!(isSafe && isTemporary && hasTime && one.attempt < 3), `gave up: ${decision.reason}`);
+            const isTemporary = state.statusCode === undefined || state.statusCode >= 500 || state.statusCode < 400
+                || [408, 425, 429].includes(state.statusCode);
+            const hasTime = state.nowMs + Math.max(100, state.retryAfterMs ?? 0) + 5 <= (state.deadlineMs ?? Infinity);
+            assert.ok(!(isSafe && isTemporary && hasTime && state.attempt < 3), `gave up: ${decision.reason}`);
         }),
         { seed: SEED, numRuns: 2000 },
     );
 });
 
 test("a hedge waits for the usual duration and takes from the same budget", () => {
-    const budget = new RetryBudget({ maxSaved: 1 });
+    const budget = new RetryBudget({ maxBalance: 1 });
     const hedges = new HedgePolicy({ budget });
     assert.equal(hedges.hedgeAfterMs({ repeatable: true, nowMs: 0 }), undefined);
     Array.from({ length: 256 }, (_, index) => hedges.observe(index));
@@ -88,5 +88,5 @@
     assert.equal(hedges.hedgeAfterMs({ repeatable: false, nowMs: 0 }), undefined);
     assert.equal(hedges.hedgeAfterMs({ repeatable: true, nowMs: 0, deadlineMs: 250 }), undefined);
     assert.ok(hedges.tryHedge(0));
-    assert.ok(!budget.tryRetry(0));
+    assert.ok(!budget.trySpend(0));
 });
