--- a/admission/cost-model/src/recursiveLeastSquares.ts
+++ b/admission/cost-model/src/recursiveLeastSquares.ts
@@ -1,15 +1,15 @@
 const INITIAL_VARIANCE = 100;
-/** Bound of the covariance, so that it can't grow without end while the features don't change. */
+/** Limits the covariance, which would otherwise grow without bound while the features stay constant. */
 const MAX_TRACE = 300;
 
-/** Linear least squares over a stream of samples, old samples forgotten step by step. */
+/** Recursive linear least squares over a stream of samples, with exponential forgetting of old samples. */
 export class RecursiveLeastSquares {
-    /** Shape [features]. */
+    /** Current estimate, shape [features]. */
     readonly coefficients: number[];
     private readonly forgettingFactor: number;
     private covariance: number[][];
 
-    /** @param opts `initial` is the first estimate, shape [features] */
+    /** @param opts `initial` is the initial estimate, shape [features] */
     constructor(opts: { initial: number[]; forgettingFactor: number; }) {
         this.coefficients = [...opts.initial];
         this.forgettingFactor = opts.forgettingFactor;
@@ -18,7 +18,11 @@
         );
     }
 
-    /** @param features shape [features] */
+    /**
+     * Updates the coefficients with one sample.
+     *
+     * @param features shape [features]
+     */
     update(features: number[], target: number): void {
         const projected = this.covariance.map(row => dot(row, features));
         const scale = this.forgettingFactor + dot(features, projected);
--- a/admission/cost-model/src/stepCostModel.ts
+++ b/admission/cost-model/src/stepCostModel.ts
@@ -3,18 +3,18 @@
 import { stepDurationMs } from "./stepDurationMs.js";
 import type { StepSample } from "./stepSample.js";
 
-/** Units in which sequences and prefill tokens enter the estimate, so that all features are of one magnitude. */
+/** Units of sequences and prefill tokens in the estimate. They bring all features to a similar magnitude. */
 const SEQUENCES_UNIT = 16;
 const PREFILL_TOKENS_UNIT = 256;
-/** Weight that a sample loses with each later one; the model follows a drift within some hundred steps. */
+/** Each sample multiplies the weight of all earlier ones by this factor. Drift is followed in a few hundred steps. */
 const FORGETTING_FACTOR = 0.998;
-/** A sample that exceeds its prediction by this factor counts as a pause of the process, not as a step. */
+/** A sample that exceeds its prediction by this factor is treated as a pause of the process, not as a step. */
 const OUTLIER_FACTOR = 3;
-/** After so many outliers in a row they are the new truth. */
+/** After this many consecutive outliers, further ones are accepted as regular samples. */
 const MAX_CONSECUTIVE_OUTLIERS = 8;
 const ERROR_SMOOTHING = 0.05;
 
-/** Learns the cost of an engine's steps from observed ones, by recursive least squares with forgetting. */
+/** Estimates the step costs of an engine from observed steps, by recursive least squares with forgetting. */
 export class StepCostModel {
     private readonly estimator: RecursiveLeastSquares;
     private consecutiveOutliers = 0;
@@ -32,7 +32,7 @@
         });
     }
 
-    /** The costs as learned so far; never negative. */
+    /** Current cost estimate; never negative. */
     get costs(): StepCosts {
         const [fixed = 0, perSequence = 0, perPrefillToken = 0] = this.estimator.coefficients
             .map(coefficient => Math.max(0, coefficient));
@@ -43,17 +43,17 @@
         };
     }
 
-    /** Samples taken in. */
+    /** Number of accepted samples. */
     get sampleCount(): number {
         return this.count;
     }
 
-    /** Mean absolute share by which recent predictions were off. */
+    /** Mean absolute relative error of recent predictions. */
     get relativeError(): number {
         return this.smoothedError;
     }
 
-    /** Takes in an observed step. */
+    /** Updates the estimate with an observed step. Outliers are ignored. */
     observe(sample: StepSample): void {
         const predictedMs = stepDurationMs(this.costs, sample);
         if (this.isOutlier(sample, predictedMs)) {
--- a/admission/cost-model/src/stepSample.ts
+++ b/admission/cost-model/src/stepSample.ts
@@ -1,8 +1,8 @@
-/** One observed step. */
+/** An observed engine step. */
 export interface StepSample {
     durationMs: number;
-    /** Sequences that the step carried. */
+    /** Number of sequences in the step. */
     sequences: number;
-    /** Prompt tokens that the step processed. */
+    /** Number of prompt tokens processed in the step. */
     prefillTokens: number;
 }
--- a/admission/cost-model/test/stepCostModel.test.ts
+++ b/admission/cost-model/test/stepCostModel.test.ts
@@ -28,7 +28,7 @@
     });
 }
 
-test("the costs are learned from noisy steps, and a drift is followed", () => {
+test("costs are estimated from noisy steps and follow a drift", () => {
     const model = new StepCostModel({ initial: INITIAL });
     const random = new SeededRandom(1);
     const trueCosts = { fixedMs: 22, perSequenceMs: 0.25, perPrefillTokenMs: 0.04 };
@@ -39,7 +39,7 @@
     assertPredicts(model, drifted);
 });
 
-test("a pause is not taken for a step, unless it stays", () => {
+test("a pause is ignored as an outlier, unless the steps stay slow", () => {
     const model = new StepCostModel({ initial: INITIAL });
     const trueCosts = { fixedMs: 22, perSequenceMs: 0.25, perPrefillTokenMs: 0.04 };
     observeSteps(model, trueCosts, { random: new SeededRandom(2), steps: 300 });
