--- a/routing/retries/src/budgetedRetryPolicy.ts
+++ b/routing/retries/src/budgetedRetryPolicy.ts
@@ -8,10 +8,10 @@
     budget: RetryBudget;
     random: Random;
     maxAttempts?: number;
-    /** First pause, doubled with each attempt, in milliseconds. */
+    /** Upper bound of the first jittered delay, doubled with each attempt, in milliseconds. */
     baseDelayMs?: number;
     maxDelayMs?: number;
-    /** Time that an attempt needs to be worth it, in milliseconds. */
+    /** Minimum time that must remain before the deadline for another attempt, in milliseconds. */
     minimumAttemptMs?: number;
 }
 
@@ -22,8 +22,8 @@
 const RETRYABLE_STATUS_CODES = [408, 425, 429];
 
 /**
- * Tries again within a budget and the deadline, after a jittered pause: a call that provably did not run, or one that
- * may be repeated.
+ * Retries calls that provably did not run or that may be repeated. A retry waits for a jittered delay, and is limited
+ * by a budget and the deadline of the call.
  */
 export class BudgetedRetryPolicy implements RetryPolicy {
     private readonly opts: Required<BudgetedRetryPolicyOptions>;
--- a/routing/retries/src/durationQuantile.ts
+++ b/routing/retries/src/durationQuantile.ts
@@ -1,7 +1,7 @@
 const SAMPLE_COUNT = 256;
 const SAMPLES_PER_SORT = 16;
 
-/** A quantile of the latest durations. */
+/** Quantile of the most recent durations. */
 export class DurationQuantile {
     private readonly quantile: number;
     private readonly samplesMs: number[] = [];
@@ -14,11 +14,12 @@
         this.quantile = quantile;
     }
 
-    /** Undefined until there are samples. */
+    /** Current value, in milliseconds; undefined until there are enough samples. */
     get valueMs(): number | undefined {
         return this.currentMs;
     }
 
+    /** Records a duration, in milliseconds. */
     observe(durationMs: number): void {
         this.samplesMs[this.sampleIndex] = durationMs;
         this.sampleIndex = (this.sampleIndex + 1) % SAMPLE_COUNT;
--- a/routing/retries/src/hedgePolicy.ts
+++ b/routing/retries/src/hedgePolicy.ts
@@ -2,11 +2,11 @@
 import type { RetryBudget } from "./retryBudget.js";
 
 interface HedgePolicyOptions {
-    /** The budget that retries use too. */
+    /** Budget shared with retries. */
     budget: RetryBudget;
-    /** Share of attempts that are answered before a hedge is sent, in (0, 1). */
+    /** Share of attempts that receive a response before a hedge is sent, in (0, 1). */
     quantile?: number;
-    /** Shortest wait before a hedge, in milliseconds. */
+    /** Minimum delay before a hedge, in milliseconds. */
     minimumDelayMs?: number;
 }
 
@@ -19,7 +19,7 @@
 const DEFAULT_QUANTILE = 0.95;
 const DEFAULT_MINIMUM_DELAY_MS = 10;
 
-/** Sends a second attempt of a call that may be repeated when the first takes longer than most. */
+/** Decides when to send a second attempt of a repeatable call whose first attempt takes longer than most. */
 export class HedgePolicy {
     private readonly budget: RetryBudget;
     private readonly minimumDelayMs: number;
@@ -31,12 +31,12 @@
         this.durations = new DurationQuantile(opts.quantile ?? DEFAULT_QUANTILE);
     }
 
-    /** Takes in the time to the first byte of an attempt. */
+    /** Records the time to the first byte of an attempt, in milliseconds. */
     observe(durationMs: number): void {
         this.durations.observe(durationMs);
     }
 
-    /** When to hedge an attempt that starts now, in milliseconds; undefined for never. */
+    /** Returns the delay before hedging an attempt that starts now, in milliseconds; undefined for no hedge. */
     hedgeAfterMs(state: HedgeState): number | undefined {
         const quantileMs = this.durations.valueMs;
         if (!state.repeatable || quantileMs === undefined) {
@@ -48,7 +48,7 @@
             : delayMs;
     }
 
-    /** Takes the hedge from the budget when its time has come. @returns whether it may be sent */
+    /** Takes one hedge from the budget, when the delay has passed. @returns whether it may be sent */
     tryHedge(nowMs: number): boolean {
         return this.budget.trySpend(nowMs);
     }
--- a/routing/retries/src/neverRetryPolicy.ts
+++ b/routing/retries/src/neverRetryPolicy.ts
@@ -1,7 +1,7 @@
 import type { RetryDecision } from "./retryDecision.js";
 import type { RetryPolicy } from "./retryPolicy.js";
 
-/** Makes each attempt once: the baseline. */
+/** Never retries. Baseline for comparisons. */
 export class NeverRetryPolicy implements RetryPolicy {
     decide(): RetryDecision {
         return { kind: "give-up", reason: "attempts" };
--- a/routing/retries/src/retryBudget.ts
+++ b/routing/retries/src/retryBudget.ts
@@ -1,13 +1,13 @@
 interface RetryBudgetOptions {
-    /** Retries allowed per request, such as 0.1. */
+    /** Number of retries allowed per request, such as 0.1. */
     ratio: number;
-    /** Retries that may be saved up, and that a new budget starts with. */
+    /** Initial and maximum number of unused retries. */
     maxBalance: number;
 }
 
 /**
- * Bounds the load that retries and hedges add: at any time at most `ratio` times the requests so far and `maxSaved`
- * more have been allowed.
+ * Limits the load that retries and hedges add. At any time, the number of retries and hedges allowed so far is at most
+ * `ratio` times the number of requests, plus `maxBalance`.
  */
 export class RetryBudget {
     private readonly opts: RetryBudgetOptions;
@@ -18,12 +18,12 @@
         this.balance = this.opts.maxBalance;
     }
 
-    /** Counts a request that a caller has sent, not a retry. */
+    /** Counts a request sent by a caller. Must not be called for retries. */
     onRequest(_nowMs: number): void {
         this.balance = Math.min(this.opts.maxBalance, this.balance + this.opts.ratio);
     }
 
-    /** Takes one retry from the budget. @returns whether it may be sent */
+    /** Takes one retry or hedge from the budget. @returns whether it may be sent */
     trySpend(_nowMs: number): boolean {
         if (this.balance < 1) {
             return false;
--- a/routing/retries/src/retryDecision.ts
+++ b/routing/retries/src/retryDecision.ts
@@ -1,4 +1,4 @@
-/** Whether to try again, and when. */
+/** Whether to retry a failed attempt, and after which delay in milliseconds. */
 export type RetryDecision =
     | { kind: "retry"; delayMs: number; }
     | {
--- a/routing/retries/src/retryPolicy.ts
+++ b/routing/retries/src/retryPolicy.ts
@@ -1,7 +1,7 @@
 import type { RetryDecision } from "./retryDecision.js";
 import type { RetryState } from "./retryState.js";
 
-/** Decides whether a failed attempt is made again. */
+/** Decides whether to retry a failed attempt. */
 export interface RetryPolicy {
     decide(state: RetryState): RetryDecision;
 }
--- a/routing/retries/src/retryState.ts
+++ b/routing/retries/src/retryState.ts
@@ -1,18 +1,18 @@
 import type { Outcome } from "@knapweedwood/core.errors/outcome";
 
-/** A failed attempt, as the decision to try again sees it. */
+/** A failed attempt, as input of the retry decision. */
 export interface RetryState {
-    /** Attempts made so far, the failed one among them. */
+    /** Number of attempts so far, including the failed one. */
     attempt: number;
-    /** What became of the failed attempt. */
+    /** Outcome of the failed attempt. */
     outcome: Outcome;
-    /** Status that the failed attempt was answered with, if any. */
+    /** HTTP status of the failed attempt, if there was a response. */
     statusCode?: number | undefined;
-    /** Whether the call may run a second time. */
+    /** Whether the call may run more than once. */
     repeatable: boolean;
-    /** Pause that the other end asked for, in milliseconds; undefined where the next attempt goes elsewhere. */
+    /** Delay requested by the peer, in milliseconds; undefined if the next attempt goes to another peer. */
     retryAfterMs?: number | undefined;
-    /** When the call is due, in milliseconds. */
+    /** Deadline of the call, in milliseconds. */
     deadlineMs?: number | undefined;
     nowMs: number;
 }
--- a/routing/retries/test/retries.test.ts
+++ b/routing/retries/test/retries.test.ts
@@ -9,7 +9,7 @@
 
 const SEED = 20_261_203;
 
-test("retries never exceed a tenth of the requests and what was saved, whatever the order", () => {
+test("retries never exceed a tenth of the requests plus the maximum balance, in any order", () => {
     fc.assert(
         fc.property(fc.array(fc.boolean(), { maxLength: 2000, size: "max" }), events => {
             const budget = new RetryBudget({ ratio: 0.1, maxBalance: 5 });
@@ -29,7 +29,7 @@
     );
 });
 
-test("in a full brown-out the load grows by a tenth", () => {
+test("during a full brownout the load grows by a tenth", () => {
     const budget = new RetryBudget();
     const policy = new BudgetedRetryPolicy({ budget, random: new SeededRandom(SEED) });
     let sent = 0;
@@ -47,7 +47,7 @@
     assert.ok(sent > 10_900 && sent <= 11_010, `${sent} attempts of 10000 requests`);
 });
 
-test("a call is tried again only where that is safe, in time and useful", () => {
+test("a call is retried only if that is safe, within the deadline and useful", () => {
     const states: fc.Arbitrary<RetryState> = fc.record({
         attempt: fc.integer({ min: 1, max: 5 }),
         outcome: fc.constantFrom("answered", "not-run", "unknown"),
@@ -78,7 +78,7 @@
     );
 });
 
-test("a hedge waits for the usual duration and takes from the same budget", () => {
+test("a hedge waits for the quantile of durations and is taken from the retry budget", () => {
     const budget = new RetryBudget({ maxBalance: 1 });
     const hedges = new HedgePolicy({ budget });
     assert.equal(hedges.hedgeAfterMs({ repeatable: true, nowMs: 0 }), undefined);
