--- a/routing/instance-list/src/httpInstanceList.ts
+++ b/routing/instance-list/src/httpInstanceList.ts
@@ -10,7 +10,7 @@
 const DEFAULT_TIMEOUT_MS = 1000;
 const PATH = "/v1/instances";
 
-/** The instance list over HTTP. Methods throw `INSTANCE_LIST_UNAVAILABLE`. */
+/** HTTP client of the instance list. Methods throw `INSTANCE_LIST_UNAVAILABLE` when a call fails. */
 export class HttpInstanceList implements InstanceList {
     private readonly client: PlatformHttpClient;
     private readonly timeoutMs: number;
--- a/routing/instance-list/src/instanceList.ts
+++ b/routing/instance-list/src/instanceList.ts
@@ -1,11 +1,11 @@
 import type { InstanceId } from "@knapweedwood/core.ids/instanceId";
 import type { InstanceRecord } from "./instanceRecord.js";
 
-/** The platform's list of live and leaving instances. It lags. */
+/** The platform's list of live and leaving instances. Reads may be stale. */
 export interface InstanceList {
-    /** All instances known, shape [instances]. */
+    /** Returns all listed instances, shape [instances]. */
     list(): Promise<InstanceRecord[]>;
-    /** Enters this instance, or replaces its record. Repeated as a heartbeat. */
+    /** Adds this instance, or replaces its record. Called repeatedly as a heartbeat. */
     announce(record: InstanceRecord): Promise<void>;
     /** Removes this instance. */
     withdraw(instanceId: InstanceId): Promise<void>;
--- a/routing/instance-list/src/instanceRecord.ts
+++ b/routing/instance-list/src/instanceRecord.ts
@@ -3,16 +3,16 @@
 import type { ServiceName } from "@knapweedwood/core.ids/serviceName";
 import type { ZoneName } from "@knapweedwood/core.ids/zoneName";
 
-/** One instance, as the platform lists it. */
+/** Record of one instance in the platform's instance list. */
 export interface InstanceRecord {
     instanceId: InstanceId;
     kind: "entry" | "side" | "upstream";
     region: RegionName;
     zone: ZoneName;
-    /** Where links are accepted (entry, side) or HTTP calls (upstream without a side), as `host:port`. */
+    /** Address that accepts links (entry, side) or HTTP calls (upstream without a side), as `host:port`. */
     address: string;
     state: "live" | "leaving";
-    /** The service whose upstream this is or stands beside; undefined for an entry. */
+    /** Service of the upstream, or of the upstream that the side runs next to; undefined for an entry. */
     service: ServiceName | undefined;
     /** Whether the instance has a data folder. */
     hasDataFolder: boolean;
