--- a/routing/instance-watch/src/instanceAnnouncer.ts
+++ b/routing/instance-watch/src/instanceAnnouncer.ts
@@ -6,7 +6,7 @@
 
 const ANNOUNCE_INTERVAL_MS = 2000;
 
-/** Keeps this instance's record in the instance list. */
+/** Keeps this instance's record in the instance list by announcing it periodically. */
 export class InstanceAnnouncer {
     private readonly opts: { instanceList: InstanceList; clock: Clock; logger: Logger; record: InstanceRecord; };
     private readonly stopping = new AbortController();
@@ -18,6 +18,7 @@
         this.record = opts.record;
     }
 
+    /** Announces this instance and starts repeating the announcement. */
     async start(): Promise<void> {
         await this.announce();
         this.loop = this.run();
@@ -29,16 +30,17 @@
         await this.announce();
     }
 
-    /** Ends without a withdrawal, as a crash would. */
+    /** Stops announcing without withdrawing the record, as a crash would. */
     async stopWithoutWithdrawing(): Promise<void> {
         this.stopping.abort();
         await this.loop;
     }
 
+    /** Stops announcing and withdraws the record. */
     async stop(): Promise<void> {
         await this.stopWithoutWithdrawing();
         await this.opts.instanceList.withdraw(this.record.instanceId).catch((error: unknown) => {
-            this.opts.logger.debug("instance-list.unavailable", { error: String(error) });
+            this.opts.logger.debug("instance-list-unavailable", { error: String(error) });
         });
     }
 
@@ -53,7 +55,7 @@
 
     private async announce(): Promise<void> {
         await this.opts.instanceList.announce(this.record).catch((error: unknown) => {
-            this.opts.logger.warn("instance-list.unavailable", { error: String(error) });
+            this.opts.logger.warn("instance-list-unavailable", { error: String(error) });
         });
     }
 }
--- a/routing/instance-watch/src/instanceWatcher.ts
+++ b/routing/instance-watch/src/instanceWatcher.ts
@@ -8,7 +8,7 @@
 const DEFAULT_INTERVAL_MS = 1000;
 const JITTER_SHARE = 0.2;
 
-/** Polls the instance list. While the list is away, the last answer stands. */
+/** Polls the instance list. Keeps the last response while the list is unavailable. */
 export class InstanceWatcher {
     private readonly opts: {
         instanceList: InstanceList;
@@ -26,7 +26,7 @@
         this.opts = opts;
     }
 
-    /** Resolves after the first attempt to read the list. */
+    /** Starts polling. Resolves after the first attempt to read the list, even if it fails. */
     async start(): Promise<void> {
         await this.poll();
         this.loop = this.run();
@@ -37,12 +37,12 @@
         await this.loop;
     }
 
-    /** The instances as last listed, shape [instances]. */
+    /** Returns the instances from the last successful poll, shape [instances]. */
     current(): InstanceRecord[] {
         return this.records;
     }
 
-    /** Calls `listener` after each poll that succeeded. */
+    /** Calls `listener` after each successful poll. */
     subscribe(listener: (records: InstanceRecord[]) => void): void {
         this.listeners.add(listener);
     }
@@ -63,7 +63,7 @@
             this.records = await this.opts.instanceList.list();
         }
         catch (error) {
-            this.opts.logger.debug("instance-list.unavailable", { error: String(error) });
+            this.opts.logger.debug("instance-list-unavailable", { error: String(error) });
             return;
         }
         this.listeners.forEach(listener => listener(this.records));
