--- a/admission/gate/src/activeStream.ts
+++ b/admission/gate/src/activeStream.ts
@@ -1,8 +1,9 @@
 import type { WorkSize } from "./gateState.js";
 
-/** A request that the engine works on. */
+/** A request that was sent to the engine and has not ended. */
 export interface ActiveStream extends WorkSize {
     kind: "online" | "batch";
+    /** When the request was sent, in milliseconds on the gate's clock. */
     startedAtMs: number;
     hasFirstToken: boolean;
 }
--- a/admission/gate/src/admissionPolicy.ts
+++ b/admission/gate/src/admissionPolicy.ts
@@ -1,7 +1,7 @@
 import type { GateDecision } from "./gateDecision.js";
 import type { GateState } from "./gateState.js";
 
-/** Decides what enters the engine. Pure: the same state gives the same decision. */
+/** Decides which requests enter the engine. Pure: the same state gives the same decision. */
 export interface AdmissionPolicy {
     decide(state: GateState): GateDecision;
 }
--- a/admission/gate/src/arrivalRate.ts
+++ b/admission/gate/src/arrivalRate.ts
@@ -1,17 +1,18 @@
 const WINDOW_MS = 1000;
 const MS_PER_SECOND = 1000;
 
-/** Rate of recent arrivals; each counts for about a second. */
+/** Exponentially decayed rate of recent arrivals. Each arrival counts for about a second. */
 export class ArrivalRate {
     private decayedCount = 0;
     private lastMs = 0;
 
-    /** Notes an arrival. */
+    /** Records an arrival. */
     record(nowMs: number): void {
         this.decayedCount = this.decayedCountAt(nowMs) + 1;
         this.lastMs = nowMs;
     }
 
+    /** Returns the rate at `nowMs`, in arrivals per second. */
     perSecond(nowMs: number): number {
         return this.decayedCountAt(nowMs) * MS_PER_SECOND / WINDOW_MS;
     }
--- a/admission/gate/src/batchCapacity.ts
+++ b/admission/gate/src/batchCapacity.ts
@@ -3,12 +3,12 @@
 import type { GateState, RunningBatchItem, WorkSize } from "./gateState.js";
 
 const MS_PER_SECOND = 1000;
-/** Steps for which arrivals are expected ahead, because that long a cancelled stream still holds its place. */
+/** Number of steps whose expected arrivals are reserved: a cancelled stream keeps its slot for that long. */
 const HEADROOM_STEPS = 1;
-/** Standard deviations of the expected arrivals that are kept free. */
+/** Standard deviations that are reserved on top of the expected arrivals. */
 const HEADROOM_DEVIATIONS = 1;
 
-/** What the next step of the engine has left for batch work, after online work and head-room. */
+/** Capacity of the engine's next step that remains for batch work, after online work and headroom for arrivals. */
 export class BatchCapacity {
     private readonly state: GateState;
     private readonly limitMs: number;
@@ -36,12 +36,12 @@
         this.reservedSequences = expectedArrivals(state);
     }
 
-    /** The room once `admitOnline` of the waiting online calls have entered. */
+    /** Returns the capacity that remains once the oldest `admitOnline` waiting online calls are admitted. */
     static afterAdmitting(state: GateState, admitOnline: number): BatchCapacity {
         return new BatchCapacity(state, admitOnline);
     }
 
-    /** Whether the batch work that runs has to give way. */
+    /** Whether running batch work must be preempted. */
     get isExceeded(): boolean {
         if (this.batchSequences === 0) {
             return false;
@@ -53,19 +53,19 @@
             || (this.blockingPrefills > 0 && this.onlinePrefillTokens > 0);
     }
 
-    /** Whether the prefill of an item holds up, over several steps, all that come after it. */
+    /** Whether the prefill of an item takes several steps, in which it delays all later prefills. */
     isBlocking(item: RunningBatchItem): boolean {
         return (item.isPrefilling || item.isPending) && this.isOversized(item);
     }
 
-    /** Sequences that batch work could add. */
+    /** Number of sequences that batch work can add. */
     get freeSequences(): number {
         const freeStepMs = this.limitMs - this.stepMs(0);
         const byStep = freeStepMs / Math.max(this.state.costs.perSequenceMs, Number.EPSILON);
         return Math.max(0, Math.floor(Math.min(this.freeSlots, byStep)));
     }
 
-    /** Gives back what a cancelled item held. @returns true */
+    /** Releases the capacity of a cancelled item. @returns true */
     release(item: RunningBatchItem): boolean {
         this.blockingPrefills -= this.isBlocking(item) ? 1 : 0;
         this.batchSequences -= 1;
@@ -74,7 +74,7 @@
         return true;
     }
 
-    /** Takes the room for an item, if there is enough. @returns whether there was */
+    /** Reserves capacity for an item, if there is enough. @returns whether it was reserved */
     tryReserve(item: WorkSize): boolean {
         if (this.freeSequences === 0 || !this.hasKvTokens(item)) {
             return false;
@@ -87,9 +87,10 @@
     }
 
     /**
-     * Takes the room for an item that exceeds the limit of a step: one at a time, so that no item waits for ever.
+     * Reserves capacity for an item that exceeds the limit of a step. One such item runs at a time, so that no item
+     * waits forever.
      *
-     * @returns whether there was a slot
+     * @returns whether there was a free slot
      */
     tryReserveOversized(item: WorkSize): boolean {
         const hasSequence = this.batchSequences === 0 ? this.freeSlots > 0 : this.freeSequences > 0;
@@ -104,7 +105,7 @@
         return this.state.limits.maxSequences - this.reservedSequences - this.onlineSequences - this.batchSequences;
     }
 
-    /** Whether a single batch sequence runs whose prefill is over; it may stay whatever the limit of a step. */
+    /** Whether a single batch sequence runs and its prefill is done. It may exceed the limit of a step. */
     private get isOnlySequence(): boolean {
         return this.batchSequences === 1 && this.batchPrefillTokens === 0;
     }
@@ -127,7 +128,7 @@
         return item.prefillTokens > this.state.limits.prefillTokensPerStep;
     }
 
-    /** Whether an online prefill takes several steps, each of which batch work would lengthen. */
+    /** Whether online prefill takes several steps. Batch work would lengthen each of them. */
     private get hasMultiStepPrefill(): boolean {
         return this.onlinePrefillTokens > this.state.limits.prefillTokensPerStep;
     }
--- a/admission/gate/src/batchExecutor.ts
+++ b/admission/gate/src/batchExecutor.ts
@@ -21,11 +21,11 @@
 import type { TrackedItem } from "./trackedItem.js";
 import type { WorkEstimator } from "./workEstimator.js";
 
-/** How long an item is tracked here without running before it is given back for others to run. */
+/** Items that have waited longer than this are returned, so that other instances can run them. */
 const MAX_WAIT_MS = 10_000;
 const OK = 200;
 
-/** The batch items of one gate: those that run and those that wait here for room. */
+/** Runs the batch items of one gate and tracks the items that wait for capacity. */
 export class BatchExecutor {
     /** Counts since the start. */
     readonly totals = { preemptions: 0, discardedTokens: 0, batchTokens: 0 };
@@ -40,12 +40,12 @@
         this.engineProbe = new EngineProbe(opts);
     }
 
-    /** All items tracked here, running ones among them, shape [items]. */
+    /** All tracked items, waiting and running, shape [items]. */
     get items(): TrackedItem[] {
         return [...this.trackedItems.values()];
     }
 
-    /** Takes pulled items in. Items of cancelled jobs go straight back. @returns how many were kept */
+    /** Accepts pulled items. Items of cancelled jobs are returned at once. @returns the number of items kept */
     add(items: BatchItem[]): number {
         const added = items.map(item => this.track(item));
         const unwanted = added.filter(tracked => this.cancelledJobs.has(tracked.item.jobId));
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Cancels the stream of an item and keeps the item here, with what was produced. */
+    /** Cancels the stream of an item. The item stays here with its output so far, to be resumed. */
     preempt(key: BatchKey): void {
         const tracked = this.trackedItems.get(key);
         if (tracked?.run !== undefined) {
@@ -71,13 +71,13 @@
         }
     }
 
-    /** Stops all items of a job; none of it is run here any more. */
+    /** Stops and returns all items of a job. Its items that arrive later are returned without running. */
     cancelJob(jobId: JobId): void {
         this.cancelledJobs.add(jobId);
         this.stopOrReturn(this.items.filter(tracked => tracked.item.jobId === jobId), "cancelled");
     }
 
-    /** Gives items back that have waited here for long. */
+    /** Returns items that have waited for longer than `MAX_WAIT_MS`. */
     returnStale(): void {
         const nowMs = this.opts.clock.nowMs();
         this.items
@@ -85,7 +85,7 @@
             .forEach(tracked => this.returnItem(tracked));
     }
 
-    /** Stops all items and gives them back, with what was produced. */
+    /** Stops all items and returns them with their output so far. */
     leave(): void {
         this.stopOrReturn(this.items, "leaving");
     }
@@ -199,7 +199,7 @@
         this.finish(tracked, outcome);
     }
 
-    /** Keeps what a cancelled stream had produced. */
+    /** Keeps the output of a cancelled stream. Returns the item unless it was preempted. */
     private handleStopped(tracked: TrackedItem, run: BatchRun, generation: GenerationRun | undefined): void {
         const resumeFrom = generation?.resumePoint() ?? tracked.resumeFrom;
         const producedTokens = generation?.tokenCount ?? 0;
@@ -237,9 +237,9 @@
     streams: EngineStreams;
     failureClassifier: FailureClassifier;
     reporter: ResultReporter;
-    /** Called when an item has left the engine. */
+    /** Called when the stream of an item has ended. */
     onChange: () => void;
-    /** Called when a failure speaks against the engine. */
+    /** Called when a failure is blamed on the instance. */
     onInstanceBlamed: () => void;
 }
 
--- a/admission/gate/src/batchKey.ts
+++ b/admission/gate/src/batchKey.ts
@@ -1,4 +1,4 @@
 import type { Brand } from "@knapweedwood/core.ids/brand";
 
-/** Names one attempt at a batch item. */
+/** Identifies one attempt at a batch item. */
 export type BatchKey = Brand<string, "BatchKey">;
--- a/admission/gate/src/batchOffPolicy.ts
+++ b/admission/gate/src/batchOffPolicy.ts
@@ -3,7 +3,7 @@
 import type { GateDecision } from "./gateDecision.js";
 import type { GateState } from "./gateState.js";
 
-/** Online work only. A baseline. */
+/** Admits online work only. Baseline for comparisons. */
 export class BatchOffPolicy implements AdmissionPolicy {
     decide(state: GateState): GateDecision {
         return {
--- a/admission/gate/src/batchPuller.ts
+++ b/admission/gate/src/batchPuller.ts
@@ -9,13 +9,13 @@
 const ENGINE_FAILURE_PAUSE_MS = 1000;
 const MAX_ITEMS_PER_PULL = 64;
 
-/** Pulls batch items, one pull at a time; pauses longer and longer while there are none to run. */
+/** Pulls batch items, one pull at a time. Backs off exponentially while there are no items to run. */
 export class BatchPuller {
     private readonly opts: {
         clock: Clock;
         source: BatchSource;
         logger: Logger;
-        /** Takes the items in. @returns how many of them can run */
+        /** Accepts the items. @returns how many of them can run */
         onItems: (items: BatchItem[]) => number;
     };
     private isPulling = false;
@@ -26,14 +26,14 @@
         this.opts = opts;
     }
 
-    /** Asks for `count` items, unless a pull is under way or a pause is on. */
+    /** Pulls up to `count` items, unless a pull is in progress or pulling is paused. */
     requestItems(count: number): void {
         if (count > 0 && !this.isPulling && this.opts.clock.nowMs() >= this.notBeforeMs) {
             void this.pull(Math.min(count, MAX_ITEMS_PER_PULL));
         }
     }
 
-    /** Pulls nothing for a while, because the engine is in trouble. */
+    /** Pauses pulling for `ENGINE_FAILURE_PAUSE_MS`, because the engine is failing. */
     pause(): void {
         this.notBeforeMs = this.opts.clock.nowMs() + ENGINE_FAILURE_PAUSE_MS;
     }
@@ -41,7 +41,7 @@
     private async pull(count: number): Promise<void> {
         this.isPulling = true;
         const items = await this.opts.source.pull(count).catch((thrown: unknown) => {
-            this.opts.logger.debug("gate.pull-failed", { code: toKnapweedError(thrown).code });
+            this.opts.logger.debug("gate-pull-failed", { code: toKnapweedError(thrown).code });
             return [];
         });
         const runnableItems = this.opts.onItems(items);
--- a/admission/gate/src/batchRun.ts
+++ b/admission/gate/src/batchRun.ts
@@ -1,7 +1,7 @@
 import type { ActiveStream } from "./activeStream.js";
 import type { StopReason } from "./stopReason.js";
 
-/** The stream of a batch item that runs. */
+/** The stream of a running batch item. */
 export interface BatchRun {
     abort: AbortController;
     stream: ActiveStream;
--- a/admission/gate/src/batchStateOf.ts
+++ b/admission/gate/src/batchStateOf.ts
@@ -2,7 +2,7 @@
 import type { GateState } from "./gateState.js";
 import type { TrackedItem } from "./trackedItem.js";
 
-/** The batch items of a gate as its policy sees them. Streams that are being cancelled are in neither list. */
+/** Returns the batch part of the policy's input. Items whose streams are being cancelled are in neither list. */
 export function batchStateOf(items: TrackedItem[], streams: EngineStreams): GateState["batch"] {
     return {
         running: items.flatMap(({ key, item, size, run }) =>
--- a/admission/gate/src/batchStepLimitMs.ts
+++ b/admission/gate/src/batchStepLimitMs.ts
@@ -1,6 +1,6 @@
 import type { GateState } from "./gateState.js";
 
-/** The step time up to which batch work fills a step. */
+/** Returns the step duration up to which batch work may fill a step, in milliseconds. */
 export function batchStepLimitMs(state: GateState): number {
     const { costs, objective } = state;
     const floorMs = costs.fixedMs + costs.perSequenceMs;
--- a/admission/gate/src/cancelledJobs.ts
+++ b/admission/gate/src/cancelledJobs.ts
@@ -2,7 +2,7 @@
 
 const MAX_JOB_IDS = 1000;
 
-/** The jobs that were cancelled of late, so that items still on their way are not run. */
+/** Recently cancelled jobs. Items of such jobs that are still in transit are not run. */
 export class CancelledJobs {
     private readonly jobIds = new Set<JobId>();
 
--- a/admission/gate/src/countFittingOnlineCalls.ts
+++ b/admission/gate/src/countFittingOnlineCalls.ts
@@ -1,6 +1,6 @@
 import type { GateState } from "./gateState.js";
 
-/** How many waiting online calls the engine has room for when no batch work runs. */
+/** Returns how many waiting online calls would fit into the engine if no batch work ran. */
 export function countFittingOnlineCalls(state: GateState): number {
     const { costs, limits, objective, online } = state;
     const decodeSlots = (objective.tokenGapObjectiveMs - costs.fixedMs) / Math.max(costs.perSequenceMs, Number.EPSILON);
--- a/admission/gate/src/createAdmissionPolicy.ts
+++ b/admission/gate/src/createAdmissionPolicy.ts
@@ -9,7 +9,7 @@
     "batch-off": BatchOffPolicy,
 };
 
-/** The admission policy of a name. */
+/** Creates the admission policy with the given name. */
 export function createAdmissionPolicy(name: keyof typeof POLICIES): AdmissionPolicy {
     return new POLICIES[name]();
 }
--- a/admission/gate/src/embeddingRunner.ts
+++ b/admission/gate/src/embeddingRunner.ts
@@ -7,7 +7,7 @@
 const OK = 200;
 const NOT_FOUND = 404;
 
-/** Runs embedding items at a model engine. */
+/** Runs embedding items on a model engine. Throws `ENDPOINT_UNKNOWN` for items of other endpoints. */
 export class EmbeddingRunner implements BatchItemRunner {
     private readonly engine: ModelEngine;
 
@@ -17,7 +17,7 @@
 
     async run(item: BatchItem, opts: { signal: AbortSignal; }): Promise<{ statusCode: number; body: JsonObject; }> {
         if (item.endpoint !== "/v1/embeddings") {
-            throw new KnapweedError("ENDPOINT_UNKNOWN", `A model engine doesn't offer ${item.endpoint}`, {
+            throw new KnapweedError("ENDPOINT_UNKNOWN", `The model engine does not support ${item.endpoint}`, {
                 outcome: "answered",
                 statusCode: NOT_FOUND,
             });
--- a/admission/gate/src/engineLoadPoller.ts
+++ b/admission/gate/src/engineLoadPoller.ts
@@ -4,13 +4,16 @@
 import type { GateState } from "./gateState.js";
 
 const POLL_MS = 500;
-/** How old the engine's report may be. */
+/** Maximum age of the engine's load report. */
 const MAX_REPORT_AGE_MS = 2000;
-/** Counts within this time are kept as their highest. */
+/** Only the highest of the counts recorded within this time is kept. */
 const COUNT_RESOLUTION_MS = 100;
 const DEFAULT_LIMITS: GateState["limits"] = { maxSequences: 8, kvTokens: 16_384, prefillTokensPerStep: 512 };
 
-/** What the engine's lagging report adds to the gate's own counts: its limits, and sequences that came another way. */
+/**
+ * Polls the engine's load report. The report lags, but contains data that the gate can't count itself: the engine's
+ * limits, and the sequences that did not come through the gate.
+ */
 export class EngineLoadPoller {
     private readonly clock: Clock;
     private readonly engine: ModelEngine;
@@ -25,6 +28,7 @@
         this.ownSequences = opts.ownSequences;
     }
 
+    /** Limits from the latest report; defaults before the first one. */
     get limits(): GateState["limits"] {
         return this.report === undefined ? DEFAULT_LIMITS : {
             maxSequences: this.report.maxSequences,
@@ -33,14 +37,14 @@
         };
     }
 
-    /** Sequences beyond the most that this gate had in the engine while the report may have been made. */
+    /** Reported sequences beyond the maximum that this gate had in the engine while the report may have been made. */
     get externalSequences(): number {
         const reported = (this.report?.runningSequences ?? 0) + (this.report?.waitingSequences ?? 0);
         const own = this.recentCounts.reduce((most, { count }) => Math.max(most, count), this.ownSequences());
         return Math.max(0, reported - own);
     }
 
-    /** Notes that the number of this gate's sequences has changed. */
+    /** Records the current number of this gate's sequences. */
     recordOwnSequences(): void {
         const nowMs = this.clock.nowMs();
         const last = this.recentCounts.at(-1);
@@ -53,7 +57,7 @@
         this.recentCounts.push({ atMs: nowMs, count: this.ownSequences() });
     }
 
-    /** Reads the report now and then from now on. */
+    /** Starts polling the report. */
     start(): void {
         void this.poll();
     }
--- a/admission/gate/src/engineProbe.ts
+++ b/admission/gate/src/engineProbe.ts
@@ -6,7 +6,7 @@
 const TIMEOUT_MS = 5000;
 const FIRST_SERVER_ERROR = 500;
 
-/** Tells, by a request of one token, whether an engine still serves a model while items keep failing at it. */
+/** Checks with a one-token request whether an engine still serves a model while items keep failing on it. */
 export class EngineProbe {
     private readonly engine: ModelEngine;
     private readonly clock: Clock;
@@ -16,7 +16,7 @@
         this.clock = opts.clock;
     }
 
-    /** Whether the engine answers a harmless request; a refusal of the request is an answer too. */
+    /** Returns whether the engine responds to a harmless request. Rejections with a status below 500 count too. */
     async isServing(model: unknown): Promise<boolean> {
         const timeout = new AbortController();
         const timer = this.clock.setTimer(TIMEOUT_MS, () => timeout.abort());
--- a/admission/gate/src/engineStreams.ts
+++ b/admission/gate/src/engineStreams.ts
@@ -9,7 +9,7 @@
 
 const INITIAL_COSTS: StepCosts = { fixedMs: 10, perSequenceMs: 0.5, perPrefillTokenMs: 0.05 };
 
-/** The requests that the engine works on, and what their tokens tell of its steps. */
+/** Tracks the requests in the engine and estimates its step costs from the arrival times of their tokens. */
 export class EngineStreams {
     private readonly clock: Clock;
     private readonly estimator: WorkEstimator;
@@ -38,16 +38,17 @@
         return this.model.costs;
     }
 
-    /** Mean share by which predictions of step times are off. */
+    /** Mean absolute relative error of recent step duration predictions. */
     get predictionError(): number {
         return this.model.relativeError;
     }
 
-    /** How many there are. */
+    /** Number of open streams. */
     get count(): number {
         return this.active.size;
     }
 
+    /** Share of recent online token gaps that batch work stretched beyond the objective, in [0, 1]. */
     get stretchedGapShare(): number {
         return this.observer.stretchedGapShare;
     }
@@ -62,11 +63,12 @@
         this.active.delete(stream);
     }
 
-    /** Notes that a stream was cancelled; it stays open until the engine has let it go. */
+    /** Records that a stream was cancelled. It stays open until the engine has released it. */
     streamCancelled(stream: ActiveStream): void {
         this.observer.streamCancelled(stream);
     }
 
+    /** Records the arrival of a token. */
     tokenArrived(stream: ActiveStream, request: GenerateRequest): void {
         this.observer.tokenArrived(stream, this.clock.nowMs());
         if (!stream.hasFirstToken) {
@@ -76,7 +78,7 @@
         }
     }
 
-    /** Whether no step can have taken the stream in yet. */
+    /** Whether no step can have included the stream yet. */
     isPending(stream: ActiveStream): boolean {
         return !stream.hasFirstToken && stream.startedAtMs >= (this.observer.lastStepEndMs ?? 0);
     }
--- a/admission/gate/src/failureClassifier.ts
+++ b/admission/gate/src/failureClassifier.ts
@@ -1,31 +1,35 @@
 import type { BatchResult } from "@knapweedwood/batch.items/batchResult";
 import type { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 
-/** So many failures in a row, with no other request begun between, speak against the instance. */
+/** The instance is suspected after this many consecutive failures without another request that began in between. */
 const SUSPECT_FAILURE_COUNT = 3;
 
 type FailedOutcome = Extract<BatchResult["outcome"], { kind: "failed" | "rejected"; }>;
 
-/** Judges whether a failed attempt speaks against the item or against the instance. */
+/** Decides whether a failed attempt is blamed on the item or on the instance. */
 export class FailureClassifier {
     private consecutiveFailures = 0;
 
-    /** Notes that the engine gave a request its first token. */
+    /** Records that the engine produced the first token of a request, or passed a probe. */
     requestStarted(): void {
         this.consecutiveFailures = 0;
     }
 
-    /** Notes that an attempt failed, as soon as it does. */
+    /** Records a failed attempt. Called as soon as it fails. */
     attemptFailed(): void {
         this.consecutiveFailures += 1;
     }
 
-    /** Whether so many attempts have failed in a row that the instance itself may be at fault. */
+    /** Whether enough consecutive attempts have failed that the instance itself may be at fault. */
     get isInstanceSuspect(): boolean {
         return this.consecutiveFailures >= SUSPECT_FAILURE_COUNT;
     }
 
-    /** @param isEngineReachable what a probe since the failure has found */
+    /**
+     * Classifies the error of a failed attempt.
+     *
+     * @param isEngineReachable whether the engine reported its load after the failure
+     */
     classify(error: KnapweedError, isEngineReachable: boolean): FailedOutcome {
         const { code, message, statusCode } = error;
         if (statusCode !== undefined && error.outcome === "answered") {
--- a/admission/gate/src/firstComeFirstServedPolicy.ts
+++ b/admission/gate/src/firstComeFirstServedPolicy.ts
@@ -2,7 +2,7 @@
 import type { GateDecision } from "./gateDecision.js";
 import type { GateState } from "./gateState.js";
 
-/** Keeps the engine full of batch work and lets online calls queue inside it. A baseline. */
+/** Fills the engine with batch work and lets online calls queue inside it. Baseline for comparisons. */
 export class FirstComeFirstServedPolicy implements AdmissionPolicy {
     decide(state: GateState): GateDecision {
         const { batch, limits, online } = state;
--- a/admission/gate/src/gate.ts
+++ b/admission/gate/src/gate.ts
@@ -32,7 +32,7 @@
 const DEFAULT_MAX_ONLINE_WAITING = 256;
 const DEFAULT_OBJECTIVE: GateObjective = { tokenGapObjectiveMs: 50, batchBalance: 0.9 };
 
-/** The one gate in front of a model engine: online calls first, batch items in what is left. */
+/** The only gate in front of a model engine. Admits online calls first; batch items use the remaining capacity. */
 export class Gate {
     private readonly opts: GateOptions;
     private readonly clock: Clock;
@@ -83,24 +83,27 @@
         });
     }
 
-    /** Starts the batch loop and the reading of the engine's load. */
+    /** Starts the decision loop and the polling of the engine's load. */
     start(): void {
         this.loadPoller.start();
         this.tick();
     }
 
     /**
-     * Runs an online call. Throws a KnapweedError with outcome `not-run` where it refuses before the engine began:
-     * `GATE_OVERLOADED`, `GATE_DEADLINE` or `GATE_LEAVING`, with `retryAfterMs`.
+     * Runs an online call. Throws a KnapweedError with outcome `not-run` when the call is rejected before the engine
+     * began: `GATE_OVERLOADED` or `GATE_DEADLINE`, both with `retryAfterMs`, `GATE_LEAVING`, or `CANCELLED`.
      *
-     * @param opts `deadlineMs` is when the call is due, by the gate's clock
+     * @param opts `deadlineMs` is the deadline of the call, in milliseconds on the gate's clock
      */
     async *runOnline(
         request: GenerateRequest,
         opts: { signal: AbortSignal; deadlineMs?: number; },
     ): AsyncGenerator<GenerateEvent> {
         if (this.isLeaving) {
-            throw new KnapweedError("GATE_LEAVING", "The upstream is leaving", { outcome: "not-run", statusCode: 503 });
+            throw new KnapweedError("GATE_LEAVING", "The upstream is leaving and accepts no new calls", {
+                outcome: "not-run",
+                statusCode: 503,
+            });
         }
         const stream = await this.admitOnline(request, opts);
         const startedAtMs = this.clock.nowMs();
@@ -117,6 +120,7 @@
         }
     }
 
+    /** Returns the current load. */
     load(): GateLoad {
         const items = this.batch?.items ?? [];
         const batchRunning = items.filter(tracked => tracked.run !== undefined).length;
@@ -137,17 +141,18 @@
         };
     }
 
-    /** Stops all items of a job at once; none of it runs here any more. */
+    /** Stops all items of a job at once. None of them runs here afterwards. */
     cancelJob(jobId: JobId): void {
         this.batch?.cancelJob(jobId);
     }
 
+    /** Replaces the objective; it applies from the next decision. */
     setObjective(objective: GateObjective): void {
         this.objective = objective;
         this.scheduleDecision();
     }
 
-    /** Refuses new online calls and gives all batch items back; resolves when their owners have them. */
+    /** Rejects new online calls and returns all batch items. Resolves when their owners have accepted them. */
     async leave(): Promise<void> {
         this.isLeaving = true;
         this.batch?.leave();
@@ -157,7 +162,7 @@
         await this.reporter?.whenIdle();
     }
 
-    /** Leaves, then lets the online calls in progress end. */
+    /** Leaves, waits for the online calls in progress, then stops. */
     async close(): Promise<void> {
         await this.leave();
         while (this.streams.count + this.online.waiting.length > 0) {
@@ -227,7 +232,7 @@
         this.ticker = this.clock.setTimer(TICK_MS, () => this.tick());
     }
 
-    /** Decides once for events that come together. */
+    /** Schedules one decision for all events that occur together. */
     private scheduleDecision(): void {
         this.pendingDecision ??= this.clock.setTimer(0, () => {
             this.pendingDecision = undefined;
--- a/admission/gate/src/gateDecision.ts
+++ b/admission/gate/src/gateDecision.ts
@@ -1,13 +1,13 @@
 import type { BatchKey } from "./batchKey.js";
 
-/** What a gate does next. */
+/** Next actions of a gate, as chosen by its admission policy. */
 export interface GateDecision {
-    /** How many of the waiting online calls enter the engine, oldest first. */
+    /** Number of waiting online calls to admit, oldest first. */
     admitOnline: number;
     /** Batch streams to cancel. */
     preempt: BatchKey[];
     /** Batch items to start, in order. */
     start: BatchKey[];
-    /** Batch items to have at hand, beyond those that run. */
+    /** Number of batch items to keep waiting at the gate, in addition to the running ones. */
     targetWaiting: number;
 }
--- a/admission/gate/src/gateGauges.ts
+++ b/admission/gate/src/gateGauges.ts
@@ -4,7 +4,7 @@
 
 const INTERVAL_MS = 1000;
 
-/** Sends the load of a gate, and what it has learned of its engine, as metrics once a second. */
+/** Sends the load of a gate and its step cost estimates as metrics, once a second. */
 export class GateGauges {
     private readonly metrics: Metrics;
     private readonly streams: EngineStreams;
@@ -15,7 +15,7 @@
         this.streams = opts.streams;
     }
 
-    /** Sends them, unless they were sent within the last second. */
+    /** Sends the gauges, unless they were sent within the last second. */
     send(nowMs: number, loadOf: () => GateLoad): void {
         if (nowMs - this.lastSentMs < INTERVAL_MS) {
             return;
--- a/admission/gate/src/gateLoad.ts
+++ b/admission/gate/src/gateLoad.ts
@@ -1,18 +1,18 @@
-/** Load of a gate, by its own counts. */
+/** Load of a gate, according to its own counts. */
 export interface GateLoad {
     onlineRunning: number;
     onlineQueued: number;
     batchRunning: number;
-    /** Batch items held here and not running. */
+    /** Batch items that wait at the gate. */
     batchQueued: number;
-    /** Prompt tokens of online calls that the engine has still to process. */
+    /** Prompt tokens of running online calls that the engine has not processed yet. */
     onlinePrefillTokens: number;
-    /** Predicted duration of the engine's next step. */
+    /** Predicted duration of the engine's next step, in milliseconds. */
     predictedStepMs: number;
-    /** Batch streams cancelled to make room, since the start. */
+    /** Number of batch streams preempted since the start. */
     preemptions: number;
-    /** Tokens of cancelled batch streams that were not kept for a resume, since the start. */
+    /** Tokens of cancelled batch streams that could not be kept for resuming, since the start. */
     discardedTokens: number;
-    /** Tokens that batch items have produced here, since the start. */
+    /** Tokens produced by batch items at this gate since the start. */
     batchTokens: number;
 }
--- a/admission/gate/src/gateObjective.ts
+++ b/admission/gate/src/gateObjective.ts
@@ -1,10 +1,10 @@
-/** What an operator asks of a gate. */
+/** Objective of a gate, set by the operator. */
 export interface GateObjective {
-    /** Step time that keeps the gap between tokens within the objective. */
+    /** Step duration that keeps the gap between tokens within the objective, in milliseconds. */
     tokenGapObjectiveMs: number;
     /**
-     * Share in [0, 1] of the step time beyond that of a single sequence that batch work may fill, up to the objective:
-     * 0 favours online latency, 1 batch throughput.
+     * Share of the range from the step duration of a single sequence to the objective that batch work may fill, in
+     * [0, 1]. 0 favours online latency, 1 favours batch throughput.
      */
     batchBalance: number;
 }
--- a/admission/gate/src/gateOptions.ts
+++ b/admission/gate/src/gateOptions.ts
@@ -13,13 +13,13 @@
     clock: Clock;
     logger: Logger;
     metrics: Metrics;
-    /** Online first where undefined. */
+    /** Online-first by default. */
     policy?: AdmissionPolicy;
-    /** Where batch items come from; no batch work where undefined. */
+    /** Source of batch items. Without one, the gate runs no batch work. */
     batchSource?: BatchSource;
-    /** Runs batch items that are not generations; embeddings only where undefined. */
+    /** Runs batch items that are not generations. By default, only embeddings are supported. */
     itemRunner?: BatchItemRunner;
     objective?: GateObjective;
-    /** Online calls that wait at most. */
+    /** Maximum number of waiting online calls. */
     maxOnlineWaiting?: number;
 }
--- a/admission/gate/src/gateState.ts
+++ b/admission/gate/src/gateState.ts
@@ -2,22 +2,22 @@
 import type { BatchKey } from "./batchKey.js";
 import type { GateObjective } from "./gateObjective.js";
 
-/** What a request asks of the engine. */
+/** Estimated resources that a request needs in the engine. */
 export interface WorkSize {
     /** Prompt tokens that are not expected in the prefix cache. */
     prefillTokens: number;
-    /** KV-cache memory that the request needs at most. */
+    /** Maximum KV-cache memory that the request needs, in tokens. */
     kvTokens: number;
 }
 
-/** A batch item that runs. */
+/** A running batch item. */
 export interface RunningBatchItem extends WorkSize {
     key: BatchKey;
     producedTokens: number;
     dueAtMs: number;
-    /** Whether the engine can't have taken it into a step yet. */
+    /** Whether no step of the engine can have included it yet. */
     isPending: boolean;
-    /** Whether the engine has begun its prefill and not ended it. */
+    /** Whether the engine has begun its prefill and not finished it. */
     isPrefilling: boolean;
 }
 
@@ -26,7 +26,7 @@
     key: BatchKey;
     dueAtMs: number;
     waitingSinceMs: number;
-    /** Whether an earlier stream of it was cancelled. */
+    /** Whether an earlier stream of it was cancelled after the first token. */
     isResumed: boolean;
 }
 
@@ -35,21 +35,21 @@
     waitingSinceMs: number;
 }
 
-/** All that an admission decision rests on. */
+/** Input of an admission decision. */
 export interface GateState {
     nowMs: number;
     objective: GateObjective;
     costs: StepCosts;
     limits: { maxSequences: number; kvTokens: number; prefillTokensPerStep: number; };
-    /** Sequences at the engine that did not come through this gate. */
+    /** Sequences in the engine that did not come through this gate. */
     externalSequences: number;
     online: {
         running: number;
         kvTokens: number;
-        /** Prompt tokens of running calls that the next steps have still to process. */
+        /** Prompt tokens of running calls that the engine has not processed yet. */
         prefillTokens: number;
         waiting: WaitingOnlineCall[];
-        /** Recent arrivals, per second. */
+        /** Recent arrival rate, in calls per second. */
         arrivalsPerSecond: number;
     };
     batch: {
--- a/admission/gate/src/generationRun.ts
+++ b/admission/gate/src/generationRun.ts
@@ -5,7 +5,7 @@
 import type { JsonObject } from "@knapweedwood/engines.model-engine/jsonObject";
 import type { ResumePoint } from "@knapweedwood/engines.model-engine/resumePoint";
 
-/** One stream of a batch generation, gathered into the answer. */
+/** Assembles the stream of one batch generation into a response. */
 export class GenerationRun {
     private readonly assembler: CompletionAssembler;
     private isTextOnly: boolean;
@@ -20,12 +20,12 @@
         this.isTextOnly &&= event.kind !== "chunk" || event.choice === undefined;
     }
 
-    /** The whole answer. */
+    /** Returns the complete response. */
     response(): JsonObject {
         return this.assembler.response();
     }
 
-    /** Where the generation can go on; undefined where nothing can be kept. */
+    /** Returns the point from which the generation can resume; undefined if no output can be kept. */
     resumePoint(): ResumePoint | undefined {
         const { produced } = this.assembler;
         return this.isTextOnly && produced.tokenCount > 0 ? produced : undefined;
--- a/admission/gate/src/onlineCall.ts
+++ b/admission/gate/src/onlineCall.ts
@@ -6,8 +6,8 @@
     size: WorkSize;
     arrivedAtMs: number;
     deadlineMs: number | undefined;
-    /** Lets the call into the engine. */
+    /** Admits the call to the engine. */
     admit(stream: ActiveStream): void;
-    /** Refuses the call, which has not run. */
+    /** Rejects the call, which has not run. */
     reject(thrown: unknown): void;
 }
--- a/admission/gate/src/onlineFirstPolicy.ts
+++ b/admission/gate/src/onlineFirstPolicy.ts
@@ -4,17 +4,17 @@
 import type { GateDecision } from "./gateDecision.js";
 import type { GateState, RunningBatchItem, WaitingBatchItem } from "./gateState.js";
 
-/** Items of due times closer than this count as equally urgent. */
+/** Due times are compared in buckets of this length. Items in one bucket are equally urgent. */
 const DUE_GRANULARITY_MS = 60_000;
-/** An item that has waited so long at the gate is started even where its prefill exceeds the room of a step. */
+/** After this wait at the gate, an item is started even if its prefill exceeds the capacity of a step. */
 const MAX_WAIT_MS = 5000;
-/** Items held ahead of need, as a share of those that run. */
+/** Items kept waiting in advance, as a share of the running ones. */
 const PREFETCH_SHARE = 0.25;
 const MIN_PREFETCHED = 2;
 
 /**
- * Online work enters at once; batch work fills what the next step has left, and leaves it again as soon as online work
- * needs the room.
+ * Admits online work at once. Batch work fills the remaining capacity of the next step, and is preempted as soon as
+ * online work needs the capacity.
  */
 export class OnlineFirstPolicy implements AdmissionPolicy {
     decide(state: GateState): GateDecision {
@@ -59,7 +59,7 @@
     }
 }
 
-/** Items that no step has taken in yet cost nothing to cancel; else those with the least progress cost least. */
+/** Sorts pending items first, as they cost nothing to cancel, then those with the least progress. */
 function compareCancellationCost(left: RunningBatchItem, right: RunningBatchItem): number {
     return Number(right.isPending) - Number(left.isPending) || left.producedTokens - right.producedTokens;
 }
--- a/admission/gate/src/onlineQueue.ts
+++ b/admission/gate/src/onlineQueue.ts
@@ -8,7 +8,7 @@
 const DURATION_SMOOTHING = 0.1;
 const INITIAL_DURATION_MS = 1000;
 
-/** Online calls that wait for room in the engine: bounded, first come first served, refused where the deadline can't be met. */
+/** Bounded first-in, first-out queue of online calls. Rejects calls whose deadlines can't be met. */
 export class OnlineQueue {
     private readonly clock: Clock;
     private readonly maxWaiting: number;
@@ -26,8 +26,8 @@
     }
 
     /**
-     * Queues a call. The promise resolves with its stream when it is admitted; it rejects, always as not run, when it is refused or
-     * cancelled.
+     * Queues a call. Resolves with its stream when it is admitted. Rejects with outcome `not-run`: `GATE_OVERLOADED`
+     * when the queue is full, `GATE_DEADLINE` when the deadline can't be met, `CANCELLED` when the call is cancelled.
      */
     enqueue(opts: {
         size: WorkSize;
@@ -38,11 +38,13 @@
         const nowMs = this.clock.nowMs();
         const waitMs = this.expectedWaitMs(opts.running);
         if (this.calls.length >= this.maxWaiting) {
-            return Promise.reject(rejectionError("GATE_OVERLOADED", "The upstream and its queue are full", waitMs));
+            return Promise.reject(
+                rejectionError("GATE_OVERLOADED", "The upstream and its request queue are full", waitMs),
+            );
         }
         if (opts.deadlineMs !== undefined && nowMs + waitMs >= opts.deadlineMs) {
             return Promise.reject(
-                rejectionError("GATE_DEADLINE", "The call can't be answered before its deadline", waitMs),
+                rejectionError("GATE_DEADLINE", "The call can't be admitted before its deadline", waitMs),
             );
         }
         return new Promise((admit, reject) => {
@@ -51,14 +53,14 @@
         });
     }
 
-    /** Admits the oldest `count` calls, each with a stream that `open` makes. */
+    /** Admits the oldest `count` calls, each with a stream created by `open`. */
     admit(count: number, open: (size: WorkSize) => ActiveStream): void {
         const admitted = this.calls.slice(0, count);
         this.calls = this.calls.slice(count);
         admitted.forEach(call => call.admit(open(call.size)));
     }
 
-    /** Notes how long a call was in the engine. */
+    /** Records how long a call was in the engine, in milliseconds. */
     recordDuration(durationMs: number): void {
         this.meanDurationMs += DURATION_SMOOTHING * (durationMs - this.meanDurationMs);
     }
@@ -70,7 +72,7 @@
         };
         const onAbort = () =>
             removeAndReject(
-                new KnapweedError("CANCELLED", "The call was cancelled before it ran", { outcome: "not-run" }),
+                new KnapweedError("CANCELLED", "The call was cancelled before it was admitted", { outcome: "not-run" }),
             );
         const timer = call.deadlineMs === undefined
             ? undefined
@@ -80,7 +82,7 @@
                     removeAndReject(
                         rejectionError(
                             "GATE_DEADLINE",
-                            "The deadline passed before the call ran",
+                            "The deadline passed before the call was admitted",
                             this.expectedWaitMs(1),
                         ),
                     ),
@@ -105,7 +107,7 @@
         }
     }
 
-    /** Until a call that enters now is admitted, going by how fast the running calls end. */
+    /** Expected wait of a call that is queued now, based on how fast running calls end, in milliseconds. */
     private expectedWaitMs(running: number): number {
         return this.calls.length * this.meanDurationMs / Math.max(1, running);
     }
--- a/admission/gate/src/prefixIndex.ts
+++ b/admission/gate/src/prefixIndex.ts
@@ -3,18 +3,18 @@
 const BLOCK_CHARACTERS = 64;
 const MAX_BLOCKS = 32_768;
 
-/** Approximate index of the prompt prefixes that an engine holds, from what was sent to it. */
+/** Approximate index of the prompt prefixes in an engine's cache, built from the prompts sent to it. */
 export class PrefixIndex {
     private readonly blocks = new Set<number>();
 
-    /** How many leading characters of a prompt are expected in the engine's cache. */
+    /** Returns the number of leading characters of a prompt that are expected in the engine's cache. */
     matchCharacters(prompt: string): number {
         const hashes = blockHashesOf(prompt);
         const miss = hashes.findIndex(hash => !this.blocks.has(hash));
         return (miss === -1 ? hashes.length : miss) * BLOCK_CHARACTERS;
     }
 
-    /** Notes that a prompt was processed. */
+    /** Records that a prompt was processed. */
     add(prompt: string): void {
         blockHashesOf(prompt).forEach(hash => {
             this.blocks.delete(hash);
--- a/admission/gate/src/resultReporter.ts
+++ b/admission/gate/src/resultReporter.ts
@@ -10,7 +10,7 @@
 const MAX_RETRY_MS = 5000;
 const MAX_RESULTS_PER_REPORT = 128;
 
-/** Reports results of batch items, several at a time, until an owner has taken them. */
+/** Reports results of batch items, several at a time, and retries until an owner has accepted them. */
 export class ResultReporter {
     private readonly clock: Clock;
     private readonly source: BatchSource;
@@ -24,13 +24,13 @@
         this.logger = opts.logger;
     }
 
-    /** Queues a result; each is reported once it is queued, in the order given. */
+    /** Queues a result. Results are reported in the order in which they were added. */
     add(result: BatchResult): void {
         this.results.push(result);
         this.flushing ??= this.flush();
     }
 
-    /** Resolves when all results that were added have been taken. */
+    /** Resolves when all added results have been accepted. */
     async whenIdle(): Promise<void> {
         while (this.flushing !== undefined) {
             await this.flushing;
@@ -52,7 +52,7 @@
                 return;
             }
             catch (thrown) {
-                this.logger.warn("gate.report-failed", { code: toKnapweedError(thrown).code, results: results.length });
+                this.logger.warn("gate-report-failed", { code: toKnapweedError(thrown).code, results: results.length });
                 await sleep(this.clock, retryMs);
             }
         }
--- a/admission/gate/src/stepObserver.ts
+++ b/admission/gate/src/stepObserver.ts
@@ -1,22 +1,22 @@
 import type { StepCostModel } from "@knapweedwood/admission.cost-model/stepCostModel";
 import type { ActiveStream } from "./activeStream.js";
 
-/** Tokens that arrive within this share of the fixed cost of a step belong to one step. */
+/** Tokens that arrive within this share of a step's fixed cost belong to the same step. */
 const SAME_STEP_SHARE = 0.4;
 const SHARE_SMOOTHING = 0.0005;
 
 interface ObservedStep {
     startMs: number;
     endMs: number;
-    /** The streams that the step gave a token, and whether it was their first. */
+    /** Streams that received a token from the step, and whether it was their first token. */
     streams: Map<ActiveStream, { isFirst: boolean; }>;
-    /** Streams that were cancelled while the step ran; it carried them all the same. */
+    /** Streams that were cancelled while the step ran. The step still included them. */
     cancelled: ActiveStream[];
 }
 
 /**
- * Finds the steps of the engine in the arrival times of tokens: all running streams get a token at the end of each
- * step.
+ * Detects the steps of the engine from the arrival times of tokens. All running streams receive a token at the end of
+ * each step.
  */
 export class StepObserver {
     private readonly model: StepCostModel;
@@ -33,17 +33,17 @@
         this.objectiveMs = opts.objectiveMs;
     }
 
-    /** End of the last step seen; undefined before the first. */
+    /** End of the last observed step, in milliseconds; undefined before the first. */
     get lastStepEndMs(): number | undefined {
         return this.current?.endMs;
     }
 
-    /** Share of recent online token gaps that batch work stretched beyond the objective. */
+    /** Share of recent online token gaps that batch work stretched beyond the objective, in [0, 1]. */
     get stretchedGapShare(): number {
         return this.stretchedShare;
     }
 
-    /** Notes that a token of a stream has arrived. */
+    /** Records the arrival of a token of a stream. */
     tokenArrived(stream: ActiveStream, nowMs: number): void {
         if (this.current === undefined || this.startsNewStep(this.current, stream, nowMs)) {
             this.finishCurrentStep();
@@ -59,7 +59,7 @@
         this.current.streams.set(stream, { isFirst: !stream.hasFirstToken });
     }
 
-    /** Notes that a stream was cancelled. */
+    /** Records that a stream was cancelled. */
     streamCancelled(stream: ActiveStream): void {
         if (this.current !== undefined && stream.startedAtMs < this.current.endMs) {
             this.cancelled.push(stream);
@@ -87,7 +87,7 @@
         this.recordStretch(current, durationMs);
     }
 
-    /** Whether a prefill took more than this step, so that its share of the step is not known. */
+    /** Whether a prefill spans several steps, so that its share of this step is unknown. */
     private hasMultiStepPrefill(steps: { previous: ObservedStep; current: ObservedStep; }): boolean {
         const { previous, current } = steps;
         return [...this.active].some(stream => !stream.hasFirstToken && stream.startedAtMs < previous.endMs)
--- a/admission/gate/src/stopReason.ts
+++ b/admission/gate/src/stopReason.ts
@@ -1,2 +1,2 @@
-/** Why the stream of a batch item was cancelled. */
+/** Reason for cancelling the stream of a batch item. */
 export type StopReason = "preempted" | "cancelled" | "leaving";
--- a/admission/gate/src/trackedItem.ts
+++ b/admission/gate/src/trackedItem.ts
@@ -4,7 +4,7 @@
 import type { BatchRun } from "./batchRun.js";
 import type { WorkSize } from "./gateState.js";
 
-/** A batch item at the gate. */
+/** A batch item at the gate, waiting or running. */
 export interface TrackedItem {
     key: BatchKey;
     item: BatchItem;
@@ -12,5 +12,6 @@
     resumeFrom: ResumePoint | undefined;
     isResumed: boolean;
     waitingSinceMs: number;
+    /** Undefined while the item waits. */
     run: BatchRun | undefined;
 }
--- a/admission/gate/src/workEstimator.ts
+++ b/admission/gate/src/workEstimator.ts
@@ -10,15 +10,15 @@
 /** Prompt tokens that are processed again when a cancelled stream is resumed from the cache. */
 const RESUMED_PREFILL_TOKENS = 8;
 
-/** Estimates what requests ask of the engine, and learns from what they turn out to have asked. */
+/** Estimates the resources that requests need in the engine, and adapts to the usage of finished requests. */
 export class WorkEstimator {
     private readonly prefixes = new PrefixIndex();
     private charactersPerToken = INITIAL_CHARACTERS_PER_TOKEN;
     private meanCompletionTokens = INITIAL_COMPLETION_TOKENS;
-    /** Share of the prefix tokens expected in the cache that were there. */
+    /** Share of the prefix tokens expected in the cache that were found there. */
     private cacheHitShare = 1;
 
-    /** The size of a request that has not run yet. */
+    /** Returns the estimated size of a request that has not run yet. */
     sizeOf(request: GenerateRequest): WorkSize {
         const prompt = promptTextOf(request.body);
         const promptTokens = prompt.length / this.charactersPerToken;
@@ -30,17 +30,17 @@
         };
     }
 
-    /** The size of a request whose stream was cancelled here a moment ago. */
+    /** Returns the size of a request whose stream was just cancelled here. Its prompt is still cached. */
     sizeOfResumed(size: WorkSize): WorkSize {
         return { ...size, prefillTokens: Math.min(size.prefillTokens, RESUMED_PREFILL_TOKENS) };
     }
 
-    /** Notes that the engine has processed the prompt of a request. */
+    /** Records that the engine has processed the prompt of a request. */
     recordProcessed(request: GenerateRequest): void {
         this.prefixes.add(promptTextOf(request.body));
     }
 
-    /** Learns from the token counts of a finished request; `size` is what was estimated. */
+    /** Updates the estimates with the token counts of a finished request. `size` is the earlier estimate. */
     recordUsage(request: GenerateRequest, size: WorkSize, usage: Usage): void {
         if (usage.promptTokens === 0) {
             return;
--- a/admission/gate/test/failureBlame.test.ts
+++ b/admission/gate/test/failureBlame.test.ts
@@ -47,7 +47,7 @@
     }
 }
 
-/** Reports its load, and fails every request. */
+/** Reports its load, but fails every request. */
 class BrokenEngine extends InMemoryEngine {
     // eslint-disable-next-line require-yield
     override async *generate(): AsyncGenerator<GenerateEvent> {
@@ -71,12 +71,12 @@
     return source.results.map(({ outcome }) => outcome.kind === "failed" ? outcome.blame : outcome.kind);
 }
 
-test("items that can't complete are blamed themselves, also where nothing else runs", async () => {
+test("items that can't complete are blamed, even if nothing else runs", async () => {
     const blames = await blamesOf("[never-completes]", clock => new InMemoryEngine({ clock }));
     assert.deepEqual(blames, Array.from({ length: ITEM_COUNT }, () => "item"));
 });
 
-test("an engine that fails everything is blamed once it has failed several items", async () => {
+test("an engine that fails every request is blamed after several failed items", async () => {
     const blames = await blamesOf("a lot", clock => new BrokenEngine({ clock }));
     assert.equal(blames.length, ITEM_COUNT);
     assert.ok(blames.filter(blame => blame === "item").length <= 2, blames.join());
--- a/admission/gate/test/gateFuzz.test.ts
+++ b/admission/gate/test/gateFuzz.test.ts
@@ -28,12 +28,12 @@
     loadLagMs: 400,
 };
 const OBJECTIVE = { tokenGapObjectiveMs: 16, batchBalance: 1 };
-/** Online calls that run at once within the objective. */
+/** Number of online calls that can run concurrently within the objective. */
 const ONLINE_SLOTS = 6;
 const LONGEST_CALL_TOKENS = 1500 / 4 + 30;
 const JOBS = ["job-a", "job-b", "job-c"] as JobId[];
 
-/** Knows which requests are in the engine. */
+/** Records which requests are in the engine. */
 class RecordingEngine extends InMemoryEngine {
     readonly active = new Set<string>();
     peakActive = 0;
@@ -60,7 +60,7 @@
     }
 }
 
-/** Hands out the items of three jobs, a few of which can't be completed, and keeps what is reported. */
+/** Hands out the items of three jobs, a few of which can't complete, and records the reported results. */
 class GeneratedSource implements BatchSource {
     readonly pulled = new Map<string, BatchItem>();
     readonly reported = new Map<string, BatchResult[]>();
@@ -77,7 +77,7 @@
     report(results: BatchResult[]): Promise<void> {
         if (this.failReports > 0) {
             this.failReports -= 1;
-            return Promise.reject(new Error("The owner is away"));
+            return Promise.reject(new Error("The owner is unavailable"));
         }
         results.forEach(result => {
             this.reported.set(keyOf(result), [...this.reported.get(keyOf(result)) ?? [], result]);
@@ -224,16 +224,16 @@
     private checkNow(): void {
         const load = this.gate.load();
         assert.ok(this.engine.peakActive <= STEP_MODEL.maxSequences, "a request had to wait inside the engine");
-        assert.ok(load.onlineQueued === 0 || load.onlineRunning > 0, "online waits while none runs");
+        assert.ok(load.onlineQueued === 0 || load.onlineRunning > 0, "online calls wait while none runs");
         if (load.onlineQueued > 0 && load.onlineRunning < ONLINE_SLOTS) {
-            assert.ok(this.isKvFull(), "online waits behind batch work");
+            assert.ok(this.isKvFull(), "online calls wait behind batch work");
         }
         this.cancelled.forEach(jobId =>
             assert.ok(![...this.engine.active].some(marker => marker.startsWith(`${jobId}#`)), `${jobId} still runs`)
         );
     }
 
-    /** Whether online calls alone fill the KV memory so far that a long one may have to wait. */
+    /** Whether online calls alone use so much KV memory that a long call may have to wait. */
     private isKvFull(): boolean {
         return this.engine.onlineKvTokens + LONGEST_CALL_TOKENS > STEP_MODEL.kvTokensLimit;
     }
@@ -257,7 +257,7 @@
     }
 }
 
-test("online never waits behind batch, each item is reported once, a cancelled job stops", async () => {
+test("online calls never wait behind batch work, each item is reported once, and a cancelled job stops", async () => {
     await fc.assert(
         fc.asyncProperty(fc.array(commands, { minLength: 5, maxLength: 60 }), async list => {
             const scenario = new Scenario();
@@ -272,7 +272,7 @@
     );
 });
 
-test("batch work goes on between online calls, and what is preempted is resumed", async () => {
+test("batch work continues between online calls, and preempted items are resumed", async () => {
     const scenario = new Scenario();
     scenario.gate.start();
     await scenario.clock.advance(500);
--- a/admission/gate/test/onlineFirstPolicy.test.ts
+++ b/admission/gate/test/onlineFirstPolicy.test.ts
@@ -56,7 +56,7 @@
 
 const call = { prefillTokens: 100, kvTokens: 200, waitingSinceMs: NOW_MS };
 
-test("an online call takes the place of the batch item that loses least", () => {
+test("an online call preempts the batch item with the least progress", () => {
     const running = Array.from({ length: 16 }, (_, index) => ({ producedTokens: 20 + index }));
     running[5] = { producedTokens: 1 };
     const decision = policy.decide(stateOf({ online: { waiting: [call] }, running }));
@@ -65,49 +65,49 @@
     assert.deepEqual(decision.start, []);
 });
 
-test("an item that no step has taken in yet gives way before any other", () => {
+test("an item that no step has included yet is preempted before any other", () => {
     const running: Partial<RunningBatchItem>[] = Array.from({ length: 16 }, () => ({ producedTokens: 1 }));
     running[9] = { producedTokens: 30, isPending: true, prefillTokens: 1 };
     const decision = policy.decide(stateOf({ online: { waiting: [call] }, running }));
     assert.equal(decision.preempt[0], "r9");
 });
 
-test("all batch work gives way to an online prefill of several steps", () => {
+test("an online prefill of several steps preempts all batch work", () => {
     const decision = policy.decide(stateOf({ online: { running: 1, prefillTokens: 900 }, running: [{}, {}, {}] }));
     assert.equal(decision.preempt.length, 3);
 });
 
-test("a batch prefill of several steps gives way to any online prefill", () => {
+test("any online prefill preempts a batch prefill of several steps", () => {
     const running = [{}, { isPrefilling: true, prefillTokens: 3000 }];
     const decision = policy.decide(stateOf({ online: { running: 1, prefillTokens: 30 }, running }));
     assert.deepEqual(decision.preempt, ["r1"]);
 });
 
-test("a batch prefill waits while it would stretch the step, a smaller one goes ahead", () => {
+test("a batch prefill waits while it would exceed the step limit, and a smaller one is started", () => {
     const waiting = [{ prefillTokens: 500 }, { prefillTokens: 40 }];
     const decision = policy.decide(stateOf({ online: { running: 6, prefillTokens: 200 }, waiting }));
     assert.deepEqual(decision.start, ["w1"]);
 });
 
-test("an item that never fits a step is started in the end, when no online prefill is near", () => {
+test("an item that never fits a step is eventually started, while no online prefill runs", () => {
     const waiting = [{ prefillTokens: 5000, waitingSinceMs: NOW_MS - 60_000 }];
     assert.deepEqual(policy.decide(stateOf({ waiting })).start, ["w0"]);
     const busy = stateOf({ waiting, online: { running: 1, prefillTokens: 60 } });
     assert.deepEqual(policy.decide(busy).start, []);
 });
 
-test("the earliest due item goes first, then one that was preempted", () => {
+test("the earliest due item starts first, then a preempted one", () => {
     const waiting = [{}, { isResumed: true, prefillTokens: 8 }, { dueAtMs: NOW_MS + 60_000 }];
     assert.deepEqual(policy.decide(stateOf({ waiting })).start, ["w2", "w1", "w0"]);
 });
 
-test("the balance bounds the step that batch work may fill", () => {
+test("the balance limits the step duration that batch work may fill", () => {
     const waiting = Array.from({ length: 16 }, () => ({ prefillTokens: 1 }));
     const startedAt = (balance: number) => policy.decide(stateOf({ waiting, balance })).start.length;
     assert.deepEqual([startedAt(0), startedAt(0.2), startedAt(1)], [0, 6, 16]);
 });
 
-test("at balance 0 one item at a time runs, and stays beside online calls", () => {
+test("at balance 0 one item runs at a time, and keeps running alongside online calls", () => {
     const waiting = [{ waitingSinceMs: NOW_MS - 60_000 }, { waitingSinceMs: NOW_MS - 60_000 }];
     const online = { running: 8 };
     assert.deepEqual(policy.decide(stateOf({ waiting, online, balance: 0 })).start, ["w0"]);
@@ -129,7 +129,7 @@
     balance: fc.double({ min: 0, max: 1, noNaN: true }),
 });
 
-test("what online calls get does not depend on batch work, and batch work never exceeds the room", () => {
+test("online admission does not depend on batch work, and batch work never exceeds the capacity", () => {
     fc.assert(
         fc.property(states, parts => {
             const state = stateOf(parts);
