--- a/admission/gate/src/onlineFirstPolicy.ts
+++ b/admission/gate/src/onlineFirstPolicy.ts
@@ -59,7 +59,7 @@
     }
 }
 
-/** Sorts pending items first, as they cost nothing to cancel, then those with the least progress. */
+/** Sorts by the cost of cancelling: none for pending items, otherwise growing with the progress of the item. */
 function compareCancellationCost(left: RunningBatchItem, right: RunningBatchItem): number {
     return Number(right.isPending) - Number(left.isPending) || left.producedTokens - right.producedTokens;
 }
