--- a/admission/gate/src/batchOffPolicy.ts
+++ b/admission/gate/src/batchOffPolicy.ts
@@ -1,5 +1,5 @@
 import type { AdmissionPolicy } from "./admissionPolicy.js";
-import { countFittingOnlineCalls } from "./countFittingOnlineCalls.js";
+import { fittingOnlineCalls } from "./fittingOnlineCalls.js";
 import type { GateDecision } from "./gateDecision.js";
 import type { GateState } from "./gateState.js";
 
@@ -7,7 +7,7 @@
 export class BatchOffPolicy implements AdmissionPolicy {
     decide(state: GateState): GateDecision {
         return {
-            admitOnline: countFittingOnlineCalls(state),
+            admitOnline: fittingOnlineCalls(state),
             preempt: state.batch.running.map(item => item.key),
             start: [],
             targetWaiting: 0,
--- a/admission/gate/src/countFittingOnlineCalls.ts
+++ b/admission/gate/src/fittingOnlineCalls.ts
@@ -1,7 +1,7 @@
 import type { GateState } from "./gateState.js";
 
 /** Returns how many waiting online calls would fit into the engine if no batch work ran. */
-export function countFittingOnlineCalls(state: GateState): number {
+export function fittingOnlineCalls(state: GateState): number {
     const { costs, limits, objective, online } = state;
     const decodeSlots = (objective.tokenGapObjectiveMs - costs.fixedMs) / Math.max(costs.perSequenceMs, Number.EPSILON);
     const slots = Math.floor(Math.min(limits.maxSequences - state.externalSequences, Math.max(1, decodeSlots)));
--- a/admission/gate/src/onlineFirstPolicy.ts
+++ b/admission/gate/src/onlineFirstPolicy.ts
@@ -1,6 +1,6 @@
 import type { AdmissionPolicy } from "./admissionPolicy.js";
 import { BatchCapacity } from "./batchCapacity.js";
-import { countFittingOnlineCalls } from "./countFittingOnlineCalls.js";
+import { fittingOnlineCalls } from "./fittingOnlineCalls.js";
 import type { GateDecision } from "./gateDecision.js";
 import type { GateState, RunningBatchItem, WaitingBatchItem } from "./gateState.js";
 
@@ -18,7 +18,7 @@
  */
 export class OnlineFirstPolicy implements AdmissionPolicy {
     decide(state: GateState): GateDecision {
-        const admitOnline = countFittingOnlineCalls(state);
+        const admitOnline = fittingOnlineCalls(state);
         const capacity = BatchCapacity.afterAdmitting(state, admitOnline);
         const preempted = this.choosePreempted(state, capacity);
         const started = preempted.length > 0 ? [] : this.chooseStarted(state, capacity);
--- a/admission/gate/src/onlineQueue.ts
+++ b/admission/gate/src/onlineQueue.ts
@@ -8,7 +8,10 @@
 const DURATION_SMOOTHING = 0.1;
 const INITIAL_DURATION_MS = 1000;
 
-/** Bounded FIFO queue of online calls that wait for free slots in the engine. Rejects calls with unmeetable deadlines. */
+/**
+ * Bounded first-in, first-out queue of online calls that wait for free slots in the engine. Rejects calls whose
+ * deadlines can't be met.
+ */
 export class OnlineQueue {
     private readonly clock: Clock;
     private readonly maxWaiting: number;
