--- a/daemons/entry/src/sharedRoles.ts
+++ b/daemons/entry/src/sharedRoles.ts
@@ -1,7 +1,7 @@
 import { ClaimService } from "@knapweedwood/batch.claims/claimService";
 import { BatchRole } from "@knapweedwood/batch.owner/batchRole";
 import type { SegmentStore } from "@knapweedwood/batch.segments/segmentStore";
-import { PlannerRole } from "@knapweedwood/placement.planner/plannerRole";
+import { PlannerTask } from "@knapweedwood/placement.planner/plannerTask";
 import { configuredServices } from "./configuredServices.js";
 import type { EntryParts } from "./entryParts.js";
 
@@ -9,7 +9,7 @@
 export class SharedRoles {
     readonly claims: ClaimService;
     private readonly batchRole: BatchRole;
-    private readonly planner: PlannerRole;
+    private readonly planner: PlannerTask;
 
     /** @param opts.address where this entry accepts links, as `host:port` */
     constructor(parts: EntryParts, opts: { segmentStore: SegmentStore; address: string; }) {
@@ -28,7 +28,7 @@
             teamWeight: teamId => configuration.current()?.team(teamId)?.weight ?? 1,
         });
         this.claims = new ClaimService({ ...shared, shardCount: settings.batch.partitionCount });
-        this.planner = new PlannerRole({
+        this.planner = new PlannerTask({
             ...parts,
             instances: () => watcher.current(),
             demands: () => [],
--- a/daemons/side/src/sideProcess.ts
+++ b/daemons/side/src/sideProcess.ts
@@ -16,7 +16,7 @@
 import { HttpModelEngine } from "@knapweedwood/engines.model-engine/httpModelEngine";
 import type { LinkEndpoint } from "@knapweedwood/links.calls/linkEndpoint";
 import type { PeerIdentity } from "@knapweedwood/links.calls/peerIdentity";
-import { ConvergerTask } from "@knapweedwood/placement.orders/convergerTask";
+import { ReconcilerTask } from "@knapweedwood/placement.orders/reconcilerTask";
 import { InstanceAnnouncer } from "@knapweedwood/routing.instance-watch/instanceAnnouncer";
 import { InstanceWatcher } from "@knapweedwood/routing.instance-watch/instanceWatcher";
 import { CacheChangeReporter } from "./cacheChangeReporter.js";
@@ -42,7 +42,7 @@
     private readonly plain: PlainUpstream | undefined;
     private readonly plainGate: PlainGate | undefined;
     private readonly gate: Gate | undefined;
-    private readonly converger: ConvergerTask | undefined;
+    private readonly reconciler: ReconcilerTask | undefined;
     private readonly monitor: UpstreamMonitor;
     private readonly handlers: CallHandlers;
     private readonly reporter: StatusReporter;
@@ -71,9 +71,9 @@
         this.engine = isEngine ? new HttpModelEngine({ baseUrl: settings.upstream.url }) : undefined;
         this.plain = isEngine ? undefined : new PlainUpstream({ url: settings.upstream.url });
         this.gate = this.engine === undefined ? undefined : this.createGate(this.engine);
-        this.converger = this.engine === undefined
+        this.reconciler = this.engine === undefined
             ? undefined
-            : new ConvergerTask({ engine: this.engine, clock, endpoint: this.endpoint });
+            : new ReconcilerTask({ engine: this.engine, clock, endpoint: this.endpoint });
         this.plainGate = this.plain === undefined ? undefined : this.createPlainGate(this.plain);
         this.monitor = new UpstreamMonitor({ engine: this.engine, plain: this.plain, clock });
         this.handlers = new CallHandlers({
@@ -104,7 +104,7 @@
         await this.configuration.start();
         this.gate?.start();
         this.plainGate?.start();
-        this.converger?.start();
+        this.reconciler?.start();
         this.reporter.start();
         this.cacheReporter?.start();
         this.announcer = this.createAnnouncer(address);
@@ -122,7 +122,7 @@
         await sleep(clock, LEAVE_PAUSE_MS);
         await this.gate?.leave();
         await this.plainGate?.stop();
-        await this.converger?.stop();
+        await this.reconciler?.stop();
         await this.drain(settings.shutdownGraceMs);
         await this.announcer?.stop();
         await this.reporter.stop();
@@ -147,7 +147,7 @@
         await this.monitor.stop();
         await this.gate?.close();
         await this.plainGate?.stop();
-        await this.converger?.stop();
+        await this.reconciler?.stop();
         await this.plain?.close();
     }
 
--- a/placement/orders/src/orderConverger.ts
+++ b/placement/orders/src/engineReconciler.ts
@@ -2,36 +2,36 @@
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 import type { EngineOrder } from "@knapweedwood/engines.model-engine/engineOrder";
 import type { ModelEngine } from "@knapweedwood/engines.model-engine/modelEngine";
-import { convergerChart } from "./convergerChart.js";
-import type { ConvergerEvent } from "./convergerEvent.js";
-import type { ConvergerState } from "./convergerState.js";
 import { isNewerPlan } from "./isNewerPlan.js";
 import { nextAction } from "./nextAction.js";
 import type { ReceivedPlan } from "./receivedPlan.js";
+import { reconcilerChart } from "./reconcilerChart.js";
+import type { ReconcilerEvent } from "./reconcilerEvent.js";
+import type { ReconcilerState } from "./reconcilerState.js";
 
 /** How long a plan may be acted upon after it was last confirmed. */
-const PLAN_CLAIM_MS = 10_000;
+const PLAN_VALIDITY_MS = 10_000;
 /** Time before the claim's end at which no further order is begun. */
-const CLAIM_MARGIN_MS = 3_000;
+const PLAN_VALIDITY_MARGIN_MS = 3_000;
 
 /**
  * Converges one engine on the newest plan received, one order at a time: compare, check the claim, order, compare.
  * The side is the only one that orders its engine, so that this is the guard where engines check no fencing number.
  */
-export class OrderConverger {
+export class EngineReconciler {
     private readonly engine: Pick<ModelEngine, "state" | "order">;
     private readonly clock: Clock;
     private plan: ReceivedPlan | undefined;
     private confirmedAtMs = 0;
-    private action: { plan: ReceivedPlan; action: EngineOrder["action"]; } | undefined;
-    private currentState: ConvergerState = convergerChart.initial;
+    private pendingOrder: { plan: ReceivedPlan; action: EngineOrder["action"]; } | undefined;
+    private currentState: ReconcilerState = reconcilerChart.initial;
 
     constructor(opts: { engine: Pick<ModelEngine, "state" | "order">; clock: Clock; }) {
         this.engine = opts.engine;
         this.clock = opts.clock;
     }
 
-    get state(): ConvergerState {
+    get state(): ReconcilerState {
         return this.currentState;
     }
 
@@ -42,25 +42,25 @@
      * @returns whether the plan is the newest; an older one is ignored
      */
     receive(plan: ReceivedPlan, validAtMs: number): boolean {
-        const isSame = plan.fencingNumber === this.plan?.fencingNumber && plan.planNumber === this.plan.planNumber;
-        if (!isSame && !isNewerPlan(plan, this.plan)) {
+        const isSamePlan = plan.fencingNumber === this.plan?.fencingNumber && plan.planNumber === this.plan.planNumber;
+        if (!isSamePlan && !isNewerPlan(plan, this.plan)) {
             return false;
         }
-        if (isSame) {
+        if (isSamePlan) {
             this.confirmedAtMs = Math.max(this.confirmedAtMs, validAtMs);
             return true;
         }
         this.plan = plan;
         this.confirmedAtMs = validAtMs;
-        if (convergerChart.accepts(this.currentState, "PLAN")) {
+        if (reconcilerChart.accepts(this.currentState, "PLAN")) {
             this.apply("PLAN");
         }
         return true;
     }
 
     /** Compares again what is with what is wanted; called at intervals, for engines restart or are changed by hand. */
-    sweep(): void {
-        if (convergerChart.accepts(this.currentState, "SWEEP")) {
+    recheck(): void {
+        if (reconcilerChart.accepts(this.currentState, "SWEEP")) {
             this.apply("SWEEP");
         }
         else if (this.currentState === "waiting" && this.plan !== undefined) {
@@ -75,7 +75,7 @@
                 this.apply(await this.compare());
                 return true;
             case "claiming":
-                this.apply(this.claim());
+                this.apply(this.checkPlanValidity());
                 return true;
             case "ordering":
                 this.apply(await this.order());
@@ -92,14 +92,14 @@
         }
     }
 
-    private async compare(): Promise<ConvergerEvent> {
+    private async compare(): Promise<ReconcilerEvent> {
         const plan = this.plan;
         if (plan === undefined) {
             return "FAILED";
         }
         try {
             const action = nextAction(await this.engine.state(), plan.upstream);
-            this.action = action === undefined ? undefined : { plan, action };
+            this.pendingOrder = action === undefined ? undefined : { plan, action };
             return action === undefined ? "EQUAL" : "DIFFERENT";
         }
         catch {
@@ -108,20 +108,20 @@
     }
 
     /** The order must follow from the newest plan, and the plan must have been confirmed lately. */
-    private claim(): ConvergerEvent {
+    private checkPlanValidity(): ReconcilerEvent {
         return this.mayOrder() ? "CLAIMED" : "STALE";
     }
 
     private mayOrder(): boolean {
-        const isInTime = this.clock.nowMs() < this.confirmedAtMs + PLAN_CLAIM_MS - CLAIM_MARGIN_MS;
-        return this.action?.plan === this.plan && isInTime;
+        const isPlanValid = this.clock.nowMs() < this.confirmedAtMs + PLAN_VALIDITY_MS - PLAN_VALIDITY_MARGIN_MS;
+        return this.pendingOrder?.plan === this.plan && isPlanValid;
     }
 
-    private async order(): Promise<ConvergerEvent> {
-        if (this.action === undefined || !this.mayOrder()) {
+    private async order(): Promise<ReconcilerEvent> {
+        if (this.pendingOrder === undefined || !this.mayOrder()) {
             return "REFUSED";
         }
-        const { plan, action } = this.action;
+        const { plan, action } = this.pendingOrder;
         try {
             await this.engine.order({ fencingNumber: plan.fencingNumber, action });
             return "ORDERED";
@@ -133,7 +133,7 @@
         }
     }
 
-    private apply(event: ConvergerEvent): void {
-        this.currentState = convergerChart.next(this.currentState, event);
+    private apply(event: ReconcilerEvent): void {
+        this.currentState = reconcilerChart.next(this.currentState, event);
     }
 }
--- a/placement/orders/src/nextAction.ts
+++ b/placement/orders/src/nextAction.ts
@@ -15,21 +15,21 @@
 }
 
 function unloadFailed(engine: EngineState, plan: UpstreamPlan): EngineOrder["action"] | undefined {
-    const failed = engine.models.find(held => held.state === "failed" && !wantsModel(plan, held));
+    const failed = engine.models.find(current => current.state === "failed" && !isDesiredModel(plan, current));
     return failed === undefined ? undefined : { kind: "unload-model", model: failed.model, version: failed.version };
 }
 
 function loadModel(engine: EngineState, plan: UpstreamPlan): EngineOrder["action"] | undefined {
-    const missing = plan.models.find(wanted =>
-        !engine.models.some(held => held.model === wanted.model && held.version === wanted.version)
+    const missing = plan.models.find(desired =>
+        !engine.models.some(current => current.model === desired.model && current.version === desired.version)
     );
     return missing === undefined ? undefined : { kind: "load-model", ...missing };
 }
 
 function loadAdapter(engine: EngineState, plan: UpstreamPlan): EngineOrder["action"] | undefined {
-    const hasReadyModel = engine.models.some(held => held.state === "ready" && wantsModel(plan, held));
-    const missing = plan.adapters.find(wanted =>
-        !engine.adapters.some(held => held.adapter === wanted.adapter && held.version === wanted.version)
+    const hasReadyModel = engine.models.some(current => current.state === "ready" && isDesiredModel(plan, current));
+    const missing = plan.adapters.find(desired =>
+        !engine.adapters.some(current => current.adapter === desired.adapter && current.version === desired.version)
     );
     return missing === undefined || !hasReadyModel ? undefined : { kind: "load-adapter", ...missing };
 }
@@ -39,23 +39,25 @@
 }
 
 function unloadModel(engine: EngineState, plan: UpstreamPlan): EngineOrder["action"] | undefined {
-    const surplus = engine.models.find(held => !wantsModel(plan, held));
+    const surplus = engine.models.find(current => !isDesiredModel(plan, current));
     return surplus === undefined ? undefined : { kind: "unload-model", model: surplus.model, version: surplus.version };
 }
 
 function unloadAdapter(engine: EngineState, plan: UpstreamPlan): EngineOrder["action"] | undefined {
-    const surplus = engine.adapters.find(held => !plan.adapters.some(wanted => wanted.adapter === held.adapter));
+    const surplus = engine.adapters.find(current =>
+        !plan.adapters.some(desired => desired.adapter === current.adapter)
+    );
     return surplus === undefined ? undefined : { kind: "unload-adapter", adapter: surplus.adapter };
 }
 
 function isReady(engine: EngineState, plan: UpstreamPlan): boolean {
-    return plan.models.every(wanted =>
-        engine.models.some(held =>
-            held.model === wanted.model && held.version === wanted.version && held.state === "ready"
+    return plan.models.every(desired =>
+        engine.models.some(current =>
+            current.model === desired.model && current.version === desired.version && current.state === "ready"
         )
     );
 }
 
-function wantsModel(plan: UpstreamPlan, held: EngineState["models"][number]): boolean {
-    return plan.models.some(wanted => wanted.model === held.model && wanted.version === held.version);
+function isDesiredModel(plan: UpstreamPlan, current: EngineState["models"][number]): boolean {
+    return plan.models.some(desired => desired.model === current.model && desired.version === current.version);
 }
--- a/placement/orders/src/convergerEvent.ts
+++ b/placement/orders/src/reconcilerEvent.ts
@@ -1,5 +1,5 @@
 /** Events of the chart in `charts/converger.json`. */
-export type ConvergerEvent =
+export type ReconcilerEvent =
     | "PLAN"
     | "SWEEP"
     | "DIFFERENT"
--- a/placement/orders/src/convergerTask.ts
+++ b/placement/orders/src/reconcilerTask.ts
@@ -4,27 +4,27 @@
 import type { ModelEngine } from "@knapweedwood/engines.model-engine/modelEngine";
 import type { LinkEndpoint } from "@knapweedwood/links.calls/linkEndpoint";
 import { exchangePlanCall } from "@knapweedwood/placement.planner/exchangePlanCall";
-import { OrderConverger } from "./orderConverger.js";
+import { EngineReconciler } from "./engineReconciler.js";
 
-const SWEEP_PERIOD_MS = 1_000;
+const RECHECK_INTERVAL_MS = 1_000;
 
 /** Receives plans at a side, and keeps its engine converged on the newest. */
-export class ConvergerTask {
+export class ReconcilerTask {
     private readonly engine: Pick<ModelEngine, "state" | "order">;
     private readonly clock: Clock;
-    private readonly converger: OrderConverger;
+    private readonly reconciler: EngineReconciler;
     private readonly stopped = new AbortController();
     private running: Promise<void> = Promise.resolve();
 
     constructor(opts: { engine: Pick<ModelEngine, "state" | "order">; clock: Clock; endpoint: LinkEndpoint; }) {
         this.engine = opts.engine;
         this.clock = opts.clock;
-        this.converger = new OrderConverger(opts);
-        const task = this as ConvergerTask;
+        this.reconciler = new EngineReconciler(opts);
+        const task = this as ReconcilerTask;
         opts.endpoint.handle(exchangePlanCall, async function*(request) {
             const { upstream, ...numbers } = request;
             if (upstream !== undefined) {
-                task.converger.receive({ ...numbers, upstream }, task.clock.nowMs());
+                task.reconciler.receive({ ...numbers, upstream }, task.clock.nowMs());
             }
             const engine = await task.engineState();
             yield engine === undefined ? {} : { engine };
@@ -43,11 +43,11 @@
 
     private async run(): Promise<void> {
         while (!this.stopped.signal.aborted) {
-            this.converger.sweep();
-            while (!this.stopped.signal.aborted && await this.converger.step()) {
+            this.reconciler.recheck();
+            while (!this.stopped.signal.aborted && await this.reconciler.step()) {
                 // Each step is one order or one comparison.
             }
-            await sleep(this.clock, SWEEP_PERIOD_MS, this.stopped.signal);
+            await sleep(this.clock, RECHECK_INTERVAL_MS, this.stopped.signal);
         }
     }
 
--- a/placement/orders/test/orderConverger.test.ts
+++ b/placement/orders/test/engineReconciler.test.ts
@@ -8,9 +8,9 @@
 import { LoadedModels } from "@knapweedwood/standins.engine/loadedModels";
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { convergerChart } from "../src/convergerChart.js";
-import { OrderConverger } from "../src/orderConverger.js";
+import { EngineReconciler } from "../src/engineReconciler.js";
 import type { ReceivedPlan } from "../src/receivedPlan.js";
+import { reconcilerChart } from "../src/reconcilerChart.js";
 
 const model = "demo" as ModelName;
 
@@ -60,9 +60,9 @@
     }
 }
 
-async function converge(engine: Engine, side: OrderConverger): Promise<void> {
+async function reconcile(engine: Engine, side: EngineReconciler): Promise<void> {
     for (let round = 0; round < 5; round += 1) {
-        side.sweep();
+        side.recheck();
         await side.run();
         await engine.clock.advance(1);
     }
@@ -101,7 +101,7 @@
 
 async function play(events: string[], checksFencing: boolean): Promise<void> {
     const engine = new Engine({ checksFencing });
-    const create = () => new OrderConverger({ engine, clock: engine.clock });
+    const create = () => new EngineReconciler({ engine, clock: engine.clock });
     const side = create();
     // A side process that was paused just before its order, while a new one took its place.
     const oldSide = create();
@@ -135,7 +135,7 @@
             engine.accepted.slice(before).forEach(order => assert.equal(order.fencingNumber, 2, events.join(" ")));
         }
     }
-    await converge(engine, side);
+    await reconcile(engine, side);
     assert.deepEqual(engine.versions(), ["new"], events.join(" "));
     if (checksFencing) {
         const numbers = engine.accepted.map(order => order.fencingNumber as number);
@@ -145,54 +145,54 @@
 
 test("no order is begun once the plan has not been confirmed for too long", async () => {
     const engine = new Engine({ checksFencing: false });
-    const side = new OrderConverger({ engine, clock: engine.clock });
+    const side = new EngineReconciler({ engine, clock: engine.clock });
     side.receive(plan(1, 1, "1"), engine.clock.nowMs());
     await side.step();
     await engine.clock.advance(8_000);
     await side.run();
     assert.deepEqual([engine.accepted, side.state], [[], "waiting"]);
     side.receive(plan(1, 1, "1"), engine.clock.nowMs());
-    await converge(engine, side);
+    await reconcile(engine, side);
     assert.deepEqual(engine.versions(), ["1"]);
 });
 
 test("an engine that was changed by hand is brought back", async () => {
     const engine = new Engine({ checksFencing: false });
-    const side = new OrderConverger({ engine, clock: engine.clock });
+    const side = new EngineReconciler({ engine, clock: engine.clock });
     side.receive(plan(1, 1, "1"), 0);
-    await converge(engine, side);
+    await reconcile(engine, side);
     engine.held.accept({
         fencingNumber: 0 as FencingNumber,
         action: { kind: "load-model", model, version: "by-hand" as ModelVersion },
     });
-    await converge(engine, side);
+    await reconcile(engine, side);
     assert.deepEqual(engine.versions(), ["1"]);
 });
 
 test("the old version is unloaded only when the new one is ready", async () => {
     const engine = new Engine({ checksFencing: true });
-    const side = new OrderConverger({ engine, clock: engine.clock });
+    const side = new EngineReconciler({ engine, clock: engine.clock });
     side.receive(plan(1, 1, "1"), 0);
-    await converge(engine, side);
+    await reconcile(engine, side);
     side.receive(plan(1, 2, "2"), 0);
     await side.run();
     assert.deepEqual(engine.versions(), ["1", "2"]);
-    await converge(engine, side);
+    await reconcile(engine, side);
     assert.deepEqual(engine.versions(), ["2"]);
 });
 
 test("every state of the chart can be reached and left", () => {
-    const reached = new Set([convergerChart.initial]);
-    const frontier = [convergerChart.initial];
+    const reached = new Set([reconcilerChart.initial]);
+    const frontier = [reconcilerChart.initial];
     for (let state = frontier.pop(); state !== undefined; state = frontier.pop()) {
         const from = state;
-        convergerChart.events(from).map(event => convergerChart.next(from, event)).forEach(next => {
+        reconcilerChart.events(from).map(event => reconcilerChart.next(from, event)).forEach(next => {
             if (!reached.has(next)) {
                 reached.add(next);
                 frontier.push(next);
             }
         });
     }
-    assert.deepEqual([...reached].sort(), convergerChart.states().sort());
-    convergerChart.states().forEach(state => assert.ok(convergerChart.events(state).length > 0));
+    assert.deepEqual([...reached].sort(), reconcilerChart.states().sort());
+    reconcilerChart.states().forEach(state => assert.ok(reconcilerChart.events(state).length > 0));
 });
--- a/placement/orders/test/plannerRole.test.ts
+++ b/placement/orders/test/plannerTask.test.ts
@@ -5,12 +5,12 @@
 import { WebSocketLinkEndpoint } from "@knapweedwood/links.endpoint/webSocketLinkEndpoint";
 import { silentLogger } from "@knapweedwood/observability.logs/silentLogger";
 import { silentMetrics } from "@knapweedwood/observability.metrics/silentMetrics";
-import { PlannerRole } from "@knapweedwood/placement.planner/plannerRole";
+import { PlannerTask } from "@knapweedwood/placement.planner/plannerTask";
 import { LoadedModels } from "@knapweedwood/standins.engine/loadedModels";
 import { MemoryKeyValueService } from "@knapweedwood/standins.key-value/memoryKeyValueService";
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { ConvergerTask } from "../src/convergerTask.js";
+import { ReconcilerTask } from "../src/reconcilerTask.js";
 
 const clock = new SystemClock();
 const ENGINES = 3;
@@ -54,7 +54,7 @@
             order: (order: Parameters<LoadedModels["accept"]>[0]) =>
                 held.accept(order) ? Promise.resolve() : Promise.reject(new Error("stale")),
         };
-        return new ConvergerTask({ engine, clock, endpoint: endpoints[n] as WebSocketLinkEndpoint });
+        return new ReconcilerTask({ engine, clock, endpoint: endpoints[n] as WebSocketLinkEndpoint });
     });
     const records = addresses.map((address, n) => ({
         ...(endpoints[n] as WebSocketLinkEndpoint).identity,
@@ -65,7 +65,7 @@
     }));
     const entry = createEndpoint("entry-0", "entry");
     const keyValue = new MemoryKeyValueService({ clock });
-    const planner = new PlannerRole({
+    const planner = new PlannerTask({
         keyValue,
         clock,
         configuration,
--- a/placement/planner/src/plannerRole.ts
+++ b/placement/planner/src/plannerTask.ts
@@ -8,7 +8,7 @@
 import { isDeepStrictEqual } from "node:util";
 import { exchangePlanCall } from "./exchangePlanCall.js";
 import { PlannerLease } from "./plannerLease.js";
-import type { PlannerRoleOptions } from "./plannerRoleOptions.js";
+import type { PlannerTaskOptions } from "./plannerTaskOptions.js";
 import { planRegion } from "./planRegion.js";
 import { PlanStore } from "./planStore.js";
 import type { RegionPlan } from "./regionPlan.js";
@@ -20,15 +20,15 @@
 const CANDIDATES = 3;
 
 /** Plans the region while this entry holds the planner's lease. */
-export class PlannerRole {
-    private readonly opts: PlannerRoleOptions;
+export class PlannerTask {
+    private readonly opts: PlannerTaskOptions;
     private readonly lease: PlannerLease;
     private readonly store: PlanStore;
     private readonly stopped = new AbortController();
     private running: Promise<void> = Promise.resolve();
     private plan: RegionPlan | undefined;
 
-    constructor(opts: PlannerRoleOptions) {
+    constructor(opts: PlannerTaskOptions) {
         this.opts = opts;
         const { instanceId, region } = opts.endpoint.identity;
         this.lease = new PlannerLease({ ...opts, instanceId, region });
--- a/placement/planner/src/plannerRoleOptions.ts
+++ b/placement/planner/src/plannerTaskOptions.ts
@@ -7,7 +7,7 @@
 import type { RoleDemand } from "./roleDemand.js";
 
 /** What a {@link PlannerRole} works with. */
-export interface PlannerRoleOptions {
+export interface PlannerTaskOptions {
     keyValue: KeyValueService;
     clock: Clock;
     configuration: ConfigurationSource;
