--- a/placement/planner/src/planModel.ts
+++ b/placement/planner/src/planModel.ts
@@ -19,14 +19,14 @@
 ): Map<InstanceId, ModelVersion[]> {
     const { model, chosen, members, budget } = opts;
     const readyCount = chosen.filter(upstream => isReady(upstream, model)).length;
-    const isRollout = readyCount === 0 && members.some(upstream => oldVersions(upstream, model).length > 0);
+    const isRollout = readyCount === 0 && members.some(upstream => oldReadyVersions(upstream, model).length > 0);
     const canary = isRollout ? findCanary(chosen, model) : undefined;
     const chosenIds = new Set(chosen.map(upstream => upstream.instanceId));
     return new Map(members.map(upstream => {
-        const old = oldVersions(upstream, model);
+        const oldVersions = oldReadyVersions(upstream, model);
         if (!chosenIds.has(upstream.instanceId)) {
             const kept = readyCount < chosen.length || upstream.state === "leaving"
-                ? heldVersions(upstream, model)
+                ? currentVersions(upstream, model)
                 : [];
             return [upstream.instanceId, kept];
         }
@@ -34,33 +34,36 @@
             return [upstream.instanceId, [model.version]];
         }
         const mayLoad = (canary === undefined || canary.instanceId === upstream.instanceId)
-            && (holds(upstream, model) || (upstream.engine !== undefined && budget.take(upstream.instanceId)));
-        return [upstream.instanceId, mayLoad ? [...old, model.version] : old];
+            && (hasVersion(upstream, model) || (upstream.engine !== undefined && budget.take(upstream.instanceId)));
+        return [upstream.instanceId, mayLoad ? [...oldVersions, model.version] : oldVersions];
     }));
 }
 
 function findCanary(chosen: readonly UpstreamObservation[], model: ModelDefinition): UpstreamObservation | undefined {
-    return chosen.find(upstream => holds(upstream, model)) ?? chosen.find(upstream => upstream.engine !== undefined);
+    return chosen.find(upstream => hasVersion(upstream, model))
+        ?? chosen.find(upstream => upstream.engine !== undefined);
 }
 
-function isReady(upstream: UpstreamObservation, wanted: ModelDefinition): boolean {
-    return upstream.engine?.models.some(held =>
-        held.model === wanted.name && held.version === wanted.version && held.state === "ready"
+function isReady(upstream: UpstreamObservation, model: ModelDefinition): boolean {
+    return upstream.engine?.models.some(current =>
+        current.model === model.name && current.version === model.version && current.state === "ready"
     ) === true;
 }
 
-function holds(upstream: UpstreamObservation, wanted: ModelDefinition): boolean {
-    return heldVersions(upstream, wanted).includes(wanted.version);
+function hasVersion(upstream: UpstreamObservation, model: ModelDefinition): boolean {
+    return currentVersions(upstream, model).includes(model.version);
 }
 
-function heldVersions(upstream: UpstreamObservation, wanted: ModelDefinition): ModelVersion[] {
+function currentVersions(upstream: UpstreamObservation, model: ModelDefinition): ModelVersion[] {
     return (upstream.engine?.models ?? [])
-        .filter(held => held.model === wanted.name)
-        .map(held => held.version);
+        .filter(current => current.model === model.name)
+        .map(current => current.version);
 }
 
-function oldVersions(upstream: UpstreamObservation, wanted: ModelDefinition): ModelVersion[] {
+function oldReadyVersions(upstream: UpstreamObservation, model: ModelDefinition): ModelVersion[] {
     return (upstream.engine?.models ?? [])
-        .filter(held => held.model === wanted.name && held.version !== wanted.version && held.state === "ready")
-        .map(held => held.version);
+        .filter(current =>
+            current.model === model.name && current.version !== model.version && current.state === "ready"
+        )
+        .map(current => current.version);
 }
--- a/placement/planner/src/planRoles.ts
+++ b/placement/planner/src/planRoles.ts
@@ -9,7 +9,7 @@
 const MIN_ROLE_HOLD_MS = 60_000;
 
 /** A role, and since when it is held. */
-export interface HeldRole {
+export interface RoleAssignment {
     role: UpstreamRole;
     roleSinceMs: number;
 }
@@ -26,15 +26,15 @@
         demand: RoleDemand | undefined;
         nowMs: number;
     },
-): Map<InstanceId, HeldRole> {
+): Map<InstanceId, RoleAssignment> {
     const { service, chosen, nowMs } = opts;
     const isSplit = service.roles.includes("prefill") && service.roles.includes("decode") && chosen.length > 1;
     if (!isSplit) {
         const role = service.roles.includes("any") ? "any" : service.roles[0] ?? "any";
-        return new Map(chosen.map(instanceId => [instanceId, held(opts, instanceId, role)]));
+        return new Map(chosen.map(instanceId => [instanceId, assignmentOf(opts, instanceId, role)]));
     }
     const roles = initialRoles(opts);
-    const change = roleChange(opts, roles);
+    const change = chooseRoleChange(opts, roles);
     if (change !== undefined) {
         roles.set(change.instanceId, { role: change.role, roleSinceMs: nowMs });
     }
@@ -43,12 +43,12 @@
 
 function initialRoles(
     opts: { chosen: readonly InstanceId[]; previous: ReadonlyMap<InstanceId, UpstreamPlan>; nowMs: number; },
-): Map<InstanceId, HeldRole> {
-    const roles = new Map<InstanceId, HeldRole>();
+): Map<InstanceId, RoleAssignment> {
+    const roles = new Map<InstanceId, RoleAssignment>();
     opts.chosen.forEach(instanceId => {
-        const before = opts.previous.get(instanceId);
-        if (before !== undefined && before.role !== "any") {
-            roles.set(instanceId, { role: before.role, roleSinceMs: before.roleSinceMs });
+        const previous = opts.previous.get(instanceId);
+        if (previous !== undefined && previous.role !== "any") {
+            roles.set(instanceId, { role: previous.role, roleSinceMs: previous.roleSinceMs });
         }
     });
     opts.chosen.filter(instanceId => !roles.has(instanceId)).forEach(instanceId => {
@@ -59,32 +59,32 @@
     return roles;
 }
 
-function roleChange(
+function chooseRoleChange(
     opts: { demand: RoleDemand | undefined; nowMs: number; },
-    roles: Map<InstanceId, HeldRole>,
+    roles: Map<InstanceId, RoleAssignment>,
 ): { instanceId: InstanceId; role: UpstreamRole; } | undefined {
     const inRole = (role: UpstreamRole) => [...roles.entries()].filter(([, other]) => other.role === role);
     const total = (opts.demand?.prefill ?? 0) + (opts.demand?.decode ?? 0);
-    const excess = total === 0
+    const prefillExcess = total === 0
         ? 0
         : inRole("prefill").length / roles.size - (opts.demand?.prefill ?? 0) / total;
-    const isMissing = inRole("prefill").length === 0 || inRole("decode").length === 0;
-    if (Math.abs(excess) <= HYSTERESIS_SHARE && !isMissing) {
+    const isRoleMissing = inRole("prefill").length === 0 || inRole("decode").length === 0;
+    if (Math.abs(prefillExcess) <= HYSTERESIS_SHARE && !isRoleMissing) {
         return undefined;
     }
-    const isPrefillAbundant = isMissing ? inRole("decode").length === 0 : excess > 0;
-    const abundant = inRole(isPrefillAbundant ? "prefill" : "decode");
-    const movable = abundant.find(([, other]) => isMissing || opts.nowMs - other.roleSinceMs >= MIN_ROLE_HOLD_MS);
-    return abundant.length <= 1 || movable === undefined
+    const isPrefillSurplus = isRoleMissing ? inRole("decode").length === 0 : prefillExcess > 0;
+    const surplus = inRole(isPrefillSurplus ? "prefill" : "decode");
+    const candidate = surplus.find(([, other]) => isRoleMissing || opts.nowMs - other.roleSinceMs >= MIN_ROLE_HOLD_MS);
+    return surplus.length <= 1 || candidate === undefined
         ? undefined
-        : { instanceId: movable[0], role: isPrefillAbundant ? "decode" : "prefill" };
+        : { instanceId: candidate[0], role: isPrefillSurplus ? "decode" : "prefill" };
 }
 
-function held(
+function assignmentOf(
     opts: { previous: ReadonlyMap<InstanceId, UpstreamPlan>; nowMs: number; },
     instanceId: InstanceId,
     role: UpstreamRole,
-): HeldRole {
-    const before = opts.previous.get(instanceId);
-    return { role, roleSinceMs: before?.role === role ? before.roleSinceMs : opts.nowMs };
+): RoleAssignment {
+    const previous = opts.previous.get(instanceId);
+    return { role, roleSinceMs: previous?.role === role ? previous.roleSinceMs : opts.nowMs };
 }
--- a/placement/planner/src/plannerLease.ts
+++ b/placement/planner/src/plannerLease.ts
@@ -19,7 +19,7 @@
     private readonly instanceId: InstanceId;
     private readonly key: string;
     private leaseId: string | undefined;
-    private number: FencingNumber | undefined;
+    private heldFencingNumber: FencingNumber | undefined;
     private validUntilMs = 0;
 
     constructor(opts: { keyValue: KeyValueService; clock: Clock; instanceId: InstanceId; region: RegionName; }) {
@@ -31,7 +31,7 @@
 
     /** Undefined while the lease is not held, or about to end. */
     get fencingNumber(): FencingNumber | undefined {
-        return this.clock.nowMs() < this.validUntilMs - LEASE_MARGIN_MS ? this.number : undefined;
+        return this.clock.nowMs() < this.validUntilMs - LEASE_MARGIN_MS ? this.heldFencingNumber : undefined;
     }
 
     /**
@@ -39,13 +39,13 @@
      *
      * @returns whether it is held
      */
-    async acquireOrKeep(): Promise<boolean> {
-        return this.leaseId === undefined ? this.acquire() : this.keep(this.leaseId);
+    async acquireOrRenew(): Promise<boolean> {
+        return this.leaseId === undefined ? this.acquire() : this.renew(this.leaseId);
     }
 
     async release(): Promise<void> {
         const leaseId = this.leaseId;
-        this.forget();
+        this.clear();
         if (leaseId !== undefined) {
             await this.keyValue.revokeLease(leaseId);
         }
@@ -67,25 +67,25 @@
             return false;
         }
         this.leaseId = leaseId;
-        this.number = result.revision as FencingNumber;
+        this.heldFencingNumber = result.revision as FencingNumber;
         this.validUntilMs = startedAtMs + LEASE_TTL_MS;
         return true;
     }
 
-    private async keep(leaseId: string): Promise<boolean> {
+    private async renew(leaseId: string): Promise<boolean> {
         const startedAtMs = this.clock.nowMs();
-        const leftMs = await this.keyValue.keepLeaseAlive(leaseId);
-        if (leftMs === 0) {
-            this.forget();
+        const remainingMs = await this.keyValue.keepLeaseAlive(leaseId);
+        if (remainingMs === 0) {
+            this.clear();
             return false;
         }
-        this.validUntilMs = startedAtMs + Math.min(leftMs, LEASE_TTL_MS);
+        this.validUntilMs = startedAtMs + Math.min(remainingMs, LEASE_TTL_MS);
         return true;
     }
 
-    private forget(): void {
+    private clear(): void {
         this.leaseId = undefined;
-        this.number = undefined;
+        this.heldFencingNumber = undefined;
         this.validUntilMs = 0;
     }
 }
--- a/placement/planner/src/plannerTask.ts
+++ b/placement/planner/src/plannerTask.ts
@@ -14,10 +14,10 @@
 import type { RegionPlan } from "./regionPlan.js";
 import type { UpstreamObservation } from "./upstreamObservation.js";
 
-const PERIOD_MS = 1_000;
+const PLANNING_INTERVAL_MS = 1_000;
 const EXCHANGE_TIMEOUT_MS = 1_000;
 /** Entries that try for the lease, so that calls on the key-value service don't grow with the fleet. */
-const CANDIDATES = 3;
+const MAX_LEASE_CANDIDATES = 3;
 
 /** Plans the region while this entry holds the planner's lease. */
 export class PlannerTask {
@@ -48,51 +48,51 @@
 
     private async run(): Promise<void> {
         while (!this.stopped.signal.aborted) {
-            await this.round().catch((thrown: unknown) => this.debug("placement.round-failed", thrown));
-            await sleep(this.opts.clock, PERIOD_MS, this.stopped.signal);
+            await this.runOnce().catch((thrown: unknown) => this.debug("placement.round-failed", thrown));
+            await sleep(this.opts.clock, PLANNING_INTERVAL_MS, this.stopped.signal);
         }
     }
 
-    private async round(): Promise<void> {
+    private async runOnce(): Promise<void> {
         if (this.lease.fencingNumber === undefined && !this.isCandidate()) {
             return;
         }
-        const isHeld = await this.lease.acquireOrKeep();
+        const isHeld = await this.lease.acquireOrRenew();
         const { fencingNumber } = this.lease;
         if (!isHeld || fencingNumber === undefined) {
             this.plan = undefined;
             return;
         }
-        this.plan ??= await this.takeOver(fencingNumber);
-        await this.planAgain(this.plan);
+        this.plan ??= await this.loadPreviousPlan(fencingNumber);
+        await this.updatePlan(this.plan);
     }
 
     /** Goes on from the plan of the planner before. */
-    private async takeOver(fencingNumber: FencingNumber): Promise<RegionPlan> {
-        const before = await this.store.read();
+    private async loadPreviousPlan(fencingNumber: FencingNumber): Promise<RegionPlan> {
+        const previous = await this.store.read();
         this.opts.logger.info("placement.planner", { fencingNumber });
-        return { fencingNumber, planNumber: 0, upstreams: before?.upstreams ?? [] };
+        return { fencingNumber, planNumber: 0, upstreams: previous?.upstreams ?? [] };
     }
 
-    private async planAgain(before: RegionPlan): Promise<void> {
+    private async updatePlan(previous: RegionPlan): Promise<void> {
         const view = this.opts.configuration.current();
         if (view === undefined) {
             return;
         }
         const sides = this.sides(new Set(view.services().flatMap(({ kind, name }) => kind === "plain" ? [] : [name])));
-        const upstreams = await Promise.all(sides.map(side => this.exchange(side, before)));
+        const upstreams = await Promise.all(sides.map(side => this.exchange(side, previous)));
         const planned = planRegion({
             services: view.services(),
             upstreams,
-            previous: before.upstreams,
+            previous: previous.upstreams,
             demands: this.opts.demands(),
             maxConcurrentLoads: this.opts.maxConcurrentLoads,
             nowMs: this.opts.clock.nowMs(),
         });
-        if (isDeepStrictEqual(planned, before.upstreams)) {
+        if (isDeepStrictEqual(planned, previous.upstreams)) {
             return;
         }
-        const plan = { ...before, planNumber: before.planNumber + 1, upstreams: planned };
+        const plan = { ...previous, planNumber: previous.planNumber + 1, upstreams: planned };
         this.plan = await this.store.write(plan) ? plan : undefined;
     }
 
@@ -100,7 +100,7 @@
     private async exchange(side: InstanceRecord, plan: RegionPlan): Promise<UpstreamObservation> {
         const upstream = plan.upstreams.find(planned => planned.instanceId === side.instanceId);
         const { instanceId, zone, state } = side;
-        const engine = await this.askSide(side, {
+        const engine = await this.callSide(side, {
             fencingNumber: plan.fencingNumber,
             planNumber: plan.planNumber,
             upstream,
@@ -108,14 +108,16 @@
         return { instanceId, zone, state, service: side.service as ServiceName, engine };
     }
 
-    private async askSide(
+    private async callSide(
         side: InstanceRecord,
         request: NonNullable<NonNullable<typeof exchangePlanCall.types>["request"]>,
     ): Promise<EngineState | undefined> {
         try {
             const link = this.opts.endpoint.connect(side.address);
-            const answer = await singleFrame(link.call(exchangePlanCall, request, { timeoutMs: EXCHANGE_TIMEOUT_MS }));
-            return answer.engine;
+            const response = await singleFrame(
+                link.call(exchangePlanCall, request, { timeoutMs: EXCHANGE_TIMEOUT_MS }),
+            );
+            return response.engine;
         }
         catch (thrown) {
             this.debug("placement.exchange-failed", thrown);
@@ -137,7 +139,7 @@
             .filter(instance => instance.kind === "entry" && instance.region === region && instance.state === "live")
             .map(instance => instance.instanceId);
         return rendezvousRank(`placement/${region}`, [...new Set([instanceId, ...entries])])
-            .slice(0, CANDIDATES)
+            .slice(0, MAX_LEASE_CANDIDATES)
             .includes(instanceId);
     }
 
