--- a/daemons/entry/src/limitedAdmission.ts
+++ b/daemons/entry/src/limitedAdmission.ts
@@ -46,7 +46,7 @@
         if (decision.allowed) {
             return;
         }
-        const reason = decision.refusedBy ?? "requests";
+        const reason = decision.rejectedBy ?? "requests";
         this.opts.metrics.increment("refused", { reason: `limit-${reason}` });
         throw new KnapweedError("LIMIT_EXCEEDED", `The limit of ${reason} is used up`, {
             statusCode: TOO_MANY_REQUESTS,
--- a/routing/limits/src/demandShares.ts
+++ b/routing/limits/src/demandShares.ts
@@ -74,11 +74,11 @@
 
     /** What to tell the other entries now. Forgets whoever asks for less than its even part. */
     report(nowMs: number): UsageReport {
-        const leastPressure = RESERVED_SHARE / this.entryCount;
+        const minPressure = RESERVED_SHARE / this.entryCount;
         this.own.forEach((usage, principalId) => {
             const demand = usage.demand.valueAt(nowMs);
-            const pressure = demand < leastPressure ? 0 : demand;
-            if (demand < leastPressure / 2 && (usage.reported ?? 0) === 0) {
+            const pressure = demand < minPressure ? 0 : demand;
+            if (demand < minPressure / 2 && (usage.reported ?? 0) === 0) {
                 this.own.delete(principalId);
             }
             if (pressure > 0 || usage.reported !== undefined) {
--- a/routing/limits/src/gradientConcurrencyLimit.ts
+++ b/routing/limits/src/gradientConcurrencyLimit.ts
@@ -12,7 +12,7 @@
 
 const DROP_FACTOR = 0.8;
 const SMOOTHING = 0.2;
-const LOWEST_GRADIENT = 0.5;
+const MIN_GRADIENT = 0.5;
 /** Windows between probes, in which few calls run so that the duration without a queue is learned again. */
 const WINDOWS_BETWEEN_PROBES = 100;
 const PROBE_SHARE = 0.25;
@@ -26,8 +26,8 @@
     private estimatedLimit: number;
     private inFlightCount = 0;
     private peakInFlightCount = 0;
-    private shortestMs = Number.POSITIVE_INFINITY;
-    private windowMs: number[] = [];
+    private baselineMs = Number.POSITIVE_INFINITY;
+    private windowDurationsMs: number[] = [];
     private windowsUntilProbe = WINDOWS_BETWEEN_PROBES;
 
     constructor(opts: Partial<GradientConcurrencyLimitOptions> = {}) {
@@ -58,38 +58,38 @@
         this.inFlightCount = Math.max(0, this.inFlightCount - 1);
         if (kind === "dropped") {
             this.setLimit(this.estimatedLimit * DROP_FACTOR);
-            this.windowMs = [];
+            this.windowDurationsMs = [];
         }
         else if (kind === "success" && !isDraining) {
-            this.windowMs.push(durationMs);
+            this.windowDurationsMs.push(durationMs);
         }
-        if (this.windowMs.length >= this.opts.windowSize) {
+        if (this.windowDurationsMs.length >= this.opts.windowSize) {
             this.closeWindow();
         }
     }
 
     private closeWindow(): void {
-        const sorted = this.windowMs.sort((left, right) => left - right);
+        const sorted = this.windowDurationsMs.sort((left, right) => left - right);
         const medianMs = sorted[Math.floor(sorted.length / 2)];
-        const isUnused = this.peakInFlightCount < this.estimatedLimit / 2;
-        this.windowMs = [];
+        const isUnderused = this.peakInFlightCount < this.estimatedLimit / 2;
+        this.windowDurationsMs = [];
         this.peakInFlightCount = this.inFlightCount;
         if (this.isProbing) {
-            this.shortestMs = medianMs;
+            this.baselineMs = medianMs;
             this.windowsUntilProbe = WINDOWS_BETWEEN_PROBES;
             return;
         }
         this.windowsUntilProbe -= 1;
-        this.shortestMs = Math.min(this.shortestMs, medianMs);
-        this.adjust(medianMs, isUnused);
+        this.baselineMs = Math.min(this.baselineMs, medianMs);
+        this.adjust(medianMs, isUnderused);
     }
 
-    private adjust(medianMs: number, isUnused: boolean): void {
-        const gradient = Math.max(LOWEST_GRADIENT, Math.min(1, this.opts.tolerance * this.shortestMs / medianMs));
-        if (gradient < 1 || !isUnused) {
-            const room = gradient === 1 ? Math.sqrt(this.estimatedLimit) : 0;
-            const wantedLimit = this.estimatedLimit * gradient + room;
-            this.setLimit(this.estimatedLimit + SMOOTHING * (wantedLimit - this.estimatedLimit));
+    private adjust(medianMs: number, isUnderused: boolean): void {
+        const gradient = Math.max(MIN_GRADIENT, Math.min(1, this.opts.tolerance * this.baselineMs / medianMs));
+        if (gradient < 1 || !isUnderused) {
+            const queueAllowance = gradient === 1 ? Math.sqrt(this.estimatedLimit) : 0;
+            const targetLimit = this.estimatedLimit * gradient + queueAllowance;
+            this.setLimit(this.estimatedLimit + SMOOTHING * (targetLimit - this.estimatedLimit));
         }
     }
 
--- a/routing/limits/src/leakyBucket.ts
+++ b/routing/limits/src/leakyBucket.ts
@@ -7,27 +7,27 @@
  * `burst + ratePerSecond * W` is taken. It keeps what is owed and not a time, as its rate may change between uses.
  */
 export class LeakyBucket {
-    private owed = 0;
+    private level = 0;
     private updatedAtMs = 0;
 
     /** Time until `cost` may be taken, in milliseconds; 0 for now. A cost above the burst waits for a full burst. */
     waitMs(limit: RateLimit, cost: number, nowMs: number): number {
-        const excess = this.owedAt(limit, nowMs) + Math.min(cost, limit.burst) - limit.burst;
+        const excess = this.levelAt(limit, nowMs) + Math.min(cost, limit.burst) - limit.burst;
         return Math.max(0, excess) / limit.ratePerSecond * MS_PER_SECOND;
     }
 
     take(limit: RateLimit, cost: number, nowMs: number): void {
-        this.owed = this.owedAt(limit, nowMs) + cost;
+        this.level = this.levelAt(limit, nowMs) + cost;
         this.updatedAtMs = Math.max(this.updatedAtMs, nowMs);
     }
 
     /** Gives back what was taken and not used, or takes what was used beyond it. */
     correct(difference: number): void {
-        this.owed = Math.max(0, this.owed + difference);
+        this.level = Math.max(0, this.level + difference);
     }
 
-    private owedAt({ ratePerSecond }: RateLimit, nowMs: number): number {
+    private levelAt({ ratePerSecond }: RateLimit, nowMs: number): number {
         const elapsedMs = Math.max(0, nowMs - this.updatedAtMs);
-        return Math.max(0, this.owed - elapsedMs * ratePerSecond / MS_PER_SECOND);
+        return Math.max(0, this.level - elapsedMs * ratePerSecond / MS_PER_SECOND);
     }
 }
--- a/routing/limits/src/limitDecision.ts
+++ b/routing/limits/src/limitDecision.ts
@@ -4,5 +4,5 @@
     /** When the request would be let in as far as is known, in milliseconds from now; 0 where allowed. */
     retryAfterMs: number;
     /** The limit that refused the request. */
-    refusedBy?: "requests" | "tokens" | "concurrency" | undefined;
+    rejectedBy?: "requests" | "tokens" | "concurrency" | undefined;
 }
--- a/routing/limits/src/principalLimiter.ts
+++ b/routing/limits/src/principalLimiter.ts
@@ -7,7 +7,7 @@
 const BURST_SECONDS = 1;
 const CONCURRENCY_RETRY_MS = 100;
 const BLOCKED_RETRY_MS = 1000;
-const FORGET_AFTER_MS = 60_000;
+const IDLE_TIMEOUT_MS = 60_000;
 
 /** The limits of one team or key at this entry. */
 export class PrincipalLimiter {
@@ -18,22 +18,22 @@
 
     /** Whether there is nothing left worth remembering. */
     isIdle(nowMs: number): boolean {
-        return this.inFlightCount === 0 && nowMs - this.usedAtMs > FORGET_AFTER_MS;
+        return this.inFlightCount === 0 && nowMs - this.usedAtMs > IDLE_TIMEOUT_MS;
     }
 
     /** Whether a request fits the part of the limits that this entry may use. */
     check(limits: RateLimits, part: LimitPart, tokens: number, nowMs: number): LimitDecision {
         const { requestsPerSecond, tokensPerSecond, concurrency } = limits;
         if (concurrency !== undefined && this.inFlightCount >= Math.max(1, Math.round(concurrency * part.rateShare))) {
-            return { allowed: false, retryAfterMs: CONCURRENCY_RETRY_MS, refusedBy: "concurrency" };
+            return { allowed: false, retryAfterMs: CONCURRENCY_RETRY_MS, rejectedBy: "concurrency" };
         }
         const requestsWaitMs = waitMs(this.requests, toRateLimit(requestsPerSecond, part), 1, nowMs);
         if (requestsWaitMs > 0) {
-            return { allowed: false, retryAfterMs: requestsWaitMs, refusedBy: "requests" };
+            return { allowed: false, retryAfterMs: requestsWaitMs, rejectedBy: "requests" };
         }
         const tokensWaitMs = waitMs(this.tokens, toRateLimit(tokensPerSecond, part), tokens, nowMs);
         if (tokensWaitMs > 0) {
-            return { allowed: false, retryAfterMs: tokensWaitMs, refusedBy: "tokens" };
+            return { allowed: false, retryAfterMs: tokensWaitMs, rejectedBy: "tokens" };
         }
         return { allowed: true, retryAfterMs: 0 };
     }
@@ -51,10 +51,10 @@
         }
     }
 
-    /** @param unexpectedTokens tokens used beyond those taken; negative where fewer were used */
-    release(unexpectedTokens: number): void {
+    /** @param excessTokens tokens used beyond those taken; negative where fewer were used */
+    release(excessTokens: number): void {
         this.inFlightCount = Math.max(0, this.inFlightCount - 1);
-        this.tokens.correct(unexpectedTokens);
+        this.tokens.correct(excessTokens);
     }
 }
 
--- a/routing/limits/src/sharedLimiter.ts
+++ b/routing/limits/src/sharedLimiter.ts
@@ -19,13 +19,13 @@
     limits: RateLimits;
 }
 
-const SWEEP_EVERY_REQUESTS = 10_000;
+const CLEANUP_INTERVAL_REQUESTS = 10_000;
 
 /** Limits of teams and keys of which this entry holds a share. A request is let in by both or counted by neither. */
 export class SharedLimiter implements Limiter {
     private readonly shares: LimitShares;
-    private readonly principals = new Map<PrincipalId, PrincipalLimiter>();
-    private requestsUntilSweep = SWEEP_EVERY_REQUESTS;
+    private readonly limiters = new Map<PrincipalId, PrincipalLimiter>();
+    private requestsUntilCleanup = CLEANUP_INTERVAL_REQUESTS;
 
     constructor(opts: SharedLimiterOptions) {
         this.shares = opts.shares;
@@ -33,27 +33,27 @@
 
     tryAcquire(request: LimitRequest): LimitDecision {
         const { nowMs, tokens } = request;
-        this.sweep(nowMs);
+        this.removeIdleLimiters(nowMs);
         const principals = this.principalsOf(request).map(principal => ({
             ...principal,
-            part: this.partOnDemand(principal, tokens, nowMs),
+            part: this.recordDemand(principal, tokens, nowMs),
         }));
-        const refusals = principals
+        const rejections = principals
             .map(({ limiter, limits, part }) => limiter.check(limits, part, tokens, nowMs))
             .filter(decision => !decision.allowed);
-        if (refusals.length > 0) {
-            return refusals.reduce((longest, one) => one.retryAfterMs > longest.retryAfterMs ? one : longest);
+        if (rejections.length > 0) {
+            return rejections.reduce((longest, next) => next.retryAfterMs > longest.retryAfterMs ? next : longest);
         }
         principals.forEach(({ limiter, limits, part }) => limiter.take(limits, part, tokens, nowMs));
         return { allowed: true, retryAfterMs: 0 };
     }
 
     release(release: LimitRelease): void {
-        const unexpectedTokens = (release.usedTokens ?? release.tokens) - release.tokens;
-        this.principalsOf(release).forEach(({ limiter }) => limiter.release(unexpectedTokens));
+        const excessTokens = (release.usedTokens ?? release.tokens) - release.tokens;
+        this.principalsOf(release).forEach(({ limiter }) => limiter.release(excessTokens));
     }
 
-    private partOnDemand({ principalId, limits }: Principal, tokens: number, nowMs: number): LimitPart {
+    private recordDemand({ principalId, limits }: Principal, tokens: number, nowMs: number): LimitPart {
         const demand = demandOf(limits, tokens);
         if (demand > 0) {
             this.shares.onDemand(principalId, demand, nowMs);
@@ -66,27 +66,27 @@
     }
 
     private principalsOf({ teamId, keyId, limits, keyLimits }: LimitRequest | LimitRelease): Principal[] {
-        const team = { principalId: teamId, limiter: this.principalOf(teamId), limits };
+        const team = { principalId: teamId, limiter: this.limiterOf(teamId), limits };
         return keyId === undefined || keyLimits === undefined
             ? [team]
-            : [team, { principalId: keyId, limiter: this.principalOf(keyId), limits: keyLimits }];
+            : [team, { principalId: keyId, limiter: this.limiterOf(keyId), limits: keyLimits }];
     }
 
-    private principalOf(principalId: PrincipalId): PrincipalLimiter {
-        const known = this.principals.get(principalId) ?? new PrincipalLimiter();
-        this.principals.set(principalId, known);
-        return known;
+    private limiterOf(principalId: PrincipalId): PrincipalLimiter {
+        const limiter = this.limiters.get(principalId) ?? new PrincipalLimiter();
+        this.limiters.set(principalId, limiter);
+        return limiter;
     }
 
     /** Forgets teams and keys that have been idle, now and then. */
-    private sweep(nowMs: number): void {
-        this.requestsUntilSweep -= 1;
-        if (this.requestsUntilSweep > 0) {
+    private removeIdleLimiters(nowMs: number): void {
+        this.requestsUntilCleanup -= 1;
+        if (this.requestsUntilCleanup > 0) {
             return;
         }
-        this.requestsUntilSweep = SWEEP_EVERY_REQUESTS;
-        [...this.principals]
+        this.requestsUntilCleanup = CLEANUP_INTERVAL_REQUESTS;
+        [...this.limiters]
             .filter(([, limiter]) => limiter.isIdle(nowMs))
-            .forEach(([principalId]) => this.principals.delete(principalId));
+            .forEach(([principalId]) => this.limiters.delete(principalId));
     }
 }
--- a/routing/limits/src/usageExchange.ts
+++ b/routing/limits/src/usageExchange.ts
@@ -19,7 +19,7 @@
 /** Exchanges reports of demand with all entries that share the limits. */
 export class UsageExchange {
     private readonly opts: UsageExchangeOptions;
-    private readonly opened = new Map<string, Link>();
+    private readonly openedLinks = new Map<string, Link>();
     private timer: Timer | undefined;
 
     constructor(opts: UsageExchangeOptions) {
@@ -32,8 +32,8 @@
 
     start(): void {
         this.timer = this.opts.clock.setTimer(this.opts.reportIntervalMs, () => {
-            this.keepLinks();
-            this.send();
+            this.updateLinks();
+            this.sendReport();
             this.start();
         });
     }
@@ -42,22 +42,22 @@
         this.timer?.cancel();
     }
 
-    private keepLinks(): void {
+    private updateLinks(): void {
         const { endpoint, entries } = this.opts;
         const addresses = entries()
             .filter(entry => entry.instanceId < endpoint.identity.instanceId)
             .map(entry => entry.address);
-        addresses.forEach(address => this.opened.set(address, endpoint.connect(address)));
-        [...this.opened]
+        addresses.forEach(address => this.openedLinks.set(address, endpoint.connect(address)));
+        [...this.openedLinks]
             .filter(([address, link]) => !addresses.includes(address) && link.state !== "open")
             .forEach(([address, link]) => {
                 link.close();
-                this.opened.delete(address);
+                this.openedLinks.delete(address);
             });
     }
 
     /** An entry linked both ways gets the report once. */
-    private send(): void {
+    private sendReport(): void {
         const { endpoint, shares, clock } = this.opts;
         const report = shares.report(clock.nowMs());
         const links = endpoint.links().filter(link => link.peer?.kind === "entry");
--- a/routing/limits/src/weightedFairQueue.ts
+++ b/routing/limits/src/weightedFairQueue.ts
@@ -45,7 +45,7 @@
             return undefined;
         }
         this.virtualTime = next.startTag;
-        this.takeFirst(next.teamId);
+        this.removeFirst(next.teamId);
         return next.item;
     }
 
@@ -57,17 +57,17 @@
             return false;
         }
         queue.splice(index, 1);
-        this.onTaken(teamId, queue);
+        this.onRemoved(teamId, queue);
         return true;
     }
 
-    private takeFirst(teamId: TeamId): void {
+    private removeFirst(teamId: TeamId): void {
         const queue = this.queues.get(teamId)!;
         queue.shift();
-        this.onTaken(teamId, queue);
+        this.onRemoved(teamId, queue);
     }
 
-    private onTaken(teamId: TeamId, queue: QueuedEntry<Item>[]): void {
+    private onRemoved(teamId: TeamId, queue: QueuedEntry<Item>[]): void {
         this.count -= 1;
         if (queue.length === 0) {
             this.queues.delete(teamId);
--- a/routing/limits/test/leakyBucket.test.ts
+++ b/routing/limits/test/leakyBucket.test.ts
@@ -17,18 +17,18 @@
             const limit = { ratePerSecond, burst };
             const taken: { atMs: number; cost: number; }[] = [];
             let nowMs = 0;
-            let room = burst;
+            let capacity = burst;
             steps.forEach(({ pauseMs, cost }) => {
                 const needed = Math.min(cost, burst);
                 nowMs += pauseMs;
-                room = Math.min(burst, room + pauseMs * ratePerSecond / 1000);
+                capacity = Math.min(burst, capacity + pauseMs * ratePerSecond / 1000);
                 const isAllowed = bucket.waitMs(limit, cost, nowMs) < 1e-6;
-                if (Math.abs(room - needed) > 1e-6) {
-                    assert.equal(isAllowed, room > needed);
+                if (Math.abs(capacity - needed) > 1e-6) {
+                    assert.equal(isAllowed, capacity > needed);
                 }
                 if (isAllowed) {
                     bucket.take(limit, cost, nowMs);
-                    room -= cost;
+                    capacity -= cost;
                     taken.push({ atMs: nowMs, cost });
                 }
             });
--- a/routing/limits/test/sharedLimiter.test.ts
+++ b/routing/limits/test/sharedLimiter.test.ts
@@ -38,7 +38,7 @@
 function run(fleet: Fleet, demandPerSecond: (entry: number, nowMs: number) => number, durationMs: number): number[] {
     const random = new SeededRandom(SEED);
     const admittedAtMs: number[] = [];
-    const onTheWay: { report: UsageReport; dueMs: number; }[] = [];
+    const pendingReports: { report: UsageReport; dueMs: number; }[] = [];
     for (let nowMs = 0; nowMs < durationMs; nowMs += STEP_MS) {
         fleet.limiters.forEach((limiter, entry) => {
             if (random.next() < demandPerSecond(entry, nowMs) * STEP_MS / 1000) {
@@ -49,9 +49,9 @@
         });
         fleet.shares.filter(one => one instanceof DemandShares).forEach((one, entry) => {
             if ((nowMs + entry * 30) % REPORT_INTERVAL_MS === 0) {
-                onTheWay.push({ report: one.report(nowMs), dueMs: nowMs + REPORT_DELAY_MS });
+                pendingReports.push({ report: one.report(nowMs), dueMs: nowMs + REPORT_DELAY_MS });
             }
-            onTheWay.filter(({ dueMs }) => dueMs === nowMs).forEach(({ report }) => one.onReport(report, nowMs));
+            pendingReports.filter(({ dueMs }) => dueMs === nowMs).forEach(({ report }) => one.onReport(report, nowMs));
         });
     }
     return admittedAtMs;
@@ -106,22 +106,23 @@
     const limiter = new SharedLimiter({ shares: new EqualShares(() => 1) });
     const limits = { requestsPerSecond: 5 };
     const keyLimits = { requestsPerSecond: 1 };
-    const ask = (keyId: KeyId) => limiter.tryAcquire({ teamId: team, keyId, limits, keyLimits, tokens: 0, nowMs: 0 });
-    assert.ok(ask(key).allowed);
-    Array.from({ length: 20 }, () => assert.equal(ask(key).refusedBy, "requests"));
-    assert.ok(Array.from({ length: 4 }, (_, index) => ask(`other-${index}` as KeyId)).every(one => one.allowed));
-    assert.ok(!ask("last" as KeyId).allowed);
+    const acquire = (keyId: KeyId) =>
+        limiter.tryAcquire({ teamId: team, keyId, limits, keyLimits, tokens: 0, nowMs: 0 });
+    assert.ok(acquire(key).allowed);
+    Array.from({ length: 20 }, () => assert.equal(acquire(key).rejectedBy, "requests"));
+    assert.ok(Array.from({ length: 4 }, (_, index) => acquire(`other-${index}` as KeyId)).every(one => one.allowed));
+    assert.ok(!acquire("last" as KeyId).allowed);
 });
 
 test("concurrency is freed and unused tokens are given back on release", () => {
     const limiter = new SharedLimiter({ shares: new EqualShares(() => 1) });
     const limits = { concurrency: 2, tokensPerSecond: 100 };
-    const ask = (nowMs: number) => limiter.tryAcquire({ teamId: team, limits, tokens: 50, nowMs });
-    assert.ok(ask(0).allowed);
-    assert.ok(ask(0).allowed);
-    assert.equal(ask(0).refusedBy, "concurrency");
+    const acquire = (nowMs: number) => limiter.tryAcquire({ teamId: team, limits, tokens: 50, nowMs });
+    assert.ok(acquire(0).allowed);
+    assert.ok(acquire(0).allowed);
+    assert.equal(acquire(0).rejectedBy, "concurrency");
     limiter.release({ teamId: team, limits, tokens: 50, usedTokens: 50, nowMs: 0 });
-    assert.equal(ask(0).refusedBy, "tokens");
+    assert.equal(acquire(0).rejectedBy, "tokens");
     limiter.release({ teamId: team, limits, tokens: 50, usedTokens: 0, nowMs: 0 });
-    assert.ok(ask(0).allowed);
+    assert.ok(acquire(0).allowed);
 });
