--- a/routing/choice/src/affinityChooser.ts
+++ b/routing/choice/src/affinityChooser.ts
@@ -29,13 +29,13 @@
  */
 export class AffinityChooser implements UpstreamChooser {
     private readonly opts: AffinityChooserOptions;
-    private readonly nearSubset: SubsetCache;
-    private readonly farSubset: SubsetCache;
+    private readonly sameZoneSubset: SubsetCache;
+    private readonly otherZonesSubset: SubsetCache;
     private readonly inFlight = new InFlightCounts();
     private readonly slowStart: SlowStart;
     private readonly ejector: OutlierEjector;
-    private readonly prefixes: PrefixIndex;
-    private seen: readonly InstanceId[] = [];
+    private readonly prefixIndex: PrefixIndex;
+    private knownInstanceIds: readonly InstanceId[] = [];
 
     constructor(opts: AffinityChooserOptions) {
         this.opts = opts;
@@ -43,29 +43,32 @@
             entryId: opts.entryId,
             subsetSize: opts.subsetSize ?? DEFAULT_SUBSET_SIZE,
         });
-        this.nearSubset = new SubsetCache(subset);
-        this.farSubset = new SubsetCache(subset);
+        this.sameZoneSubset = new SubsetCache(subset);
+        this.otherZonesSubset = new SubsetCache(subset);
         this.slowStart = new SlowStart({
             rampMs: opts.slowStartMs ?? DEFAULT_SLOW_START_MS,
             initialWeight: INITIAL_WEIGHT,
         });
-        this.prefixes = new PrefixIndex({ maxBlocks: opts.maxIndexedBlocks ?? DEFAULT_MAX_INDEXED_BLOCKS });
+        this.prefixIndex = new PrefixIndex({ maxBlocks: opts.maxIndexedBlocks ?? DEFAULT_MAX_INDEXED_BLOCKS });
         this.ejector = new OutlierEjector({
             limits: { ...defaultEjectionLimits, ...opts.ejection },
             onEjected: (instanceId, returnsAtMs) => {
                 this.slowStart.restart(instanceId, returnsAtMs);
-                this.prefixes.forget(instanceId);
+                this.prefixIndex.remove(instanceId);
             },
         });
     }
 
     choose(request: ChooseRequest): InstanceId | undefined {
-        this.noteListed(request);
-        const usable = this.usable(request);
-        const near = usable.filter(candidate => candidate.zone === this.opts.zone);
-        const far = usable.filter(candidate => candidate.zone !== this.opts.zone);
+        this.updateKnownUpstreams(request);
+        const eligible = this.eligibleCandidates(request);
+        const sameZone = eligible.filter(candidate => candidate.zone === this.opts.zone);
+        const otherZones = eligible.filter(candidate => candidate.zone !== this.opts.zone);
         const chosen = this.chooseAmong(
-            this.spill(this.loadsOf(near, this.nearSubset, request), this.loadsOf(far, this.farSubset, request)),
+            this.applySpillover(
+                this.loadsOf(sameZone, this.sameZoneSubset, request),
+                this.loadsOf(otherZones, this.otherZonesSubset, request),
+            ),
             request,
         );
         if (chosen === undefined) {
@@ -73,7 +76,7 @@
         }
         const { instanceId } = chosen.candidate;
         this.inFlight.onStarted(instanceId, request.nowMs);
-        this.prefixes.onChosen(instanceId, request.promptBlocks ?? []);
+        this.prefixIndex.recordChoice(instanceId, request.promptBlocks ?? []);
         return instanceId;
     }
 
@@ -84,31 +87,31 @@
 
     /** Takes in an event of an engine's prefix cache. */
     onCacheChange(change: PrefixCacheChange): void {
-        this.prefixes.onCacheChange(change);
+        this.prefixIndex.onCacheChange(change);
     }
 
-    private noteListed({ candidates, nowMs }: ChooseRequest): void {
-        const isSame = candidates.length === this.seen.length
-            && candidates.every((candidate, index) => candidate.instanceId === this.seen[index]);
-        if (isSame) {
+    private updateKnownUpstreams({ candidates, nowMs }: ChooseRequest): void {
+        const isUnchanged = candidates.length === this.knownInstanceIds.length
+            && candidates.every((candidate, index) => candidate.instanceId === this.knownInstanceIds[index]);
+        if (isUnchanged) {
             return;
         }
-        this.seen = candidates.map(candidate => candidate.instanceId);
-        this.slowStart.onSeen(this.seen, nowMs);
-        this.ejector.retain(this.seen);
-        this.prefixes.retain(this.seen);
+        this.knownInstanceIds = candidates.map(candidate => candidate.instanceId);
+        this.slowStart.updateUpstreams(this.knownInstanceIds, nowMs);
+        this.ejector.retain(this.knownInstanceIds);
+        this.prefixIndex.retain(this.knownInstanceIds);
     }
 
     /** The candidates that may take the request, from the narrowest non-empty of several circles. */
-    private usable({ candidates, role, excluded, nowMs }: ChooseRequest): UpstreamCandidate[] {
+    private eligibleCandidates({ candidates, role, excluded, nowMs }: ChooseRequest): UpstreamCandidate[] {
         const live = candidates
             .filter(candidate => candidate.state === "live")
             .filter(candidate => candidate.linkState === "open" || candidate.linkState === "suspect")
             .filter(candidate => excluded?.includes(candidate.instanceId) !== true)
-            .filter(candidate => playsRole(candidate, role));
+            .filter(candidate => servesRole(candidate, role));
         const open = live.filter(candidate => candidate.linkState === "open");
         const healthy = open.filter(candidate => !this.ejector.isEjected(candidate.instanceId, nowMs));
-        return [healthy, open, live].find(circle => circle.length > 0) ?? [];
+        return [healthy, open, live].find(tier => tier.length > 0) ?? [];
     }
 
     private loadsOf(
@@ -120,30 +123,32 @@
     }
 
     /** The loads of this entry's zone, or all where the zone has no room compared with the others. */
-    private spill(near: WeightedLoad[], far: WeightedLoad[]): WeightedLoad[] {
-        if (near.length === 0 || far.length === 0) {
-            return [...near, ...far];
+    private applySpillover(sameZone: WeightedLoad[], otherZones: WeightedLoad[]): WeightedLoad[] {
+        if (sameZone.length === 0 || otherZones.length === 0) {
+            return [...sameZone, ...otherZones];
         }
         const factor = this.opts.zoneLoadFactor ?? DEFAULT_ZONE_LOAD_FACTOR;
-        return meanLoad(near) <= Math.max(1, meanLoad(far)) * factor ? near : [...near, ...far];
+        return meanLoad(sameZone) <= Math.max(1, meanLoad(otherZones)) * factor
+            ? sameZone
+            : [...sameZone, ...otherZones];
     }
 
     private chooseAmong(loads: WeightedLoad[], request: ChooseRequest): WeightedLoad | undefined {
         const factor = this.opts.affinityLoadFactor ?? DEFAULT_AFFINITY_LOAD_FACTOR;
         const bound = Math.max(1, meanLoad(loads) * factor);
-        const roomy = loads.filter(({ load }) => load <= bound);
-        return this.holderOfPrefix(roomy, request)
-            ?? firstByKey(loads, bound, request)
-            ?? leastLoadedOfTwo(roomy, this.opts.random);
+        const withinBound = loads.filter(({ load }) => load <= bound);
+        return this.bestPrefixMatch(withinBound, request)
+            ?? firstByAffinityKey(loads, bound, request)
+            ?? leastLoadedOfTwo(withinBound, this.opts.random);
     }
 
     /** The upstream that holds most of the prompt's leading blocks, the less loaded one of several. */
-    private holderOfPrefix(roomy: WeightedLoad[], { promptBlocks }: ChooseRequest): WeightedLoad | undefined {
+    private bestPrefixMatch(withinBound: WeightedLoad[], { promptBlocks }: ChooseRequest): WeightedLoad | undefined {
         if (promptBlocks === undefined || promptBlocks.length === 0) {
             return undefined;
         }
-        return roomy
-            .map(entry => ({ entry, match: this.prefixes.matchOf(entry.candidate.instanceId, promptBlocks) }))
+        return withinBound
+            .map(entry => ({ entry, match: this.prefixIndex.matchOf(entry.candidate.instanceId, promptBlocks) }))
             .filter(({ match }) => match > 0)
             .sort((left, right) => right.match - left.match || left.entry.load - right.entry.load)
             .at(0)?.entry;
@@ -156,7 +161,7 @@
 }
 
 /** The first upstream in the order of the request's key that has room: rendezvous hashing with bounded loads. */
-function firstByKey(loads: WeightedLoad[], bound: number, request: ChooseRequest): WeightedLoad | undefined {
+function firstByAffinityKey(loads: WeightedLoad[], bound: number, request: ChooseRequest): WeightedLoad | undefined {
     const key = request.affinityKey ?? request.promptBlocks?.at(0);
     if (key === undefined) {
         return undefined;
@@ -165,7 +170,7 @@
     return rendezvousRank(key, [...byId.keys()]).map(id => byId.get(id)!).find(({ load }) => load <= bound);
 }
 
-function playsRole(candidate: UpstreamCandidate, role: ChooseRequest["role"]): boolean {
+function servesRole(candidate: UpstreamCandidate, role: ChooseRequest["role"]): boolean {
     return role === undefined || candidate.role === undefined || candidate.role === "any" || candidate.role === role;
 }
 
--- a/routing/choice/src/outlierEjector.ts
+++ b/routing/choice/src/outlierEjector.ts
@@ -15,22 +15,22 @@
 /** Takes upstreams out that fail, or are slow beside their peers. */
 export class OutlierEjector {
     private readonly opts: OutlierEjectorOptions;
-    private readonly healths = new Map<InstanceId, UpstreamHealth>();
+    private readonly healthById = new Map<InstanceId, UpstreamHealth>();
 
     constructor(opts: OutlierEjectorOptions) {
         this.opts = opts;
     }
 
     isEjected(instanceId: InstanceId, nowMs: number): boolean {
-        return (this.healths.get(instanceId)?.ejectedUntilMs ?? 0) > nowMs;
+        return (this.healthById.get(instanceId)?.ejectedUntilMs ?? 0) > nowMs;
     }
 
     /** Forgets upstreams that are no longer listed. */
     retain(instanceIds: readonly InstanceId[]): void {
         const present = new Set(instanceIds);
-        [...this.healths.keys()]
+        [...this.healthById.keys()]
             .filter(instanceId => !present.has(instanceId))
-            .forEach(instanceId => this.healths.delete(instanceId));
+            .forEach(instanceId => this.healthById.delete(instanceId));
     }
 
     observe(observation: UpstreamObservation): void {
@@ -44,20 +44,20 @@
     }
 
     private update(observation: UpstreamObservation): UpstreamHealth {
-        const known = this.healths.get(observation.instanceId);
+        const previous = this.healthById.get(observation.instanceId);
         const isFailure = observation.kind === "failure";
-        const durationMs = known === undefined || known.observationCount === 0
+        const durationMs = previous === undefined || previous.observationCount === 0
             ? observation.durationMs
-            : smooth(known.durationMs, observation.durationMs);
+            : smooth(previous.durationMs, observation.durationMs);
         const health: UpstreamHealth = {
-            consecutiveFailures: isFailure ? (known?.consecutiveFailures ?? 0) + 1 : 0,
-            failureShare: smooth(known?.failureShare ?? 0, observation.kind === "success" ? 0 : 1),
-            durationMs: isFailure ? known?.durationMs ?? observation.durationMs : durationMs,
-            observationCount: (known?.observationCount ?? 0) + 1,
-            ejectedUntilMs: known?.ejectedUntilMs ?? 0,
-            ejectionCount: known?.ejectionCount ?? 0,
+            consecutiveFailures: isFailure ? (previous?.consecutiveFailures ?? 0) + 1 : 0,
+            failureShare: smooth(previous?.failureShare ?? 0, observation.kind === "success" ? 0 : 1),
+            durationMs: isFailure ? previous?.durationMs ?? observation.durationMs : durationMs,
+            observationCount: (previous?.observationCount ?? 0) + 1,
+            ejectedUntilMs: previous?.ejectedUntilMs ?? 0,
+            ejectionCount: previous?.ejectionCount ?? 0,
         };
-        this.healths.set(observation.instanceId, health);
+        this.healthById.set(observation.instanceId, health);
         return health;
     }
 
@@ -74,7 +74,7 @@
 
     private isSlow(instanceId: InstanceId, health: UpstreamHealth): boolean {
         const { limits } = this.opts;
-        const peerDurationsMs = [...this.healths]
+        const peerDurationsMs = [...this.healthById]
             .filter(([peerId, peer]) => peerId !== instanceId && peer.observationCount >= limits.minimumObservations)
             .map(([, peer]) => peer.durationMs)
             .sort((left, right) => left - right);
@@ -87,14 +87,14 @@
 
     private eject({ instanceId, nowMs }: UpstreamObservation, health: UpstreamHealth): void {
         const { limits, onEjected } = this.opts;
-        const ejectedCount = [...this.healths.keys()].filter(other => this.isEjected(other, nowMs)).length;
-        if (ejectedCount + 1 > this.healths.size * limits.maxEjectedShare) {
+        const ejectedCount = [...this.healthById.keys()].filter(other => this.isEjected(other, nowMs)).length;
+        if (ejectedCount + 1 > this.healthById.size * limits.maxEjectedShare) {
             return;
         }
         const isRepeated = nowMs - health.ejectedUntilMs < limits.maxMs;
         const ejectionCount = isRepeated ? health.ejectionCount + 1 : 1;
         const durationMs = Math.min(limits.maxMs, limits.baseMs * 2 ** (ejectionCount - 1));
-        this.healths.set(instanceId, {
+        this.healthById.set(instanceId, {
             consecutiveFailures: 0,
             failureShare: 0,
             durationMs: 0,
--- a/routing/choice/src/prefixIndex.ts
+++ b/routing/choice/src/prefixIndex.ts
@@ -7,7 +7,7 @@
 }
 
 /** Events that may still be on their way. */
-const LATEST_EVENTS = 1000;
+const MAX_EVENT_REORDERING = 1000;
 
 interface UpstreamBlocks {
     /** By hash of the block, oldest use first: whether an event of the engine has confirmed it. */
@@ -28,15 +28,15 @@
     }
 
     /** Notes that a prompt with these blocks has been sent to an upstream. */
-    onChosen(instanceId: InstanceId, promptBlocks: readonly string[]): void {
-        const upstream = this.upstreamOf(instanceId);
+    recordChoice(instanceId: InstanceId, promptBlocks: readonly string[]): void {
+        const upstream = this.blocksOf(instanceId);
         promptBlocks.forEach(block => this.put(upstream, block, upstream.blocks.get(block) ?? false));
     }
 
     /** Takes in an engine's event. One that is older than the last is dropped. */
     onCacheChange(change: PrefixCacheChange): void {
-        this.forgetRestarted(change);
-        const upstream = this.upstreamOf(change.instanceId);
+        this.resetIfRestarted(change);
+        const upstream = this.blocksOf(change.instanceId);
         const last = upstream.lastSequenceNumber;
         if (last !== undefined && change.sequenceNumber <= last) {
             return;
@@ -54,7 +54,7 @@
     }
 
     /** Forgets an upstream, whose engine has been restarted or removed. */
-    forget(instanceId: InstanceId): void {
+    remove(instanceId: InstanceId): void {
         this.upstreams.delete(instanceId);
     }
 
@@ -63,7 +63,7 @@
         const present = new Set(instanceIds);
         [...this.upstreams.keys()]
             .filter(instanceId => !present.has(instanceId))
-            .forEach(instanceId => this.forget(instanceId));
+            .forEach(instanceId => this.remove(instanceId));
     }
 
     /** Leading blocks that an upstream probably holds; an unconfirmed one counts a half. */
@@ -78,17 +78,17 @@
     }
 
     /** An engine that numbers its events from far below begins with an empty cache. */
-    private forgetRestarted({ instanceId, sequenceNumber }: PrefixCacheChange): void {
+    private resetIfRestarted({ instanceId, sequenceNumber }: PrefixCacheChange): void {
         const last = this.upstreams.get(instanceId)?.lastSequenceNumber;
-        if (last !== undefined && sequenceNumber < last - LATEST_EVENTS) {
-            this.forget(instanceId);
+        if (last !== undefined && sequenceNumber < last - MAX_EVENT_REORDERING) {
+            this.remove(instanceId);
         }
     }
 
-    private upstreamOf(instanceId: InstanceId): UpstreamBlocks {
-        const known = this.upstreams.get(instanceId) ?? { blocks: new Map(), lastSequenceNumber: undefined };
-        this.upstreams.set(instanceId, known);
-        return known;
+    private blocksOf(instanceId: InstanceId): UpstreamBlocks {
+        const blocks = this.upstreams.get(instanceId) ?? { blocks: new Map(), lastSequenceNumber: undefined };
+        this.upstreams.set(instanceId, blocks);
+        return blocks;
     }
 
     private put(upstream: UpstreamBlocks, block: string, isConfirmed: boolean): void {
--- a/routing/choice/src/slowStart.ts
+++ b/routing/choice/src/slowStart.ts
@@ -11,24 +11,24 @@
 export class SlowStart {
     private readonly opts: SlowStartOptions;
     private readonly startedAtMs = new Map<InstanceId, number>();
-    private hasSeenAny = false;
+    private hasListedUpstreams = false;
 
     constructor(opts: SlowStartOptions) {
         this.opts = opts;
     }
 
     /** Starts the ramp of upstreams not seen before, except for those known from the start of this process. */
-    onSeen(instanceIds: readonly InstanceId[], nowMs: number): void {
+    updateUpstreams(instanceIds: readonly InstanceId[], nowMs: number): void {
         const present = new Set(instanceIds);
         instanceIds
             .filter(instanceId => !this.startedAtMs.has(instanceId))
             .forEach(instanceId =>
-                this.startedAtMs.set(instanceId, this.hasSeenAny ? nowMs : Number.NEGATIVE_INFINITY)
+                this.startedAtMs.set(instanceId, this.hasListedUpstreams ? nowMs : Number.NEGATIVE_INFINITY)
             );
         [...this.startedAtMs.keys()]
             .filter(instanceId => !present.has(instanceId))
             .forEach(instanceId => this.startedAtMs.delete(instanceId));
-        this.hasSeenAny ||= instanceIds.length > 0;
+        this.hasListedUpstreams ||= instanceIds.length > 0;
     }
 
     /** Starts the ramp of an upstream that returns. */
--- a/routing/choice/src/subsetCache.ts
+++ b/routing/choice/src/subsetCache.ts
@@ -17,7 +17,7 @@
 
     /** The candidates in the subset, shape [subset]. */
     select(candidates: readonly UpstreamCandidate[], nowMs: number): UpstreamCandidate[] {
-        if (nowMs >= this.expiresAtMs || !this.isFor(candidates)) {
+        if (nowMs >= this.expiresAtMs || !this.isCurrentFor(candidates)) {
             this.instanceIds = candidates.map(candidate => candidate.instanceId);
             this.subset = new Set(this.policy.subsetOf(this.instanceIds));
             this.expiresAtMs = nowMs + MAX_AGE_MS;
@@ -25,7 +25,7 @@
         return candidates.filter(candidate => this.subset.has(candidate.instanceId));
     }
 
-    private isFor(candidates: readonly UpstreamCandidate[]): boolean {
+    private isCurrentFor(candidates: readonly UpstreamCandidate[]): boolean {
         return candidates.length === this.instanceIds.length
             && candidates.every((candidate, index) => candidate.instanceId === this.instanceIds[index]);
     }
--- a/routing/choice/test/prefixIndex.test.ts
+++ b/routing/choice/test/prefixIndex.test.ts
@@ -60,9 +60,9 @@
 
 test("own choices count a half, the oldest blocks are forgotten first", () => {
     const index = new PrefixIndex({ maxBlocks: 4 });
-    index.onChosen(upstream, ["a", "b"]);
+    index.recordChoice(upstream, ["a", "b"]);
     assert.equal(index.matchOf(upstream, ["a", "b", "c"]), 1);
-    index.onChosen(upstream, ["c", "d", "e"]);
+    index.recordChoice(upstream, ["c", "d", "e"]);
     assert.equal(index.matchOf(upstream, ["a"]), 0);
     assert.equal(index.matchOf(upstream, ["b"]), 0.5);
 });
