--- a/placement/weight-store/src/httpWeightStore.ts
+++ b/placement/weight-store/src/httpWeightStore.ts
@@ -10,7 +10,7 @@
 const DEFAULT_TIMEOUT_MS = 2000;
 const PATH = "/v1/reservations";
 
-/** The weight store over HTTP. */
+/** Calls the weight store over HTTP. */
 export class HttpWeightStore implements WeightStore {
     private readonly client: PlatformHttpClient;
     private readonly timeoutMs: number;
--- a/placement/weight-store/src/weightLoadRequest.ts
+++ b/placement/weight-store/src/weightLoadRequest.ts
@@ -1,7 +1,7 @@
 import type { ModelName } from "@knapweedwood/core.ids/modelName";
 import type { ModelVersion } from "@knapweedwood/core.ids/modelVersion";
 
-/** Weights that an instance wants to load. */
+/** A request to load the weights of one model version. */
 export interface WeightLoadRequest {
     model: ModelName;
     version: ModelVersion;
--- a/placement/weight-store/src/weightLoadReservation.ts
+++ b/placement/weight-store/src/weightLoadReservation.ts
@@ -1,8 +1,8 @@
-/** A place in the weight store's rate. */
+/** A reserved transfer from the weight store. */
 export interface WeightLoadReservation {
     reservationId: string;
-    /** When the transfer may begin, from now. */
+    /** Time until the transfer may begin, in milliseconds. */
     waitMs: number;
-    /** How long the transfer takes at the store's rate. */
+    /** Duration of the transfer at the store's rate, in milliseconds. */
     transferMs: number;
 }
--- a/placement/weight-store/src/weightStore.ts
+++ b/placement/weight-store/src/weightStore.ts
@@ -2,13 +2,14 @@
 import type { WeightLoadReservation } from "./weightLoadReservation.js";
 
 /**
- * The platform's store of model weights. Its rate is shared by all instances, so a load is reserved first.
+ * The platform's store of model weights. All instances share its transfer rate, so each transfer is reserved first.
  *
- * Methods throw `WEIGHT_STORE_UNAVAILABLE`, with outcome `not-run` where nothing was reserved, `unknown` otherwise.
+ * Methods reject with `WEIGHT_STORE_UNAVAILABLE`. Its outcome is `not-run` if nothing was reserved, and `unknown`
+ * otherwise.
  */
 export interface WeightStore {
-    /** Reserves the transfer of one model's weights. */
+    /** Reserves a transfer of the weights of one model version. */
     requestLoad(request: WeightLoadRequest): Promise<WeightLoadReservation>;
-    /** Gives back a reservation whose transfer has not ended. Has no effect where it has. */
+    /** Cancels a reservation. Has no effect if its transfer has ended. */
     cancelLoad(reservationId: string): Promise<void>;
 }
