--- a/placement/orders/src/engineReconciler.ts
+++ b/placement/orders/src/engineReconciler.ts
@@ -9,14 +9,15 @@
 import type { ReconcilerEvent } from "./reconcilerEvent.js";
 import type { ReconcilerState } from "./reconcilerState.js";
 
-/** How long a plan may be acted upon after it was last confirmed. */
+/** Time after its last confirmation for which a plan is valid. */
 const PLAN_VALIDITY_MS = 10_000;
-/** Time before the claim's end at which no further order is begun. */
+/** Time before the end of the plan's validity from which no further order is sent. */
 const PLAN_VALIDITY_MARGIN_MS = 3_000;
 
 /**
- * Converges one engine on the newest plan received, one order at a time: compare, check the claim, order, compare.
- * The side is the only one that orders its engine, so that this is the guard where engines check no fencing number.
+ * Reconciles one engine with the newest plan received. It sends one order at a time: it compares the engine with the
+ * plan, checks that the plan is still valid, sends an order and compares again. Only the side sends orders to its
+ * engine, so this check protects engines that don't check fencing numbers.
  */
 export class EngineReconciler {
     private readonly engine: Pick<ModelEngine, "state" | "order">;
@@ -36,10 +37,10 @@
     }
 
     /**
-     * Takes a plan, or the confirmation of the one held.
+     * Accepts a newer plan, or a confirmation of the current plan.
      *
-     * @param validAtMs when the sender held its lease, by this process's clock
-     * @returns whether the plan is the newest; an older one is ignored
+     * @param validAtMs when the sender held its lease, by this process's clock, in milliseconds
+     * @returns whether the plan is the newest; older plans are ignored
      */
     receive(plan: ReceivedPlan, validAtMs: number): boolean {
         const isSamePlan = plan.fencingNumber === this.plan?.fencingNumber && plan.planNumber === this.plan.planNumber;
@@ -58,7 +59,10 @@
         return true;
     }
 
-    /** Compares again what is with what is wanted; called at intervals, for engines restart or are changed by hand. */
+    /**
+     * Starts another comparison of the engine with the plan. Called at intervals, because engines may restart or be
+     * changed manually.
+     */
     recheck(): void {
         if (reconcilerChart.accepts(this.currentState, "SWEEP")) {
             this.apply("SWEEP");
@@ -68,7 +72,7 @@
         }
     }
 
-    /** Takes one step. @returns whether there is another to take at once */
+    /** Runs one step. @returns whether another step can run at once */
     async step(): Promise<boolean> {
         switch (this.currentState) {
             case "comparing":
@@ -85,10 +89,10 @@
         }
     }
 
-    /** Takes steps until there is nothing to do. */
+    /** Runs steps until no further step can run at once. */
     async run(): Promise<void> {
         while (await this.step()) {
-            // Each step is one order or one comparison.
+            // Each step is one comparison, one check of the plan's validity or one order.
         }
     }
 
@@ -107,7 +111,7 @@
         }
     }
 
-    /** The order must follow from the newest plan, and the plan must have been confirmed lately. */
+    /** Checks that the order follows from the newest plan and that the plan was confirmed recently. */
     private checkPlanValidity(): ReconcilerEvent {
         return this.mayOrder() ? "CLAIMED" : "STALE";
     }
--- a/placement/orders/src/isNewerPlan.ts
+++ b/placement/orders/src/isNewerPlan.ts
@@ -1,6 +1,9 @@
 import type { ReceivedPlan } from "./receivedPlan.js";
 
-/** Whether `plan` replaces `current`: of a later planner, or a later plan of the same one. */
+/**
+ * Returns whether `plan` replaces `current`: it has a higher fencing number, that is, a later planner, or a higher plan
+ * number from the same planner.
+ */
 export function isNewerPlan(plan: ReceivedPlan, current: ReceivedPlan | undefined): boolean {
     return current === undefined
         || plan.fencingNumber > current.fencingNumber
--- a/placement/orders/src/nextAction.ts
+++ b/placement/orders/src/nextAction.ts
@@ -3,8 +3,8 @@
 import type { UpstreamPlan } from "@knapweedwood/placement.planner/upstreamPlan";
 
 /**
- * The next order that brings the engine closer to its plan; undefined where nothing is left to order. Nothing is
- * unloaded before all that is wanted is ready, but for what failed to load.
+ * Returns the next action that brings the engine closer to its plan, or undefined if no action is left. Nothing is
+ * unloaded before all desired models are ready, except models that failed to load.
  */
 export function nextAction(engine: EngineState, plan: UpstreamPlan): EngineOrder["action"] | undefined {
     return unloadFailed(engine, plan)
--- a/placement/orders/src/reconcilerTask.ts
+++ b/placement/orders/src/reconcilerTask.ts
@@ -8,7 +8,7 @@
 
 const RECHECK_INTERVAL_MS = 1_000;
 
-/** Receives plans at a side, and keeps its engine converged on the newest. */
+/** Receives plans at a side and keeps its engine reconciled with the newest one. */
 export class ReconcilerTask {
     private readonly engine: Pick<ModelEngine, "state" | "order">;
     private readonly clock: Clock;
@@ -35,7 +35,7 @@
         this.running = this.run();
     }
 
-    /** Ends after the order in progress. */
+    /** Stops the task. Resolves after the order in progress has ended. */
     async stop(): Promise<void> {
         this.stopped.abort();
         await this.running;
@@ -45,7 +45,7 @@
         while (!this.stopped.signal.aborted) {
             this.reconciler.recheck();
             while (!this.stopped.signal.aborted && await this.reconciler.step()) {
-                // Each step is one order or one comparison.
+                // Each step is one comparison, one check of the plan's validity or one order.
             }
             await sleep(this.clock, RECHECK_INTERVAL_MS, this.stopped.signal);
         }
--- a/placement/orders/test/engineReconciler.test.ts
+++ b/placement/orders/test/engineReconciler.test.ts
@@ -28,13 +28,13 @@
     };
 }
 
-class Engine {
+class TestEngine {
     readonly clock = new ManualClock();
     readonly accepted: EngineOrder[] = [];
-    readonly held: LoadedModels;
+    readonly loadedModels: LoadedModels;
 
     constructor(opts: { checksFencing: boolean; }) {
-        this.held = new LoadedModels({
+        this.loadedModels = new LoadedModels({
             clock: this.clock,
             seed: 1,
             models: [],
@@ -44,23 +44,27 @@
     }
 
     state() {
-        return Promise.resolve(structuredClone(this.held.state()));
+        return Promise.resolve(structuredClone(this.loadedModels.state()));
     }
 
     order(order: EngineOrder): Promise<void> {
-        if (!this.held.accept(order)) {
-            return Promise.reject(new KnapweedError("ENGINE_ORDER_STALE", "old", { outcome: "not-run" }));
+        if (!this.loadedModels.accept(order)) {
+            return Promise.reject(
+                new KnapweedError("ENGINE_ORDER_STALE", "The order has an older fencing number", {
+                    outcome: "not-run",
+                }),
+            );
         }
         this.accepted.push(order);
         return Promise.resolve();
     }
 
     versions(): string[] {
-        return this.held.state().models.map(held => held.version as string).sort();
+        return this.loadedModels.state().models.map(loaded => loaded.version as string).sort();
     }
 }
 
-async function reconcile(engine: Engine, side: EngineReconciler): Promise<void> {
+async function reconcile(engine: TestEngine, side: EngineReconciler): Promise<void> {
     for (let round = 0; round < 5; round += 1) {
         side.recheck();
         await side.run();
@@ -68,7 +72,7 @@
     }
 }
 
-/** All orders in which the events of several actors can come, each actor's own order kept. */
+/** Returns every interleaving of the actors' events that keeps the order of each actor. */
 function interleavings(actors: string[][]): string[][] {
     if (actors.every(events => events.length === 0)) {
         return [[]];
@@ -90,20 +94,20 @@
 
 [true, false].forEach(checksFencing => {
     const kind = checksFencing ? "checks" : "does not check";
-    test(`two planners and a paused side in every order end with the later plan, where the engine ${kind} fencing`, async () => {
+    test(`interleaved planners and a paused side end with the later plan if the engine ${kind} fencing`, async () => {
         const orders = interleavings(ACTORS);
         assert.equal(orders.length, 5_040);
         for (const events of orders) {
-            await play(events, checksFencing);
+            await runEvents(events, checksFencing);
         }
     });
 });
 
-async function play(events: string[], checksFencing: boolean): Promise<void> {
-    const engine = new Engine({ checksFencing });
+async function runEvents(events: string[], checksFencing: boolean): Promise<void> {
+    const engine = new TestEngine({ checksFencing });
     const create = () => new EngineReconciler({ engine, clock: engine.clock });
     const side = create();
-    // A side process that was paused just before its order, while a new one took its place.
+    // A side process that was paused just before it sent its order, while a new process replaced it.
     const oldSide = create();
     oldSide.receive(plan(1, 1, "old"), 0);
     await oldSide.step();
@@ -143,8 +147,8 @@
     }
 }
 
-test("no order is begun once the plan has not been confirmed for too long", async () => {
-    const engine = new Engine({ checksFencing: false });
+test("no order is sent after the plan's validity has expired without a confirmation", async () => {
+    const engine = new TestEngine({ checksFencing: false });
     const side = new EngineReconciler({ engine, clock: engine.clock });
     side.receive(plan(1, 1, "1"), engine.clock.nowMs());
     await side.step();
@@ -156,12 +160,12 @@
     assert.deepEqual(engine.versions(), ["1"]);
 });
 
-test("an engine that was changed by hand is brought back", async () => {
-    const engine = new Engine({ checksFencing: false });
+test("an engine that was changed manually is reconciled with the plan again", async () => {
+    const engine = new TestEngine({ checksFencing: false });
     const side = new EngineReconciler({ engine, clock: engine.clock });
     side.receive(plan(1, 1, "1"), 0);
     await reconcile(engine, side);
-    engine.held.accept({
+    engine.loadedModels.accept({
         fencingNumber: 0 as FencingNumber,
         action: { kind: "load-model", model, version: "by-hand" as ModelVersion },
     });
@@ -169,8 +173,8 @@
     assert.deepEqual(engine.versions(), ["1"]);
 });
 
-test("the old version is unloaded only when the new one is ready", async () => {
-    const engine = new Engine({ checksFencing: true });
+test("the old version is unloaded only after the new one is ready", async () => {
+    const engine = new TestEngine({ checksFencing: true });
     const side = new EngineReconciler({ engine, clock: engine.clock });
     side.receive(plan(1, 1, "1"), 0);
     await reconcile(engine, side);
@@ -181,7 +185,7 @@
     assert.deepEqual(engine.versions(), ["2"]);
 });
 
-test("every state of the chart can be reached and left", () => {
+test("every state of the chart is reachable and has an outgoing event", () => {
     const reached = new Set([reconcilerChart.initial]);
     const frontier = [reconcilerChart.initial];
     for (let state = frontier.pop(); state !== undefined; state = frontier.pop()) {
--- a/placement/orders/test/plannerTask.test.ts
+++ b/placement/orders/test/plannerTask.test.ts
@@ -32,14 +32,14 @@
     return { name: "notes", kind: "model-engine", models, roles: ["any"], replicas: 2 } as unknown as ServiceDefinition;
 }
 
-async function eventually(isTrue: () => boolean): Promise<void> {
-    for (let check = 0; check < MAX_CHECKS && !isTrue(); check += 1) {
+async function waitUntil(isDone: () => boolean): Promise<void> {
+    for (let check = 0; check < MAX_CHECKS && !isDone(); check += 1) {
         await sleep(clock, 25);
     }
-    assert.ok(isTrue());
+    assert.ok(isDone());
 }
 
-test("a planner and the sides bring engines to what is wanted, and to a new version, over real links", async context => {
+test("a planner and its sides load the configured version, then a new one, over real links", async context => {
     let services = [serviceOf("1")];
     const configuration = { current: () => ({ services: () => services }) } as unknown as ConfigurationSource;
     const engines = Array.from(
@@ -48,11 +48,11 @@
     );
     const endpoints = engines.map((_, n) => createEndpoint(`side-${n}`, "side"));
     const addresses = await Promise.all(endpoints.map(endpoint => endpoint.listen()));
-    const tasks = engines.map((held, n) => {
+    const tasks = engines.map((loadedModels, n) => {
         const engine = {
-            state: () => Promise.resolve(structuredClone(held.state())),
+            state: () => Promise.resolve(structuredClone(loadedModels.state())),
             order: (order: Parameters<LoadedModels["accept"]>[0]) =>
-                held.accept(order) ? Promise.resolve() : Promise.reject(new Error("stale")),
+                loadedModels.accept(order) ? Promise.resolve() : Promise.reject(new Error("stale")),
         };
         return new ReconcilerTask({ engine, clock, endpoint: endpoints[n] as WebSocketLinkEndpoint });
     });
@@ -83,11 +83,11 @@
         await Promise.all([entry, ...endpoints].map(endpoint => endpoint.close(0)));
         keyValue.close();
     });
-    const holding = (version: string) =>
+    const enginesWithReady = (version: string) =>
         engines.filter(engine =>
-            engine.state().models.some(held => held.version === version && held.state === "ready")
+            engine.state().models.some(loaded => loaded.version === version && loaded.state === "ready")
         );
-    await eventually(() => holding("1").length === 2);
+    await waitUntil(() => enginesWithReady("1").length === 2);
     services = [serviceOf("2")];
-    await eventually(() => holding("2").length === 2 && holding("1").length === 0);
+    await waitUntil(() => enginesWithReady("2").length === 2 && enginesWithReady("1").length === 0);
 });
