--- a/placement/planner/src/chooseReplicas.ts
+++ b/placement/planner/src/chooseReplicas.ts
@@ -3,8 +3,8 @@
 import type { UpstreamObservation } from "./upstreamObservation.js";
 
 /**
- * Picks `count` upstreams, spread evenly over zones. Within a zone those picked before stay, then those that answer,
- * then by rendezvous rank.
+ * Returns at most `count` live upstreams, spread evenly over zones; shape [replicas]. Within a zone it prefers
+ * upstreams whose engine responds, then upstreams that were chosen before, and then orders by rendezvous rank.
  */
 export function chooseReplicas(
     opts: {
--- a/placement/planner/src/loadBudget.ts
+++ b/placement/planner/src/loadBudget.ts
@@ -1,7 +1,7 @@
 import type { InstanceId } from "@knapweedwood/core.ids/instanceId";
 import type { UpstreamObservation } from "./upstreamObservation.js";
 
-/** Limits how many upstreams load weights at once. An upstream that is loading already keeps its place. */
+/** Limits how many upstreams load weights at once. An upstream that is already loading keeps its slot. */
 export class LoadBudget {
     private readonly loading: Set<InstanceId>;
     private readonly limit: number;
@@ -15,7 +15,7 @@
         );
     }
 
-    /** @returns whether the upstream may load now */
+    /** Takes a slot for an upstream. @returns whether the upstream may load now */
     take(instanceId: InstanceId): boolean {
         if (this.loading.has(instanceId)) {
             return true;
--- a/placement/planner/src/planModel.ts
+++ b/placement/planner/src/planModel.ts
@@ -5,9 +5,10 @@
 import type { UpstreamObservation } from "./upstreamObservation.js";
 
 /**
- * The versions of one model that each upstream is to hold. A new version first goes to one upstream; only where it
- * became ready there does it go to the others, and an upstream gives up the old version once the new one is ready on it.
- * Upstreams that are no longer chosen keep theirs until the chosen ones are ready.
+ * Returns the versions of one model that each upstream should have loaded. A new version is first loaded on one
+ * upstream, the canary, and on the others only after it is ready there. An upstream unloads the old version once the new
+ * one is ready on it. Upstreams that are no longer chosen keep their versions until all chosen upstreams are ready. Those
+ * that are leaving always keep them.
  */
 export function planModel(
     opts: {
--- a/placement/planner/src/planRegion.ts
+++ b/placement/planner/src/planRegion.ts
@@ -8,7 +8,10 @@
 import type { UpstreamObservation } from "./upstreamObservation.js";
 import type { UpstreamPlan } from "./upstreamPlan.js";
 
-/** Plans what each upstream of a region is to hold next. Level-triggered: called again as what is observed changes. */
+/**
+ * Returns the next plan for each upstream of a region. Level-triggered: it is called again whenever the observed state
+ * changes.
+ */
 export function planRegion(input: PlanningInput): UpstreamPlan[] {
     const budget = new LoadBudget({ upstreams: input.upstreams, limit: input.maxConcurrentLoads });
     return input.services
@@ -38,7 +41,7 @@
     }));
     return members.flatMap((upstream): UpstreamPlan[] => {
         if (upstream.engine === undefined) {
-            // Nothing is known of it, so that nothing is changed.
+            // The engine's state is unknown, so its plan is not changed.
             const before = previous.get(upstream.instanceId);
             return before === undefined ? [] : [before];
         }
@@ -50,7 +53,7 @@
     });
 }
 
-/** Adapters of each model that is to be held. */
+/** Returns the adapters of all models in the plan. */
 function adaptersOf(service: ServiceDefinition, models: UpstreamPlan["models"]): UpstreamPlan["adapters"] {
     return service.models
         .filter(model => models.some(planned => planned.model === model.name))
--- a/placement/planner/src/planRoles.ts
+++ b/placement/planner/src/planRoles.ts
@@ -4,19 +4,20 @@
 import type { UpstreamPlan } from "./upstreamPlan.js";
 import type { UpstreamRole } from "./upstreamRole.js";
 
-/** Share by which demand must differ from what is planned before an upstream changes its role. */
+/** Minimum difference between planned and demanded share of prefill at which an upstream changes its role. */
 const HYSTERESIS_SHARE = 0.15;
 const MIN_ROLE_HOLD_MS = 60_000;
 
-/** A role, and since when it is held. */
+/** The role of an upstream and the time of its assignment. */
 export interface RoleAssignment {
     role: UpstreamRole;
     roleSinceMs: number;
 }
 
 /**
- * Splits the replicas of a service between prefill and decode as demand has it. At most one upstream changes its role
- * a call, none before its role has been held for a while, and each role keeps at least one.
+ * Splits the replicas of a service between prefill and decode in proportion to demand. At most one upstream changes its
+ * role per call, and only after it has had its role for a minimum time. Each role keeps at least one upstream. If a
+ * role has none, an upstream changes to it without the minimum time.
  */
 export function planRoles(
     opts: {
--- a/placement/planner/src/planStore.ts
+++ b/placement/planner/src/planStore.ts
@@ -4,7 +4,7 @@
 import { placementKeys } from "./placementKeys.js";
 import type { RegionPlan } from "./regionPlan.js";
 
-/** The plan of a region in the key-value service. */
+/** Stores the plan of a region in the key-value service. */
 export class PlanStore {
     private readonly keyValue: KeyValueService;
     private readonly region: RegionName;
@@ -20,9 +20,9 @@
     }
 
     /**
-     * Writes a plan, where the lease of its fencing number is still held.
+     * Writes a plan if the lease with its fencing number is still held.
      *
-     * @returns whether it was written
+     * @returns whether the plan was written
      */
     async write(plan: RegionPlan): Promise<boolean> {
         const holder = { key: placementKeys.holder(this.region), modRevision: plan.fencingNumber as FencingNumber };
--- a/placement/planner/src/plannerLease.ts
+++ b/placement/planner/src/plannerLease.ts
@@ -6,12 +6,12 @@
 import { placementKeys } from "./placementKeys.js";
 
 const LEASE_TTL_MS = 10_000;
-/** Time before the lease's end at which its holder stops acting on it. */
+/** Time before the lease expires at which its holder stops using it. */
 const LEASE_MARGIN_MS = 3_000;
 
 /**
- * The lease of a region's planner. Its fencing number is the revision at which the holder's key was written, which
- * only rises.
+ * The lease of a region's planner. Its fencing number is the revision at which the holder's key was written, so it only
+ * increases.
  */
 export class PlannerLease {
     private readonly keyValue: KeyValueService;
@@ -29,15 +29,15 @@
         this.key = placementKeys.holder(opts.region);
     }
 
-    /** Undefined while the lease is not held, or about to end. */
+    /** Fencing number of the lease; undefined while the lease is not held or is about to expire. */
     get fencingNumber(): FencingNumber | undefined {
         return this.clock.nowMs() < this.validUntilMs - LEASE_MARGIN_MS ? this.heldFencingNumber : undefined;
     }
 
     /**
-     * Takes the lease where it is free, or keeps it alive where it is held here. Called again and again.
+     * Acquires the lease if it is free, or renews it if this instance holds it. Called periodically.
      *
-     * @returns whether it is held
+     * @returns whether this instance holds the lease
      */
     async acquireOrRenew(): Promise<boolean> {
         return this.leaseId === undefined ? this.acquire() : this.renew(this.leaseId);
--- a/placement/planner/src/plannerTask.ts
+++ b/placement/planner/src/plannerTask.ts
@@ -16,7 +16,7 @@
 
 const PLANNING_INTERVAL_MS = 1_000;
 const EXCHANGE_TIMEOUT_MS = 1_000;
-/** Entries that try for the lease, so that calls on the key-value service don't grow with the fleet. */
+/** Entries that try to acquire the lease. Limited so that calls to the key-value service don't grow with the fleet. */
 const MAX_LEASE_CANDIDATES = 3;
 
 /** Plans the region while this entry holds the planner's lease. */
@@ -39,16 +39,16 @@
         this.running = this.run();
     }
 
-    /** Stops planning and gives the lease back. */
+    /** Stops planning and releases the lease. */
     async stop(): Promise<void> {
         this.stopped.abort();
         await this.running;
-        await this.lease.release().catch((thrown: unknown) => this.debug("placement.lease-not-released", thrown));
+        await this.lease.release().catch((thrown: unknown) => this.debug("placement-lease-not-released", thrown));
     }
 
     private async run(): Promise<void> {
         while (!this.stopped.signal.aborted) {
-            await this.runOnce().catch((thrown: unknown) => this.debug("placement.round-failed", thrown));
+            await this.runOnce().catch((thrown: unknown) => this.debug("placement-round-failed", thrown));
             await sleep(this.opts.clock, PLANNING_INTERVAL_MS, this.stopped.signal);
         }
     }
@@ -67,10 +67,10 @@
         await this.updatePlan(this.plan);
     }
 
-    /** Goes on from the plan of the planner before. */
+    /** Reads the plan of the previous planner, from which this one continues. */
     private async loadPreviousPlan(fencingNumber: FencingNumber): Promise<RegionPlan> {
         const previous = await this.store.read();
-        this.opts.logger.info("placement.planner", { fencingNumber });
+        this.opts.logger.info("placement-planner", { fencingNumber });
         return { fencingNumber, planNumber: 0, upstreams: previous?.upstreams ?? [] };
     }
 
@@ -96,7 +96,7 @@
         this.plan = await this.store.write(plan) ? plan : undefined;
     }
 
-    /** Gives a side its plan, and learns what its engine holds. */
+    /** Sends a side its plan and returns the observed state of its upstream. */
     private async exchange(side: InstanceRecord, plan: RegionPlan): Promise<UpstreamObservation> {
         const upstream = plan.upstreams.find(planned => planned.instanceId === side.instanceId);
         const { instanceId, zone, state } = side;
@@ -120,7 +120,7 @@
             return response.engine;
         }
         catch (thrown) {
-            this.debug("placement.exchange-failed", thrown);
+            this.debug("placement-exchange-failed", thrown);
             return undefined;
         }
     }
--- a/placement/planner/src/plannerTaskOptions.ts
+++ b/placement/planner/src/plannerTaskOptions.ts
@@ -6,17 +6,17 @@
 import type { InstanceRecord } from "@knapweedwood/routing.instance-list/instanceRecord";
 import type { RoleDemand } from "./roleDemand.js";
 
-/** What a {@link PlannerRole} works with. */
+/** Options of a {@link PlannerTask}. */
 export interface PlannerTaskOptions {
     keyValue: KeyValueService;
     clock: Clock;
     configuration: ConfigurationSource;
-    /** The instance list, as last read. */
+    /** Returns the instance list as last read; shape [instances]. */
     instances: () => InstanceRecord[];
-    /** Work that waits for each role; none where roles are not split. */
+    /** Returns the pending work for each role; empty if roles are not split. */
     demands: () => RoleDemand[];
     endpoint: LinkEndpoint;
     logger: Logger;
-    /** Loads that the weight store's rate allows at once in the region. */
+    /** Maximum number of concurrent loads in the region, as allowed by the weight store's rate. */
     maxConcurrentLoads: number;
 }
--- a/placement/planner/src/planningInput.ts
+++ b/placement/planner/src/planningInput.ts
@@ -3,13 +3,13 @@
 import type { UpstreamObservation } from "./upstreamObservation.js";
 import type { UpstreamPlan } from "./upstreamPlan.js";
 
-/** All that a plan follows from. */
+/** Input from which a plan is computed. */
 export interface PlanningInput {
     services: readonly ServiceDefinition[];
     upstreams: readonly UpstreamObservation[];
     previous: readonly UpstreamPlan[];
     demands: readonly RoleDemand[];
-    /** Loads that the weight store's rate allows at once in the region. */
+    /** Maximum number of concurrent loads in the region, as allowed by the weight store's rate. */
     maxConcurrentLoads: number;
     nowMs: number;
 }
--- a/placement/planner/src/regionPlan.ts
+++ b/placement/planner/src/regionPlan.ts
@@ -1,11 +1,11 @@
 import type { FencingNumber } from "@knapweedwood/core.ids/fencingNumber";
 import type { UpstreamPlan } from "./upstreamPlan.js";
 
-/** What all upstreams of a region are to hold. */
+/** The plan for all upstreams of a region. */
 export interface RegionPlan {
-    /** That of the planner's lease. Grows with each change of planner. */
+    /** Fencing number of the planner's lease. Increases with each change of planner. */
     fencingNumber: FencingNumber;
-    /** Grows with each plan of one planner. */
+    /** Increases with each plan of one planner. */
     planNumber: number;
     upstreams: UpstreamPlan[];
 }
--- a/placement/planner/src/roleDemand.ts
+++ b/placement/planner/src/roleDemand.ts
@@ -1,6 +1,6 @@
 import type { ServiceName } from "@knapweedwood/core.ids/serviceName";
 
-/** Work that waits for each role of a service, in the same unit for both. */
+/** Pending work for each role of a service, in the same unit for both roles. */
 export interface RoleDemand {
     service: ServiceName;
     prefill: number;
--- a/placement/planner/src/upstreamObservation.ts
+++ b/placement/planner/src/upstreamObservation.ts
@@ -3,12 +3,12 @@
 import type { ZoneName } from "@knapweedwood/core.ids/zoneName";
 import type { EngineState } from "@knapweedwood/engines.model-engine/engineState";
 
-/** One upstream, as its side reports it. */
+/** The observed state of one upstream, as reported by its side. */
 export interface UpstreamObservation {
     instanceId: InstanceId;
     zone: ZoneName;
     service: ServiceName;
     state: "live" | "leaving";
-    /** Undefined where the engine does not answer. */
+    /** Undefined if the engine or its side does not respond. */
     engine: EngineState | undefined;
 }
--- a/placement/planner/src/upstreamPlan.ts
+++ b/placement/planner/src/upstreamPlan.ts
@@ -4,12 +4,12 @@
 import type { ModelVersion } from "@knapweedwood/core.ids/modelVersion";
 import type { UpstreamRole } from "./upstreamRole.js";
 
-/** What one upstream is to hold. */
+/** The models, adapters and role that one upstream should have. */
 export interface UpstreamPlan {
     instanceId: InstanceId;
     models: { model: ModelName; version: ModelVersion; }[];
     adapters: { adapter: AdapterName; version: ModelVersion; }[];
     role: UpstreamRole;
-    /** When the role last changed. */
+    /** When the role last changed, in milliseconds. */
     roleSinceMs: number;
 }
--- a/placement/planner/test/planRegion.test.ts
+++ b/placement/planner/test/planRegion.test.ts
@@ -16,7 +16,7 @@
     replicas: 6,
 } as unknown as ServiceDefinition;
 
-/** A region whose engines do at once what the plan says, but for loads, which take a tick and may fail. */
+/** A simulated region. Engines apply the plan immediately, except that a load takes one tick and may fail. */
 class Region {
     service = SERVICE;
     demands: RoleDemand[] = [];
@@ -39,8 +39,8 @@
     tick(): void {
         this.nowMs += 10_000;
         this.upstreams.forEach(({ engine }) =>
-            engine?.models.filter(held => held.state === "loading").forEach(held => {
-                held.state = held.version === this.badVersion ? "failed" : "ready";
+            engine?.models.filter(loaded => loaded.state === "loading").forEach(loaded => {
+                loaded.state = loaded.version === this.badVersion ? "failed" : "ready";
             })
         );
         this.plans = planRegion({
@@ -51,7 +51,7 @@
             maxConcurrentLoads: this.maxConcurrentLoads,
             nowMs: this.nowMs,
         });
-        this.plans.forEach(plan => this.carryOut(plan));
+        this.plans.forEach(plan => this.apply(plan));
     }
 
     run(ticks: number, check: () => void = () => undefined): void {
@@ -61,17 +61,17 @@
         });
     }
 
-    holding(version: string, state?: string): UpstreamObservation[] {
+    upstreamsWith(version: string, state?: string): UpstreamObservation[] {
         return this.upstreams.filter(({ engine }) =>
-            engine?.models.some(held => held.version === version && (state === undefined || held.state === state))
+            engine?.models.some(loaded => loaded.version === version && (state === undefined || loaded.state === state))
         );
     }
 
-    private carryOut(plan: UpstreamPlan): void {
+    private apply(plan: UpstreamPlan): void {
         const engine = this.upstreams.find(upstream => upstream.instanceId === plan.instanceId)?.engine as EngineState;
-        const kept = engine.models.filter(held => plan.models.some(wanted => wanted.version === held.version));
-        const missing = plan.models.filter(wanted => !kept.some(held => held.version === wanted.version));
-        engine.models = [...kept, ...missing.map(wanted => ({ ...wanted, state: "loading" as const }))];
+        const kept = engine.models.filter(loaded => plan.models.some(desired => desired.version === loaded.version));
+        const missing = plan.models.filter(desired => !kept.some(loaded => loaded.version === desired.version));
+        engine.models = [...kept, ...missing.map(desired => ({ ...desired, state: "loading" as const }))];
         engine.role = plan.role;
     }
 }
@@ -80,23 +80,23 @@
     return { ...SERVICE, models: [{ ...SERVICE.models[0], version }] } as unknown as ServiceDefinition;
 }
 
-test("replicas are spread over zones, and loads are paced", () => {
+test("replicas are spread over zones, and concurrent loads are limited", () => {
     const region = new Region(12);
-    region.run(20, () => assert.ok(region.holding("1", "loading").length <= 2));
-    const zones = region.holding("1", "ready").map(upstream => upstream.zone as string);
+    region.run(20, () => assert.ok(region.upstreamsWith("1", "loading").length <= 2));
+    const zones = region.upstreamsWith("1", "ready").map(upstream => upstream.zone as string);
     assert.deepEqual(zones.sort(), ["a", "a", "b", "b", "c", "c"]);
 });
 
-test("a new version replaces the old one without a replica less", () => {
+test("a new version replaces the old one without reducing the number of ready replicas", () => {
     const region = new Region(9);
     region.run(20);
     region.service = withVersion("2");
     region.run(30, () => {
-        const serving = new Set([...region.holding("1", "ready"), ...region.holding("2", "ready")]);
-        assert.ok(serving.size >= 6);
-        assert.ok(region.holding("2", "loading").length <= 2);
+        const ready = new Set([...region.upstreamsWith("1", "ready"), ...region.upstreamsWith("2", "ready")]);
+        assert.ok(ready.size >= 6);
+        assert.ok(region.upstreamsWith("2", "loading").length <= 2);
     });
-    assert.deepEqual([region.holding("2", "ready").length, region.holding("1").length], [6, 0]);
+    assert.deepEqual([region.upstreamsWith("2", "ready").length, region.upstreamsWith("1").length], [6, 0]);
 });
 
 test("a version that never becomes ready is loaded by one upstream only, and the old one stays", () => {
@@ -104,23 +104,23 @@
     region.run(20);
     region.service = withVersion("2");
     region.badVersion = "2";
-    region.run(30, () => assert.ok(region.holding("2").length <= 1));
-    assert.equal(region.holding("1", "ready").length, 6);
+    region.run(30, () => assert.ok(region.upstreamsWith("2").length <= 1));
+    assert.equal(region.upstreamsWith("1", "ready").length, 6);
     region.service = withVersion("1");
     region.run(5);
-    assert.equal(region.holding("2").length, 0);
+    assert.equal(region.upstreamsWith("2").length, 0);
 });
 
-test("an engine that restarts empty is brought back, and the loss of a zone is made good elsewhere", () => {
+test("an engine that restarts empty is loaded again, and replicas of a lost zone are replaced elsewhere", () => {
     const region = new Region(12);
     region.run(20);
-    const [first] = region.holding("1");
+    const [first] = region.upstreamsWith("1");
     Object.assign(first?.engine ?? {}, { models: [], incarnation: 2 });
     region.run(3);
-    assert.equal(region.holding("1", "ready").length, 6);
+    assert.equal(region.upstreamsWith("1", "ready").length, 6);
     region.upstreams = region.upstreams.filter(upstream => upstream.zone !== "a" as never);
     region.run(10);
-    assert.deepEqual(region.holding("1", "ready").map(upstream => upstream.zone as string).sort(), [
+    assert.deepEqual(region.upstreamsWith("1", "ready").map(upstream => upstream.zone as string).sort(), [
         "b",
         "b",
         "b",
@@ -130,13 +130,13 @@
     ]);
 });
 
-test("an upstream that does not answer keeps its plan", () => {
+test("an upstream that does not respond keeps its plan", () => {
     const region = new Region(9);
     region.run(20);
-    const [silent] = region.holding("1");
-    const before = region.plans.find(plan => plan.instanceId === silent?.instanceId);
-    const engine = silent?.engine;
-    Object.assign(silent ?? {}, { engine: undefined });
+    const [unresponsive] = region.upstreamsWith("1");
+    const before = region.plans.find(plan => plan.instanceId === unresponsive?.instanceId);
+    const engine = unresponsive?.engine;
+    Object.assign(unresponsive ?? {}, { engine: undefined });
     region.plans = planRegion({
         services: [region.service],
         upstreams: region.upstreams,
@@ -145,13 +145,13 @@
         maxConcurrentLoads: 2,
         nowMs: 0,
     });
-    assert.deepEqual(region.plans.find(plan => plan.instanceId === silent?.instanceId), before);
-    Object.assign(silent ?? {}, { engine });
+    assert.deepEqual(region.plans.find(plan => plan.instanceId === unresponsive?.instanceId), before);
+    Object.assign(unresponsive ?? {}, { engine });
     region.run(10);
-    assert.equal(region.holding("1", "ready").length, 6);
+    assert.equal(region.upstreamsWith("1", "ready").length, 6);
 });
 
-test("roles follow demand one at a time, and do not flap on small changes", () => {
+test("roles follow demand one change at a time, and do not flap on small changes", () => {
     const region = new Region(6);
     region.service = { ...SERVICE, roles: ["prefill", "decode"] };
     region.run(20);
@@ -160,10 +160,10 @@
     const demand = (share: number) => [{ service: SERVICE.name, prefill: share, decode: 1 - share }];
     region.demands = demand(0.85);
     region.run(30);
-    const settled = prefill();
-    assert.ok(settled === 5 || settled === 4);
+    const settledCount = prefill();
+    assert.ok(settledCount === 5 || settledCount === 4);
     region.run(30, () => {
         region.demands = demand(region.nowMs % 20_000 === 0 ? 0.8 : 0.7);
-        assert.equal(prefill(), settled);
+        assert.equal(prefill(), settledCount);
     });
 });
