--- a/placement/planner/src/planModel.ts
+++ b/placement/planner/src/planModel.ts
@@ -6,9 +6,9 @@
 
 /**
  * Returns the versions of one model that each upstream should have loaded. A new version is first loaded on one
- * upstream, the canary, and on the others only after it is ready there. An upstream unloads the old version once the new
- * one is ready on it. Upstreams that are no longer chosen keep their versions until all chosen upstreams are ready. Those
- * that are leaving always keep them.
+ * upstream, the canary, and on the others only after it is ready there. An upstream unloads the old version once the
+ * new one is ready on it. Upstreams that are no longer chosen keep their versions until all chosen upstreams are ready.
+ * Those that are leaving always keep them.
  */
 export function planModel(
     opts: {
