--- a/routing/limits/src/canMeetDeadline.ts
+++ b/routing/limits/src/canMeetDeadline.ts
@@ -2,7 +2,10 @@
 
 const MS_PER_SECOND = 1000;
 
-/** Whether a request is worth queueing: one that would be late is better refused at once, as not run. */
+/**
+ * Returns whether a request can be served before its deadline. A request that would be late is better rejected at once,
+ * with outcome not-run, than queued.
+ */
 export function canMeetDeadline(estimate: DeadlineEstimate): boolean {
     const { queuedCost, costPerSecond, serviceMs, deadlineMs, nowMs } = estimate;
     if (deadlineMs === undefined) {
--- a/routing/limits/src/deadlineEstimate.ts
+++ b/routing/limits/src/deadlineEstimate.ts
@@ -1,10 +1,10 @@
-/** What the time of an answer is estimated from. */
+/** Values from which the time of a response is estimated. */
 export interface DeadlineEstimate {
-    /** Work that waits before the request, in the unit of `costPerSecond`. */
+    /** Work queued ahead of the request, in the unit of `costPerSecond`. */
     queuedCost: number;
-    /** Rate at which the queue is served; undefined where it isn't known yet. */
+    /** Rate at which the queue is served; undefined while it is unknown. */
     costPerSecond: number | undefined;
-    /** Usual time from being served to the answer, in milliseconds. */
+    /** Typical time from leaving the queue to the response, in milliseconds. */
     serviceMs: number;
     deadlineMs: number | undefined;
     nowMs: number;
--- a/routing/limits/src/demandOf.ts
+++ b/routing/limits/src/demandOf.ts
@@ -1,6 +1,9 @@
 import type { RateLimits } from "./rateLimits.js";
 
-/** What a request asks for, as a part of the limit's amount for a second; the largest part of several limits. */
+/**
+ * Returns the demand of a request as a share of the amount that a limit allows in one second. With several limits it is
+ * the largest of their shares.
+ */
 export function demandOf(limits: RateLimits, tokens: number): number {
     const parts = [
         [1, limits.requestsPerSecond],
--- a/routing/limits/src/demandRate.ts
+++ b/routing/limits/src/demandRate.ts
@@ -1,7 +1,7 @@
 const TIME_CONSTANT_MS = 1000;
 const MS_PER_SECOND = 1000;
 
-/** Amount per second, smoothed over about a second. */
+/** Measures an amount per second, smoothed exponentially with a time constant of one second. */
 export class DemandRate {
     private perSecond = 0;
     private updatedAtMs = 0;
--- a/routing/limits/src/demandShares.ts
+++ b/routing/limits/src/demandShares.ts
@@ -6,7 +6,7 @@
 
 interface DemandSharesOptions {
     entryId: InstanceId;
-    /** Entries of the fleet that share the limits, this one among them. */
+    /** Number of entries of the fleet that share the limits, including this one. */
     entryCount: () => number;
     /** Time between reports, in milliseconds. */
     reportIntervalMs: number;
@@ -14,29 +14,29 @@
 
 interface PeerUsage {
     receivedAtMs: number;
-    /** As last reported and as reported before that. */
+    /** Demand in the last report and in the one before it. */
     pressures: Map<PrincipalId, number>;
     previousPressures: Map<PrincipalId, number>;
 }
 
 interface OwnUsage {
     demand: DemandRate;
-    /** As last reported and as reported before that; undefined before the reports. */
+    /** Demand in the last report and in the one before it; undefined until then. */
     reported: number | undefined;
     previouslyReported: number | undefined;
 }
 
-/** Part of each limit that is divided evenly, without agreement. */
+/** Share of each limit that is divided evenly, independent of reports. */
 const RESERVED_SHARE = 0.1;
 const REPORTS_UNTIL_STALE = 4;
 
 /**
  * Divides limits in proportion to the demand that entries report to each other, without a central counter.
  *
- * A tenth of a limit is divided evenly, so that demand within that needs no report; the rest goes by reported demand. An
- * entry counts itself by the smaller of its last two reports and the others by the larger of theirs: where reports
- * arrive within an interval, the shares never add up to more than 1. Only whoever has not reported twice yet gets an
- * even part ahead of agreement.
+ * A tenth of a limit is divided evenly, so that demand within it needs no report. The rest is divided by reported
+ * demand. An entry uses the smaller of its own last two reports and the larger of each peer's last two. If reports
+ * arrive within an interval, the shares therefore never add up to more than 1. The exception is an entry that has demand
+ * but has not reported it twice yet: it gets an even share of the whole limit.
  */
 export class DemandShares implements LimitShares {
     private readonly opts: DemandSharesOptions;
@@ -72,7 +72,10 @@
         return evenShare + (totalPressure === 0 ? 0 : (1 - RESERVED_SHARE) * ownPressure / totalPressure);
     }
 
-    /** What to tell the other entries now. Forgets whoever asks for less than its even part. */
+    /**
+     * Returns the report to send to the other entries now. Removes teams and keys that were last reported without
+     * demand and whose demand is below half of their even share.
+     */
     report(nowMs: number): UsageReport {
         const minPressure = RESERVED_SHARE / this.entryCount;
         this.own.forEach((usage, principalId) => {
--- a/routing/limits/src/entryAddress.ts
+++ b/routing/limits/src/entryAddress.ts
@@ -1,6 +1,6 @@
 import type { InstanceId } from "@knapweedwood/core.ids/instanceId";
 
-/** Where an entry accepts links. */
+/** The address at which an entry accepts links. */
 export interface EntryAddress {
     instanceId: InstanceId;
     /** As `host:port`. */
--- a/routing/limits/src/equalShares.ts
+++ b/routing/limits/src/equalShares.ts
@@ -1,6 +1,9 @@
 import type { LimitShares } from "./limitShares.js";
 
-/** Gives each entry the same part: the baseline, which refuses too much where callers keep to few entries. */
+/**
+ * Gives each entry the same share. This is the baseline for comparison: it rejects too many requests if callers use
+ * only a few entries.
+ */
 export class EqualShares implements LimitShares {
     private readonly countEntries: () => number;
 
--- a/routing/limits/src/fixedConcurrencyLimit.ts
+++ b/routing/limits/src/fixedConcurrencyLimit.ts
@@ -1,6 +1,6 @@
 import type { ConcurrencyLimit } from "./concurrencyLimit.js";
 
-/** Lets a fixed number of calls run: the baseline. */
+/** Allows a fixed number of concurrent calls. This is the baseline for comparison. */
 export class FixedConcurrencyLimit implements ConcurrencyLimit {
     readonly limit: number;
     private inFlightCount = 0;
--- a/routing/limits/src/gradientConcurrencyLimit.ts
+++ b/routing/limits/src/gradientConcurrencyLimit.ts
@@ -4,22 +4,23 @@
     initialLimit: number;
     minLimit: number;
     maxLimit: number;
-    /** Growth of durations over the shortest that is put up with, such as 1.5. */
+    /** Accepted ratio of the median duration to the baseline duration, such as 1.5. */
     tolerance: number;
-    /** Answers after which the limit is looked at again. */
+    /** Number of successful calls after which the limit is adjusted. */
     windowSize: number;
 }
 
 const DROP_FACTOR = 0.8;
 const SMOOTHING = 0.2;
 const MIN_GRADIENT = 0.5;
-/** Windows between probes, in which few calls run so that the duration without a queue is learned again. */
+/** Windows between probes. During a probe few calls run, so that the duration without queueing is measured again. */
 const WINDOWS_BETWEEN_PROBES = 100;
 const PROBE_SHARE = 0.25;
 
 /**
- * Finds how many calls a service takes at once from how much longer they take than when it is idle (the gradient of
- * Netflix's concurrency limits): the limit grows while durations stay short and shrinks as queues build up.
+ * Estimates how many concurrent calls a service can handle, from the ratio of the duration of an idle service to the
+ * current duration (the gradient of Netflix's concurrency limits). The limit grows while durations stay short and
+ * shrinks as queues build up.
  */
 export class GradientConcurrencyLimit implements ConcurrencyLimit {
     private readonly opts: GradientConcurrencyLimitOptions;
--- a/routing/limits/src/leakyBucket.ts
+++ b/routing/limits/src/leakyBucket.ts
@@ -3,14 +3,18 @@
 const MS_PER_SECOND = 1000;
 
 /**
- * Leaky bucket used as a meter, the equal of the generic cell rate algorithm: in any window of W seconds at most
- * `burst + ratePerSecond * W` is taken. It keeps what is owed and not a time, as its rate may change between uses.
+ * A leaky bucket used as a meter, equivalent to the generic cell rate algorithm. In any window of W seconds at most
+ * `burst + ratePerSecond * W` is taken. It stores the level of the bucket instead of a time, because the rate may
+ * change between uses.
  */
 export class LeakyBucket {
     private level = 0;
     private updatedAtMs = 0;
 
-    /** Time until `cost` may be taken, in milliseconds; 0 for now. A cost above the burst waits for a full burst. */
+    /**
+     * Returns the time until `cost` may be taken, in milliseconds; 0 for now. A cost above the burst waits for a full
+     * burst.
+     */
     waitMs(limit: RateLimit, cost: number, nowMs: number): number {
         const excess = this.levelAt(limit, nowMs) + Math.min(cost, limit.burst) - limit.burst;
         return Math.max(0, excess) / limit.ratePerSecond * MS_PER_SECOND;
@@ -21,7 +25,7 @@
         this.updatedAtMs = Math.max(this.updatedAtMs, nowMs);
     }
 
-    /** Gives back what was taken and not used, or takes what was used beyond it. */
+    /** Adds `difference`, the amount that was used beyond the amount taken; negative if less was used. */
     correct(difference: number): void {
         this.level = Math.max(0, this.level + difference);
     }
--- a/routing/limits/src/limitDecision.ts
+++ b/routing/limits/src/limitDecision.ts
@@ -1,8 +1,8 @@
-/** Whether a request is let in. */
+/** Whether a request is admitted. */
 export interface LimitDecision {
     allowed: boolean;
-    /** When the request would be let in as far as is known, in milliseconds from now; 0 where allowed. */
+    /** Estimated time until the request would be admitted, in milliseconds; 0 if allowed. */
     retryAfterMs: number;
-    /** The limit that refused the request. */
+    /** The limit that rejected the request. */
     rejectedBy?: "requests" | "tokens" | "concurrency" | undefined;
 }
--- a/routing/limits/src/limitRelease.ts
+++ b/routing/limits/src/limitRelease.ts
@@ -2,15 +2,15 @@
 import type { TeamId } from "@knapweedwood/core.ids/teamId";
 import type { RateLimits } from "./rateLimits.js";
 
-/** The end of a request that was let in. */
+/** The end of a request that was admitted. */
 export interface LimitRelease {
     teamId: TeamId;
     keyId?: KeyId | undefined;
     limits: RateLimits;
     keyLimits?: RateLimits | undefined;
-    /** Tokens that the request was let in with. */
+    /** Tokens that the request was expected to use when it was admitted. */
     tokens: number;
-    /** Tokens that it has used; undefined leaves the expectation standing. */
+    /** Tokens that the request used; undefined if unknown, in which case the expected tokens count. */
     usedTokens?: number | undefined;
     nowMs: number;
 }
--- a/routing/limits/src/limitRequest.ts
+++ b/routing/limits/src/limitRequest.ts
@@ -2,7 +2,7 @@
 import type { TeamId } from "@knapweedwood/core.ids/teamId";
 import type { RateLimits } from "./rateLimits.js";
 
-/** A request that wants to be let in. */
+/** A request to be admitted. */
 export interface LimitRequest {
     teamId: TeamId;
     keyId?: KeyId | undefined;
@@ -10,7 +10,7 @@
     limits: RateLimits;
     /** Limits of the key. */
     keyLimits?: RateLimits | undefined;
-    /** Tokens that the request is expected to use: of its prompt and of its answer. */
+    /** Tokens that the request is expected to use, for its prompt and its response. */
     tokens: number;
     nowMs: number;
 }
--- a/routing/limits/src/limitShares.ts
+++ b/routing/limits/src/limitShares.ts
@@ -1,11 +1,15 @@
 import type { PrincipalId } from "./principalId.js";
 
-/** Which part of each team's and key's limits this entry may use. */
+/** Determines the share of each team's and key's limits that this entry may use. */
 export interface LimitShares {
-    /** Entries that share the limits. */
+    /** Number of entries that share the limits. */
     readonly entryCount: number;
-    /** @param limitShare what one request, let in or refused, asks for: a part of the limit's amount for a second */
+    /**
+     * Records the demand of one request, admitted or rejected.
+     *
+     * @param limitShare demand as a share of the amount that the limit allows in one second
+     */
     onDemand(principalId: PrincipalId, limitShare: number, nowMs: number): void;
-    /** @returns the part in (0, 1] */
+    /** @returns the share in (0, 1] */
     shareOf(principalId: PrincipalId, nowMs: number): number;
 }
--- a/routing/limits/src/limiter.ts
+++ b/routing/limits/src/limiter.ts
@@ -2,10 +2,10 @@
 import type { LimitRelease } from "./limitRelease.js";
 import type { LimitRequest } from "./limitRequest.js";
 
-/** Lets requests in by the limits of teams and keys. */
+/** Admits requests according to the limits of teams and keys. */
 export interface Limiter {
-    /** Lets a request in and counts it, or refuses it. */
+    /** Admits a request and counts it, or rejects it. */
     tryAcquire(request: LimitRequest): LimitDecision;
-    /** Ends a request that was let in. */
+    /** Ends a request that was admitted. */
     release(release: LimitRelease): void;
 }
--- a/routing/limits/src/principalId.ts
+++ b/routing/limits/src/principalId.ts
@@ -1,5 +1,5 @@
 import type { KeyId } from "@knapweedwood/core.ids/keyId";
 import type { TeamId } from "@knapweedwood/core.ids/teamId";
 
-/** Whoever has limits of its own. */
+/** Identifies a team or key that has its own limits. */
 export type PrincipalId = TeamId | KeyId;
--- a/routing/limits/src/principalLimiter.ts
+++ b/routing/limits/src/principalLimiter.ts
@@ -9,19 +9,19 @@
 const BLOCKED_RETRY_MS = 1000;
 const IDLE_TIMEOUT_MS = 60_000;
 
-/** The limits of one team or key at this entry. */
+/** Enforces the limits of one team or key at this entry. */
 export class PrincipalLimiter {
     private readonly requests = new LeakyBucket();
     private readonly tokens = new LeakyBucket();
     private inFlightCount = 0;
     private usedAtMs = 0;
 
-    /** Whether there is nothing left worth remembering. */
+    /** Returns whether the limiter has been unused for so long that its state can be dropped. */
     isIdle(nowMs: number): boolean {
         return this.inFlightCount === 0 && nowMs - this.usedAtMs > IDLE_TIMEOUT_MS;
     }
 
-    /** Whether a request fits the part of the limits that this entry may use. */
+    /** Returns whether a request fits the share of the limits that this entry may use. Does not count the request. */
     check(limits: RateLimits, part: LimitPart, tokens: number, nowMs: number): LimitDecision {
         const { requestsPerSecond, tokensPerSecond, concurrency } = limits;
         if (concurrency !== undefined && this.inFlightCount >= Math.max(1, Math.round(concurrency * part.rateShare))) {
@@ -51,7 +51,7 @@
         }
     }
 
-    /** @param excessTokens tokens used beyond those taken; negative where fewer were used */
+    /** @param excessTokens tokens used beyond those taken; negative if fewer were used */
     release(excessTokens: number): void {
         this.inFlightCount = Math.max(0, this.inFlightCount - 1);
         this.tokens.correct(excessTokens);
--- a/routing/limits/src/principalUsage.ts
+++ b/routing/limits/src/principalUsage.ts
@@ -1,8 +1,8 @@
 import type { PrincipalId } from "./principalId.js";
 
-/** Demand of one team or key at one entry. */
+/** The demand of one team or key at one entry. */
 export interface PrincipalUsage {
     principalId: PrincipalId;
-    /** Demand as a share of the limit that it comes closest to; above 1 where more is asked than allowed. */
+    /** Demand as a share of the limit to which it is closest; above 1 if demand exceeds that limit. */
     pressure: number;
 }
--- a/routing/limits/src/rateLimit.ts
+++ b/routing/limits/src/rateLimit.ts
@@ -1,6 +1,6 @@
-/** A rate and what may be taken beyond it. */
+/** A rate and the burst allowed beyond it. */
 export interface RateLimit {
     ratePerSecond: number;
-    /** What may be taken at once after a pause, at least the cost of one request. */
+    /** Amount that may be taken at once after a pause; at least 1, the cost of one request. */
     burst: number;
 }
--- a/routing/limits/src/sharedLimiter.ts
+++ b/routing/limits/src/sharedLimiter.ts
@@ -21,7 +21,10 @@
 
 const CLEANUP_INTERVAL_REQUESTS = 10_000;
 
-/** Limits of teams and keys of which this entry holds a share. A request is let in by both or counted by neither. */
+/**
+ * Enforces this entry's share of the limits of teams and keys. A request is admitted only by both its team and its
+ * key. A rejected request is counted by neither.
+ */
 export class SharedLimiter implements Limiter {
     private readonly shares: LimitShares;
     private readonly limiters = new Map<PrincipalId, PrincipalLimiter>();
@@ -78,7 +81,7 @@
         return limiter;
     }
 
-    /** Forgets teams and keys that have been idle, now and then. */
+    /** Periodically removes the limiters of idle teams and keys. */
     private removeIdleLimiters(nowMs: number): void {
         this.requestsUntilCleanup -= 1;
         if (this.requestsUntilCleanup > 0) {
--- a/routing/limits/src/usageExchange.ts
+++ b/routing/limits/src/usageExchange.ts
@@ -10,13 +10,13 @@
     endpoint: LinkEndpoint;
     shares: DemandShares;
     clock: Clock;
-    /** Time between reports, in milliseconds; the same as that of the shares. */
+    /** Time between reports, in milliseconds; must equal that of the shares. */
     reportIntervalMs: number;
-    /** The entries that share the limits, shape [entries]. Of each two, one opens a link to the other. */
+    /** Returns the entries that share the limits; shape [entries]. Of each pair, one opens a link to the other. */
     entries: () => readonly EntryAddress[];
 }
 
-/** Exchanges reports of demand with all entries that share the limits. */
+/** Exchanges demand reports with all entries that share the limits. */
 export class UsageExchange {
     private readonly opts: UsageExchangeOptions;
     private readonly openedLinks = new Map<string, Link>();
@@ -56,7 +56,7 @@
             });
     }
 
-    /** An entry linked both ways gets the report once. */
+    /** Sends each entry one report, even if links exist in both directions. */
     private sendReport(): void {
         const { endpoint, shares, clock } = this.opts;
         const report = shares.report(clock.nowMs());
--- a/routing/limits/src/usageReport.ts
+++ b/routing/limits/src/usageReport.ts
@@ -1,7 +1,7 @@
 import type { InstanceId } from "@knapweedwood/core.ids/instanceId";
 import type { PrincipalUsage } from "./principalUsage.js";
 
-/** What an entry tells the others of demand. Teams and keys left out have next to none there. */
+/** The demand at one entry, as reported to the other entries. Teams and keys with little or no demand are omitted. */
 export interface UsageReport {
     entryId: InstanceId;
     /** Shape [principals]. */
--- a/routing/limits/src/usageReportNotification.ts
+++ b/routing/limits/src/usageReportNotification.ts
@@ -1,5 +1,5 @@
 import { defineNotification } from "@knapweedwood/links.calls/defineNotification";
 import type { UsageReport } from "./usageReport.js";
 
-/** Tells other entries of the demand that this one sees. */
+/** Notifies other entries of the demand at this entry. */
 export const usageReportNotification = defineNotification<UsageReport>("limits.usage");
--- a/routing/limits/src/weightedFairQueue.ts
+++ b/routing/limits/src/weightedFairQueue.ts
@@ -6,8 +6,8 @@
 }
 
 /**
- * Start-time fair queueing between teams (Goyal, Vin and Cheng, 1996): teams with waiting items are served by their
- * weights, each team's items in order, and no team gains by having been idle.
+ * Start-time fair queueing between teams (Goyal, Vin and Cheng, 1996). Teams with queued items are served in proportion
+ * to their weights, each team's items in order. A team gains no advantage from having been idle.
  */
 export class WeightedFairQueue<Item> {
     private readonly queues = new Map<TeamId, QueuedEntry<Item>[]>();
@@ -19,7 +19,7 @@
         return this.count;
     }
 
-    /** Items of one team that wait. */
+    /** Returns the number of queued items of one team. */
     sizeOf(teamId: TeamId): number {
         return this.queues.get(teamId)?.length ?? 0;
     }
@@ -33,7 +33,7 @@
         this.count += 1;
     }
 
-    /** Takes the item whose turn it is. */
+    /** Removes and returns the next item; undefined if the queue is empty. */
     dequeue(): Item | undefined {
         const next = [...this.queues.values()]
             .map(queue => queue[0])
@@ -49,7 +49,7 @@
         return next.item;
     }
 
-    /** Takes out an item that no longer waits. @returns whether it was there */
+    /** Removes an item before it is served. @returns whether the item was queued */
     remove(teamId: TeamId, item: Item): boolean {
         const queue = this.queues.get(teamId);
         const index = queue?.findIndex(entry => entry.item === item) ?? -1;
--- a/routing/limits/test/concurrencyLimit.test.ts
+++ b/routing/limits/test/concurrencyLimit.test.ts
@@ -8,7 +8,11 @@
 
 const SERVICE_MS = 10;
 
-/** A service that works on `workers` calls at once, asked as often as the limit allows. @returns mean calls in flight */
+/**
+ * Simulates a service that handles `workers` calls at once and is called as often as the limit allows.
+ *
+ * @returns the mean number of concurrent calls
+ */
 function saturate(limit: ConcurrencyLimit, workers: number, calls: number): number {
     const random = new SeededRandom(1);
     let inFlight = 0;
@@ -25,7 +29,7 @@
     return sum / calls;
 }
 
-test("the limit finds the concurrency of a service, small or large, and follows a change", () => {
+test("the limit approaches the concurrency of a service, small or large, and follows a change", () => {
     [5, 50].forEach(workers => {
         const limit = new GradientConcurrencyLimit();
         saturate(limit, workers, 4000);
@@ -38,7 +42,7 @@
     assert.ok(saturate(limit, 10, 12_000) < 50);
 });
 
-test("dropped calls shrink the limit at once, down to its minimum", () => {
+test("dropped calls reduce the limit immediately, down to its minimum", () => {
     const limit = new GradientConcurrencyLimit({ initialLimit: 100, minLimit: 2 });
     Array.from({ length: 50 }, () => {
         limit.tryAcquire();
@@ -47,7 +51,7 @@
     assert.equal(limit.limit, 2);
 });
 
-test("no limit lets more calls run than it says", () => {
+test("no limit allows more concurrent calls than its value", () => {
     [new FixedConcurrencyLimit(7), new GradientConcurrencyLimit({ initialLimit: 7 })].forEach(limit => {
         assert.equal(Array.from({ length: 20 }, () => limit.tryAcquire()).filter(Boolean).length, 7);
         limit.release({ durationMs: 1, kind: "ignored" });
@@ -56,7 +60,7 @@
     });
 });
 
-test("a request is refused early only where its deadline can't be met", () => {
+test("a request is rejected early only if its deadline can't be met", () => {
     const estimate = { queuedCost: 20, costPerSecond: 10, serviceMs: 500, nowMs: 1000 };
     assert.ok(canMeetDeadline({ ...estimate, deadlineMs: 3500 }));
     assert.ok(!canMeetDeadline({ ...estimate, deadlineMs: 3499 }));
--- a/routing/limits/test/leakyBucket.test.ts
+++ b/routing/limits/test/leakyBucket.test.ts
@@ -5,7 +5,7 @@
 
 const SEED = 20_261_203;
 
-test("no window lets through more than the burst and the rate, and nothing is refused that fits", () => {
+test("no window exceeds the burst and the rate, and nothing that fits is rejected", () => {
     const inputs = fc.record({
         ratePerSecond: fc.integer({ min: 1, max: 50 }),
         burst: fc.integer({ min: 1, max: 20 }),
@@ -34,7 +34,7 @@
             });
             taken.forEach((first, index) => {
                 const window = taken.slice(index);
-                const sum = window.reduce((total, one) => total + one.cost, 0);
+                const sum = window.reduce((total, take) => total + take.cost, 0);
                 const seconds = (window.at(-1)!.atMs - first.atMs) / 1000;
                 assert.ok(sum <= burst + ratePerSecond * seconds + 5);
             });
@@ -43,7 +43,7 @@
     );
 });
 
-test("the wait that a refusal names is the wait that is needed", () => {
+test("the wait time of a rejection is exactly the time needed", () => {
     fc.assert(
         fc.property(fc.integer({ min: 1, max: 100 }), fc.integer({ min: 1, max: 20 }), (ratePerSecond, takes) => {
             const bucket = new LeakyBucket();
--- a/routing/limits/test/sharedLimiter.test.ts
+++ b/routing/limits/test/sharedLimiter.test.ts
@@ -31,10 +31,10 @@
             entryCount: () => entryCount,
             reportIntervalMs: REPORT_INTERVAL_MS,
         }));
-    return { shares, limiters: shares.map(one => new SharedLimiter({ shares: one })) };
+    return { shares, limiters: shares.map(entryShares => new SharedLimiter({ shares: entryShares })) };
 }
 
-/** Runs a fleet. @returns when requests were let in, in milliseconds, shape [admitted] */
+/** Runs a fleet. @returns the times at which requests were admitted, in milliseconds; shape [admitted] */
 function run(fleet: Fleet, demandPerSecond: (entry: number, nowMs: number) => number, durationMs: number): number[] {
     const random = new SeededRandom(SEED);
     const admittedAtMs: number[] = [];
@@ -47,11 +47,13 @@
                 admittedAtMs.push(...(allowed ? [nowMs] : []));
             }
         });
-        fleet.shares.filter(one => one instanceof DemandShares).forEach((one, entry) => {
+        fleet.shares.filter(entryShares => entryShares instanceof DemandShares).forEach((entryShares, entry) => {
             if ((nowMs + entry * 30) % REPORT_INTERVAL_MS === 0) {
-                pendingReports.push({ report: one.report(nowMs), dueMs: nowMs + REPORT_DELAY_MS });
+                pendingReports.push({ report: entryShares.report(nowMs), dueMs: nowMs + REPORT_DELAY_MS });
             }
-            pendingReports.filter(({ dueMs }) => dueMs === nowMs).forEach(({ report }) => one.onReport(report, nowMs));
+            pendingReports.filter(({ dueMs }) => dueMs === nowMs).forEach(({ report }) =>
+                entryShares.onReport(report, nowMs)
+            );
         });
     }
     return admittedAtMs;
@@ -61,7 +63,7 @@
     return admittedAtMs.filter(atMs => atMs >= fromMs && atMs < untilMs).length;
 }
 
-test("all entries together stay within the stated bound, wherever demand moves", context => {
+test("all entries together stay within the bound, however demand moves between them", context => {
     let worstShare = 0;
     const phase = fc.array(fc.integer({ min: 0, max: 80 }), { minLength: 6, maxLength: 6 });
     fc.assert(
@@ -84,25 +86,25 @@
     context.diagnostic(`worst window of 2 s: ${worstShare.toFixed(2)} of the limit`);
 });
 
-test("steady demand above the limit gets the limit, also where one entry has all of it", context => {
+test("steady demand above the limit gets the limit, even if all demand is at one entry", context => {
     [[200, 0, 0, 0, 0, 0], [80, 80, 80, 80, 80, 80], [10, 10, 10, 90, 90, 10]].forEach(demands => {
         const admitted = run(createFleet(6), entry => demands[entry], 20_000);
         const perSecond = admittedBetween(admitted, 5000, 20_000) / 15;
         context.diagnostic(`${perSecond.toFixed(1)} of ${LIMIT_PER_SECOND} a second for ${demands.join()}`);
-        const wanted = Math.min(LIMIT_PER_SECOND, demands.reduce((sum, one) => sum + Math.min(100, one), 0));
+        const wanted = Math.min(LIMIT_PER_SECOND, demands.reduce((sum, demand) => sum + Math.min(100, demand), 0));
         assert.ok(perSecond <= wanted * 1.05, `${perSecond} for ${demands}`);
         assert.ok(perSecond >= wanted * 0.85, `${perSecond} for ${demands}`);
     });
 });
 
-test("equal shares waste most of a limit whose caller keeps to one entry", () => {
+test("equal shares waste most of a limit if its caller uses only one entry", () => {
     const shares = Array.from({ length: 6 }, () => new EqualShares(() => 6));
-    const fleet = { shares, limiters: shares.map(one => new SharedLimiter({ shares: one })) };
+    const fleet = { shares, limiters: shares.map(entryShares => new SharedLimiter({ shares: entryShares })) };
     const admitted = run(fleet, entry => entry === 0 ? 100 : 0, 10_000);
     assert.ok(admitted.length < 200);
 });
 
-test("a request that its key refuses costs its team nothing", () => {
+test("a request rejected by its key's limit does not count against its team's limit", () => {
     const limiter = new SharedLimiter({ shares: new EqualShares(() => 1) });
     const limits = { requestsPerSecond: 5 };
     const keyLimits = { requestsPerSecond: 1 };
@@ -110,11 +112,13 @@
         limiter.tryAcquire({ teamId: team, keyId, limits, keyLimits, tokens: 0, nowMs: 0 });
     assert.ok(acquire(key).allowed);
     Array.from({ length: 20 }, () => assert.equal(acquire(key).rejectedBy, "requests"));
-    assert.ok(Array.from({ length: 4 }, (_, index) => acquire(`other-${index}` as KeyId)).every(one => one.allowed));
+    assert.ok(
+        Array.from({ length: 4 }, (_, index) => acquire(`other-${index}` as KeyId)).every(decision => decision.allowed),
+    );
     assert.ok(!acquire("last" as KeyId).allowed);
 });
 
-test("concurrency is freed and unused tokens are given back on release", () => {
+test("release frees concurrency and returns unused tokens", () => {
     const limiter = new SharedLimiter({ shares: new EqualShares(() => 1) });
     const limits = { concurrency: 2, tokensPerSecond: 100 };
     const acquire = (nowMs: number) => limiter.tryAcquire({ teamId: team, limits, tokens: 50, nowMs });
--- a/routing/limits/test/usageExchange.test.ts
+++ b/routing/limits/test/usageExchange.test.ts
@@ -12,7 +12,7 @@
 const REPORT_INTERVAL_MS = 500;
 const team = "team" as TeamId;
 
-test("entries hear of each other's demand once a report, and sides hear nothing", async () => {
+test("entries receive each other's demand once per report, and sides receive nothing", async () => {
     const clock = new ManualClock();
     const receivers: ((report: UsageReport) => void)[] = [];
     let sideReports = 0;
@@ -36,10 +36,10 @@
         links: () => [linkTo(1 - entry), linkTo(1 - entry), sideLink] as unknown as Link[],
         receive: (_: unknown, receiver: (report: UsageReport) => void) => receivers[entry] = receiver,
     });
-    const exchanges = shares.map((one, entry) =>
+    const exchanges = shares.map((entryShares, entry) =>
         new UsageExchange({
             endpoint: endpointOf(entry) as unknown as LinkEndpoint,
-            shares: one,
+            shares: entryShares,
             clock,
             reportIntervalMs: REPORT_INTERVAL_MS,
             entries: () => entries,
@@ -52,7 +52,7 @@
         await clock.advance(10);
     }
     exchanges.forEach(exchange => exchange.stop());
-    const parts = shares.map(one => one.shareOf(team, clock.nowMs()));
+    const parts = shares.map(entryShares => entryShares.shareOf(team, clock.nowMs()));
     assert.ok(Math.abs(parts[0] - (0.05 + 0.9 * 0.75)) < 0.02, `${parts}`);
     assert.ok(Math.abs(parts[1] - (0.05 + 0.9 * 0.25)) < 0.02, `${parts}`);
     assert.equal(sideReports, 0);
--- a/routing/limits/test/weightedFairQueue.test.ts
+++ b/routing/limits/test/weightedFairQueue.test.ts
@@ -8,7 +8,7 @@
 const MAX_COST = 5;
 const teams = ["a", "b", "c"] as TeamId[];
 
-test("teams that wait are served by their weights, to within one item each", () => {
+test("teams with queued items are served by weight, to within one item each", () => {
     const weights = fc.array(fc.integer({ min: 1, max: 8 }), { minLength: 3, maxLength: 3 });
     const costs = fc.array(fc.integer({ min: 1, max: MAX_COST }), { minLength: 60, maxLength: 60 });
     fc.assert(
@@ -35,7 +35,7 @@
     );
 });
 
-test("against a list: every item comes out once, a team's items in order, removed ones not at all", () => {
+test("compared with a list: every item is dequeued once, in its team's order, and removed items never", () => {
     const action = fc.oneof(
         fc.record({ kind: fc.constant("enqueue" as const), team: fc.nat(2), cost: fc.integer({ min: 1, max: 5 }) }),
         fc.record({ kind: fc.constant("dequeue" as const), team: fc.constant(0), cost: fc.constant(0) }),
@@ -67,7 +67,7 @@
     );
 });
 
-test("a flood of one team holds up another team's next item by one item", () => {
+test("a flood from one team delays another team's next item by at most one item", () => {
     const queue = new WeightedFairQueue<string>();
     Array.from({ length: 1000 }, () => queue.enqueue({ item: "flood", teamId: teams[0], weight: 1, cost: 1 }));
     Array.from({ length: 100 }, () => queue.dequeue());
