--- a/routing/choice/src/affinityChooser.ts
+++ b/routing/choice/src/affinityChooser.ts
@@ -24,8 +24,8 @@
 const INITIAL_WEIGHT = 0.1;
 
 /**
- * Chooses by zone, then by a subset for this entry, then by the prefix of the prompt while load allows, and else the
- * less loaded of two. Failing and slow upstreams are ejected and return gradually.
+ * Chooses by zone, then by a subset for this entry, then by the prefix of the prompt as far as load allows. Otherwise
+ * it chooses the less loaded of two random upstreams. Failing and slow upstreams are ejected and return gradually.
  */
 export class AffinityChooser implements UpstreamChooser {
     private readonly opts: AffinityChooserOptions;
@@ -85,7 +85,7 @@
         this.ejector.observe(observation);
     }
 
-    /** Takes in an event of an engine's prefix cache. */
+    /** Applies an event of an engine's prefix cache. */
     onCacheChange(change: PrefixCacheChange): void {
         this.prefixIndex.onCacheChange(change);
     }
@@ -102,7 +102,10 @@
         this.prefixIndex.retain(this.knownInstanceIds);
     }
 
-    /** The candidates that may take the request, from the narrowest non-empty of several circles. */
+    /**
+     * Returns the eligible candidates from the first non-empty tier: upstreams with an open link that are not ejected,
+     * then all upstreams with an open link, then also those whose link is suspect.
+     */
     private eligibleCandidates({ candidates, role, excluded, nowMs }: ChooseRequest): UpstreamCandidate[] {
         const live = candidates
             .filter(candidate => candidate.state === "live")
@@ -122,7 +125,7 @@
         return subset.select(candidates, nowMs).map(candidate => this.loadOf(candidate, nowMs));
     }
 
-    /** The loads of this entry's zone, or all where the zone has no room compared with the others. */
+    /** Returns the loads of this entry's zone, or of all zones if this zone is overloaded compared with the others. */
     private applySpillover(sameZone: WeightedLoad[], otherZones: WeightedLoad[]): WeightedLoad[] {
         if (sameZone.length === 0 || otherZones.length === 0) {
             return [...sameZone, ...otherZones];
@@ -142,7 +145,7 @@
             ?? leastLoadedOfTwo(withinBound, this.opts.random);
     }
 
-    /** The upstream that holds most of the prompt's leading blocks, the less loaded one of several. */
+    /** Returns the upstream with the most cached leading blocks of the prompt; the least loaded one on a tie. */
     private bestPrefixMatch(withinBound: WeightedLoad[], { promptBlocks }: ChooseRequest): WeightedLoad | undefined {
         if (promptBlocks === undefined || promptBlocks.length === 0) {
             return undefined;
@@ -160,7 +163,7 @@
     }
 }
 
-/** The first upstream in the order of the request's key that has room: rendezvous hashing with bounded loads. */
+/** Returns the first upstream within the bound, in the order of the key: rendezvous hashing with bounded loads. */
 function firstByAffinityKey(loads: WeightedLoad[], bound: number, request: ChooseRequest): WeightedLoad | undefined {
     const key = request.affinityKey ?? request.promptBlocks?.at(0);
     if (key === undefined) {
--- a/routing/choice/src/affinityChooserOptions.ts
+++ b/routing/choice/src/affinityChooserOptions.ts
@@ -9,15 +9,15 @@
     entryId: InstanceId;
     zone: ZoneName;
     random: Random;
-    /** Upstreams of each zone group (this zone, the others) that this entry sends to, without another policy. */
+    /** Number of upstreams of each zone group (this zone, all others) used by this entry, if `subset` is not set. */
     subsetSize?: number | undefined;
     subset?: SubsetPolicy | undefined;
-    /** An upstream gets a request for its prefix while its load is at most this many times the mean. */
+    /** Maximum ratio of an upstream's load to the mean load up to which it is chosen by prefix. */
     affinityLoadFactor?: number | undefined;
-    /** Requests may leave the zone while its mean load is more than this many times that of the others. */
+    /** Requests may leave the zone while its mean load is more than this many times that of the other zones. */
     zoneLoadFactor?: number | undefined;
     slowStartMs?: number | undefined;
     ejection?: Partial<EjectionLimits> | undefined;
-    /** Blocks of prompts remembered for each upstream. */
+    /** Maximum number of prompt blocks indexed for each upstream. */
     maxIndexedBlocks?: number | undefined;
 }
--- a/routing/choice/src/defaultEjectionLimits.ts
+++ b/routing/choice/src/defaultEjectionLimits.ts
@@ -1,6 +1,6 @@
 import type { EjectionLimits } from "./ejectionLimits.js";
 
-/** Ejects a dead upstream after three failures in a row and a slow one at three times its peers' median. */
+/** Ejects an upstream after three consecutive failures, and a slow one at three times the median of its peers. */
 export const defaultEjectionLimits: EjectionLimits = {
     consecutiveFailures: 3,
     failureShare: 0.5,
--- a/routing/choice/src/ejectionLimits.ts
+++ b/routing/choice/src/ejectionLimits.ts
@@ -1,16 +1,17 @@
-/** When an upstream is ejected, and for how long. */
+/** Conditions under which an upstream is ejected, and the duration of an ejection. */
 export interface EjectionLimits {
-    /** Failures in a row that eject. */
+    /** Number of consecutive failures that causes an ejection. */
     consecutiveFailures: number;
-    /** Smoothed share of failures, in [0, 1], that ejects. */
+    /** Smoothed share of failures that causes an ejection, in [0, 1]. */
     failureShare: number;
-    /** Times the median of the others' smoothed durations that ejects. */
+    /** Ratio of the upstream's smoothed duration to the median of its peers that causes an ejection. */
     slowFactor: number;
-    /** Observations before shares and durations are judged. */
+    /** Number of observations before shares and durations are evaluated. */
     minimumObservations: number;
-    /** First ejection; doubled each time that the upstream fails again soon after, in milliseconds. */
+    /** Duration of the first ejection, in milliseconds. Doubled each time the upstream fails again soon after. */
     baseMs: number;
+    /** Longest duration of an ejection, in milliseconds. */
     maxMs: number;
-    /** Largest share of the upstreams that may be ejected at once. */
+    /** Maximum share of the upstreams that may be ejected at once, in [0, 1]. */
     maxEjectedShare: number;
 }
--- a/routing/choice/src/fullKnowledgeChooser.ts
+++ b/routing/choice/src/fullKnowledgeChooser.ts
@@ -3,11 +3,11 @@
 import type { UpstreamChooser } from "./upstreamChooser.js";
 
 interface FullKnowledgeChooserOptions {
-    /** Cost of the request at an upstream, known exactly, such as its time to the first token in milliseconds. */
+    /** Returns the exact cost of the request at an upstream, such as its time to the first token in milliseconds. */
     costOf: (instanceId: InstanceId, request: ChooseRequest) => number;
 }
 
-/** Chooses by the true state of all upstreams: the bound for what can be known. For simulations only. */
+/** Chooses by the true state of all upstreams, as an upper bound for other choosers. For simulations only. */
 export class FullKnowledgeChooser implements UpstreamChooser {
     private readonly opts: FullKnowledgeChooserOptions;
 
--- a/routing/choice/src/inFlightCounts.ts
+++ b/routing/choice/src/inFlightCounts.ts
@@ -3,9 +3,9 @@
 
 const REPORT_LAG_MS = 100;
 
-/** The requests that this entry itself has in flight, by upstream. */
+/** Counts this entry's own in-flight requests by upstream. */
 export class InFlightCounts {
-    /** When each request in flight was started, in milliseconds; shape [requests] by upstream. */
+    /** Start times of the in-flight requests of each upstream, in milliseconds; shape [requests]. */
     private readonly startedAtMs = new Map<InstanceId, number[]>();
 
     onStarted(instanceId: InstanceId, nowMs: number): void {
@@ -22,7 +22,7 @@
         }
     }
 
-    /** Requests at an upstream: the gate's count and what was sent there since it counted. */
+    /** Returns the number of requests at an upstream: the gate's count plus the requests sent since that count. */
     loadOf(candidate: UpstreamCandidate, nowMs: number): number {
         const started = this.startedAtMs.get(candidate.instanceId) ?? [];
         const countedAtMs = candidate.countedAtMs ?? nowMs - REPORT_LAG_MS;
--- a/routing/choice/src/leastLoadedOfTwo.ts
+++ b/routing/choice/src/leastLoadedOfTwo.ts
@@ -1,7 +1,7 @@
 import type { Random } from "@knapweedwood/core.random/random";
 import type { WeightedLoad } from "./weightedLoad.js";
 
-/** The less loaded of two random candidates (Mitzenmacher, 2001). */
+/** Returns the less loaded of two random candidates (Mitzenmacher, 2001); undefined if there are none. */
 export function leastLoadedOfTwo(loads: readonly WeightedLoad[], random: Random): WeightedLoad | undefined {
     if (loads.length < 2) {
         return loads.at(0);
--- a/routing/choice/src/outlierEjector.ts
+++ b/routing/choice/src/outlierEjector.ts
@@ -5,14 +5,14 @@
 
 interface OutlierEjectorOptions {
     limits: EjectionLimits;
-    /** Called with the time at which an ejected upstream returns, in milliseconds. */
+    /** Called when an upstream is ejected, with the time at which it returns, in milliseconds. */
     onEjected: (instanceId: InstanceId, returnsAtMs: number) => void;
 }
 
 const SMOOTHING = 0.1;
 const MINIMUM_PEERS = 2;
 
-/** Takes upstreams out that fail, or are slow beside their peers. */
+/** Ejects upstreams that fail or are slow compared with their peers. */
 export class OutlierEjector {
     private readonly opts: OutlierEjectorOptions;
     private readonly healthById = new Map<InstanceId, UpstreamHealth>();
@@ -25,7 +25,7 @@
         return (this.healthById.get(instanceId)?.ejectedUntilMs ?? 0) > nowMs;
     }
 
-    /** Forgets upstreams that are no longer listed. */
+    /** Removes upstreams that are no longer listed. */
     retain(instanceIds: readonly InstanceId[]): void {
         const present = new Set(instanceIds);
         [...this.healthById.keys()]
--- a/routing/choice/src/prefixCacheChange.ts
+++ b/routing/choice/src/prefixCacheChange.ts
@@ -1,9 +1,9 @@
 import type { InstanceId } from "@knapweedwood/core.ids/instanceId";
 
-/** A change of the prefix cache of one upstream's engine. */
+/** A change in the prefix cache of one upstream's engine. */
 export interface PrefixCacheChange {
     instanceId: InstanceId;
-    /** Grows by one with each event; gaps show lost events. */
+    /** Increases by one with each event; gaps mean lost events. */
     sequenceNumber: number;
     kind: "stored" | "evicted";
     /** Shape [blocks]. */
--- a/routing/choice/src/prefixIndex.ts
+++ b/routing/choice/src/prefixIndex.ts
@@ -2,22 +2,22 @@
 import type { PrefixCacheChange } from "./prefixCacheChange.js";
 
 interface PrefixIndexOptions {
-    /** Blocks remembered for each upstream. */
+    /** Maximum number of blocks indexed for each upstream. */
     maxBlocks: number;
 }
 
-/** Events that may still be on their way. */
+/** Number of events by which an event may arrive late. */
 const MAX_EVENT_REORDERING = 1000;
 
 interface UpstreamBlocks {
-    /** By hash of the block, oldest use first: whether an event of the engine has confirmed it. */
+    /** Whether an event of the engine has confirmed the block, by hash of the block; least recently used first. */
     blocks: Map<string, boolean>;
     lastSequenceNumber: number | undefined;
 }
 
 /**
- * Which upstream probably holds which blocks of prompts. Built from this entry's own choices, corrected by the
- * engines' events, which come late and with gaps: after a gap nothing counts as confirmed any more.
+ * Estimates which prompt blocks each upstream has cached. The index is built from this entry's own choices and
+ * corrected by the engines' events, which may arrive late and with gaps. After a gap no block counts as confirmed.
  */
 export class PrefixIndex {
     private readonly maxBlocks: number;
@@ -27,13 +27,13 @@
         this.maxBlocks = opts.maxBlocks;
     }
 
-    /** Notes that a prompt with these blocks has been sent to an upstream. */
+    /** Records that a prompt with these blocks was sent to an upstream. */
     recordChoice(instanceId: InstanceId, promptBlocks: readonly string[]): void {
         const upstream = this.blocksOf(instanceId);
         promptBlocks.forEach(block => this.put(upstream, block, upstream.blocks.get(block) ?? false));
     }
 
-    /** Takes in an engine's event. One that is older than the last is dropped. */
+    /** Applies an engine's event. Ignores events that are older than the last one. */
     onCacheChange(change: PrefixCacheChange): void {
         this.resetIfRestarted(change);
         const upstream = this.blocksOf(change.instanceId);
@@ -53,12 +53,12 @@
         }
     }
 
-    /** Forgets an upstream, whose engine has been restarted or removed. */
+    /** Removes an upstream whose engine has been restarted or removed. */
     remove(instanceId: InstanceId): void {
         this.upstreams.delete(instanceId);
     }
 
-    /** Forgets upstreams that are no longer listed. */
+    /** Removes upstreams that are no longer listed. */
     retain(instanceIds: readonly InstanceId[]): void {
         const present = new Set(instanceIds);
         [...this.upstreams.keys()]
@@ -66,7 +66,7 @@
             .forEach(instanceId => this.remove(instanceId));
     }
 
-    /** Leading blocks that an upstream probably holds; an unconfirmed one counts a half. */
+    /** Returns how many leading blocks an upstream probably has cached. An unconfirmed block counts as 0.5. */
     matchOf(instanceId: InstanceId, promptBlocks: readonly string[]): number {
         const blocks = this.upstreams.get(instanceId)?.blocks;
         if (blocks === undefined) {
@@ -77,7 +77,7 @@
         return held.reduce((sum, block) => sum + (blocks.get(block) === true ? 1 : 0.5), 0);
     }
 
-    /** An engine that numbers its events from far below begins with an empty cache. */
+    /** Removes an upstream whose sequence numbers drop far: its engine restarted with an empty cache. */
     private resetIfRestarted({ instanceId, sequenceNumber }: PrefixCacheChange): void {
         const last = this.upstreams.get(instanceId)?.lastSequenceNumber;
         if (last !== undefined && sequenceNumber < last - MAX_EVENT_REORDERING) {
--- a/routing/choice/src/promptBlocksOf.ts
+++ b/routing/choice/src/promptBlocksOf.ts
@@ -1,13 +1,13 @@
 import { textHash } from "@knapweedwood/core.hashing/textHash";
 
-/** Characters of a block of a prompt: about the 16 tokens of an engine's block. */
+/** Characters in a block of a prompt: about 16 tokens, the size of an engine's block. */
 const BLOCK_CHARACTERS = 64;
 const MAX_BLOCKS = 64;
 
 /**
- * Hashes of a prompt's leading blocks, each of the text up to the end of its block, so that two prompts share as many
- * leading hashes as they share whole blocks. Engines that publish the same hashes in their cache events correct the
- * {@link PrefixIndex}; for others it knows this entry's choices alone.
+ * Returns hashes of a prompt's leading blocks. Each hash covers all text up to the end of its block, so two prompts
+ * share as many leading hashes as whole blocks. Engines that publish the same hashes in their cache events correct the
+ * {@link PrefixIndex}. For other engines the index contains only this entry's own choices.
  *
  * @returns shape [blocks], at most 64
  */
--- a/routing/choice/src/randomChooser.ts
+++ b/routing/choice/src/randomChooser.ts
@@ -3,7 +3,7 @@
 import type { ChooseRequest } from "./chooseRequest.js";
 import type { UpstreamChooser } from "./upstreamChooser.js";
 
-/** Chooses any live upstream: the baseline without knowledge. */
+/** Chooses a random live upstream. This is the baseline that uses no load information. */
 export class RandomChooser implements UpstreamChooser {
     private readonly random: Random;
 
--- a/routing/choice/src/rendezvousSubset.ts
+++ b/routing/choice/src/rendezvousSubset.ts
@@ -7,7 +7,10 @@
     subsetSize: number;
 }
 
-/** The upstreams ranked highest for this entry. Needs no list of entries; its coverage is even only on average. */
+/**
+ * Selects the upstreams that rank highest for this entry. It needs no list of entries, but its coverage is even only on
+ * average.
+ */
 export class RendezvousSubset implements SubsetPolicy {
     private readonly opts: RendezvousSubsetOptions;
 
--- a/routing/choice/src/ringSubset.ts
+++ b/routing/choice/src/ringSubset.ts
@@ -5,7 +5,7 @@
 interface RingSubsetOptions {
     entryId: InstanceId;
     subsetSize: number;
-    /** All entries that share the upstreams, this one among them. */
+    /** Returns all entries that share the upstreams, including this one. */
     entries: () => readonly InstanceId[];
 }
 
@@ -13,8 +13,8 @@
 const UPSTREAM_ORDER = "upstreams";
 
 /**
- * Lays the upstreams on a ring and the entries' stretches of it one after the other, so that the numbers of entries
- * that any two upstreams serve differ by at most one.
+ * Orders the upstreams on a ring and gives each entry the next consecutive segment of it. The numbers of entries served
+ * by any two upstreams therefore differ by at most one.
  */
 export class RingSubset implements SubsetPolicy {
     private readonly opts: RingSubsetOptions;
--- a/routing/choice/src/slowStart.ts
+++ b/routing/choice/src/slowStart.ts
@@ -1,13 +1,13 @@
 import type { InstanceId } from "@knapweedwood/core.ids/instanceId";
 
 interface SlowStartOptions {
-    /** Time from the first request to the full share, in milliseconds. */
+    /** Duration of the ramp from the initial weight to the full weight, in milliseconds. */
     rampMs: number;
     /** Share of the full weight at the start of the ramp. */
     initialWeight: number;
 }
 
-/** Gives upstreams that join or return a share that grows over time, so that they are not overrun. */
+/** Increases the weight of upstreams that join or return gradually, so that they are not overloaded. */
 export class SlowStart {
     private readonly opts: SlowStartOptions;
     private readonly startedAtMs = new Map<InstanceId, number>();
@@ -17,7 +17,7 @@
         this.opts = opts;
     }
 
-    /** Starts the ramp of upstreams not seen before, except for those known from the start of this process. */
+    /** Starts the ramp of newly listed upstreams, except those in the first non-empty list of this process. */
     updateUpstreams(instanceIds: readonly InstanceId[], nowMs: number): void {
         const present = new Set(instanceIds);
         instanceIds
@@ -31,12 +31,12 @@
         this.hasListedUpstreams ||= instanceIds.length > 0;
     }
 
-    /** Starts the ramp of an upstream that returns. */
+    /** Restarts the ramp of an upstream that returns, at `nowMs`. */
     restart(instanceId: InstanceId, nowMs: number): void {
         this.startedAtMs.set(instanceId, nowMs);
     }
 
-    /** Share of the full weight, in (0, 1]. */
+    /** Returns the share of the full weight, in (0, 1]. */
     weightOf(instanceId: InstanceId, nowMs: number): number {
         const startedAtMs = this.startedAtMs.get(instanceId) ?? Number.NEGATIVE_INFINITY;
         const progress = Math.min(1, Math.max(0, (nowMs - startedAtMs) / this.opts.rampMs));
--- a/routing/choice/src/subsetCache.ts
+++ b/routing/choice/src/subsetCache.ts
@@ -4,7 +4,7 @@
 
 const MAX_AGE_MS = 1000;
 
-/** Remembers the last subset, as the upstreams seldom change. */
+/** Caches the last subset, because the upstreams seldom change. */
 export class SubsetCache {
     private readonly policy: SubsetPolicy;
     private instanceIds: readonly InstanceId[] = [];
@@ -15,7 +15,7 @@
         this.policy = policy;
     }
 
-    /** The candidates in the subset, shape [subset]. */
+    /** Returns the candidates in the subset; shape [subset]. */
     select(candidates: readonly UpstreamCandidate[], nowMs: number): UpstreamCandidate[] {
         if (nowMs >= this.expiresAtMs || !this.isCurrentFor(candidates)) {
             this.instanceIds = candidates.map(candidate => candidate.instanceId);
--- a/routing/choice/src/upstreamCandidate.ts
+++ b/routing/choice/src/upstreamCandidate.ts
@@ -1,21 +1,21 @@
 import type { InstanceId } from "@knapweedwood/core.ids/instanceId";
 import type { ZoneName } from "@knapweedwood/core.ids/zoneName";
 
-/** What an entry knows of an upstream that offers the service. */
+/** The state of an upstream that offers the service, as observed by an entry. */
 export interface UpstreamCandidate {
     instanceId: InstanceId;
     zone: ZoneName;
-    /** A leaving upstream gets nothing new. */
+    /** A leaving upstream receives no new requests. */
     state: "live" | "leaving";
     /** State of the link to the upstream's side. */
     linkState: "connecting" | "open" | "suspect" | "closed";
-    /** Online requests that run, as the gate itself counts them. */
+    /** Number of running online requests, as counted by the gate itself. */
     running: number;
-    /** Online requests that wait in the gate. */
+    /** Number of online requests queued in the gate. */
     queued: number;
-    /** When the gate counted, by this process's clock, in milliseconds. */
+    /** When the gate counted the requests, by this process's clock, in milliseconds. */
     countedAtMs?: number | undefined;
-    /** Requests that the upstream can run at once; relative weights suffice. */
+    /** Number of requests that the upstream can run at once; relative weights suffice. */
     capacity?: number | undefined;
     role?: "any" | "prefill" | "decode" | undefined;
 }
--- a/routing/choice/src/upstreamChooser.ts
+++ b/routing/choice/src/upstreamChooser.ts
@@ -6,13 +6,13 @@
 /** Chooses the upstream of each request. */
 export interface UpstreamChooser {
     /**
-     * Chooses an upstream and counts the request as in flight there until it is observed.
+     * Chooses an upstream and counts the request as in flight there until its result is observed.
      *
-     * @returns undefined where no candidate may take the request
+     * @returns the chosen upstream; undefined if no candidate is eligible
      */
     choose(request: ChooseRequest): InstanceId | undefined;
-    /** Takes in how a chosen upstream did. */
+    /** Records the result of a request at a chosen upstream. */
     observe(observation: UpstreamObservation): void;
-    /** Takes in an event of an engine's prefix cache, which may come late and with gaps. */
+    /** Applies an event of an engine's prefix cache. Events may arrive late and with gaps. */
     onCacheChange?(change: PrefixCacheChange): void;
 }
--- a/routing/choice/src/upstreamHealth.ts
+++ b/routing/choice/src/upstreamHealth.ts
@@ -1,4 +1,4 @@
-/** What the ejector remembers of an upstream. */
+/** State that the ejector keeps for an upstream. */
 export interface UpstreamHealth {
     consecutiveFailures: number;
     /** Smoothed share of failures, in [0, 1]. */
@@ -6,7 +6,7 @@
     /** Smoothed time to the first byte, in milliseconds. */
     durationMs: number;
     observationCount: number;
-    /** The upstream gets nothing before this time, in milliseconds. */
+    /** Time until which the upstream receives no requests, in milliseconds. */
     ejectedUntilMs: number;
     ejectionCount: number;
 }
--- a/routing/choice/src/upstreamObservation.ts
+++ b/routing/choice/src/upstreamObservation.ts
@@ -1,11 +1,11 @@
 import type { InstanceId } from "@knapweedwood/core.ids/instanceId";
 
-/** How a request that was sent to an upstream ended. One follows each choice. */
+/** The result of a request that was sent to an upstream. Each choice is followed by one observation. */
 export interface UpstreamObservation {
     instanceId: InstanceId;
-    /** `abandoned` says nothing of the upstream: the caller went away, or a hedge was faster. */
+    /** `abandoned` says nothing about the upstream: the caller disconnected, or a hedged request was faster. */
     kind: "success" | "failure" | "slow" | "abandoned";
-    /** Time to the first byte of the answer. */
+    /** Time to the first byte of the response, in milliseconds. */
     durationMs: number;
     nowMs: number;
 }
--- a/routing/choice/src/weightedLoad.ts
+++ b/routing/choice/src/weightedLoad.ts
@@ -1,6 +1,6 @@
 import type { UpstreamCandidate } from "./upstreamCandidate.js";
 
-/** A candidate with its load for one more request, relative to its capacity and weight. */
+/** A candidate and its load including one more request, relative to its capacity and weight. */
 export interface WeightedLoad {
     candidate: UpstreamCandidate;
     load: number;
--- a/routing/choice/test/affinityChooser.test.ts
+++ b/routing/choice/test/affinityChooser.test.ts
@@ -22,7 +22,7 @@
     });
 }
 
-/** Sends requests that stay in flight. @returns the number at each candidate, shape [candidates] */
+/** Sends requests that stay in flight. @returns the number of requests at each candidate; shape [candidates] */
 function fill(
     chooser: UpstreamChooser,
     candidates: UpstreamCandidate[],
@@ -38,7 +38,7 @@
 }
 
 test("an upstream that is leaving, without a link, excluded or of another role is never chosen", () => {
-    const candidate = fc.record({
+    const candidateFields = fc.record({
         zone: fc.constantFrom("zone-a", "zone-b"),
         state: fc.constantFrom("live", "leaving"),
         linkState: fc.constantFrom("connecting", "open", "suspect", "closed"),
@@ -48,23 +48,25 @@
         isExcluded: fc.boolean(),
     });
     const request = fc.record({
-        made: fc.array(candidate, { maxLength: 12 }),
+        generated: fc.array(candidateFields, { maxLength: 12 }),
         role: fc.constantFrom("prefill" as const, "decode" as const, undefined),
         affinityKey: fc.option(fc.string(), { nil: undefined }),
         subsetSize: fc.integer({ min: 1, max: 12 }),
     });
     fc.assert(
-        fc.property(request, ({ made, role, affinityKey, subsetSize }) => {
-            const candidates = made.map((fields, index) => ({
+        fc.property(request, ({ generated, role, affinityKey, subsetSize }) => {
+            const candidates = generated.map((fields, index) => ({
                 ...fields,
                 instanceId: `upstream-${index}` as InstanceId,
                 zone: fields.zone as ZoneName,
             }));
-            const excluded = candidates.filter(one => one.isExcluded).map(one => one.instanceId);
+            const excluded = candidates.filter(candidate => candidate.isExcluded).map(candidate =>
+                candidate.instanceId
+            );
             const allowed = candidates
-                .filter(one => one.state === "live" && !one.isExcluded)
-                .filter(one => one.linkState === "open" || one.linkState === "suspect")
-                .filter(one => role === undefined || [undefined, "any", role].includes(one.role));
+                .filter(candidate => candidate.state === "live" && !candidate.isExcluded)
+                .filter(candidate => candidate.linkState === "open" || candidate.linkState === "suspect")
+                .filter(candidate => role === undefined || [undefined, "any", role].includes(candidate.role));
             const chosen = createChooser({ subsetSize }).choose({
                 candidates,
                 affinityKey,
@@ -72,10 +74,10 @@
                 excluded,
                 nowMs: 0,
             });
-            const chosenCandidate = allowed.find(one => one.instanceId === chosen);
+            const chosenCandidate = allowed.find(candidate => candidate.instanceId === chosen);
             assert.equal(chosen !== undefined, allowed.length > 0);
             assert.ok(chosen === undefined || chosenCandidate !== undefined);
-            if (allowed.some(one => one.linkState === "open")) {
+            if (allowed.some(candidate => candidate.linkState === "open")) {
                 assert.equal(chosenCandidate?.linkState, "open");
             }
         }),
@@ -83,7 +85,7 @@
     );
 });
 
-test("requests of one prefix stay together up to the load bound and no upstream exceeds it", () => {
+test("requests with one affinity key go to one upstream up to the load bound, and no upstream exceeds it", () => {
     const candidates = testCandidates(10);
     const counts = fill(createChooser(), candidates, 200, "shared prompt");
     assert.ok(Math.max(...counts) <= 200 / 10 * 1.6 + 2, `${counts}`);
@@ -92,14 +94,14 @@
     assert.deepEqual(light, again);
 });
 
-test("two choices by load leave a smaller peak than random choice", () => {
+test("the less loaded of two choices has a lower peak load than random choice", () => {
     const candidates = testCandidates(20);
     const peak = (chooser: UpstreamChooser) => Math.max(...fill(chooser, candidates, 400));
     assert.ok(peak(createChooser()) <= 23);
     assert.ok(peak(new RandomChooser(new SeededRandom(SEED))) > 25);
 });
 
-test("requests leave the zone only when it is loaded well above the others", () => {
+test("requests leave the zone only if its load is well above that of the others", () => {
     const near = testCandidates(2, "zone-a");
     const far = testCandidates(2, "zone-b");
     const counts = fill(createChooser(), [...near, ...far], 2);
@@ -109,11 +111,14 @@
     assert.ok(spilled[2] + spilled[3] >= 18, `${spilled}`);
 });
 
-test("a newly joined upstream is not overrun", () => {
+test("a newly joined upstream is not overloaded", () => {
     const chooser = createChooser();
     const old = testCandidates(10).map(candidate => ({ ...candidate, running: 5 }));
     chooser.choose({ candidates: old, nowMs: 0 });
-    const joined = [...old, ...testCandidates(1, "zone-new").map(one => ({ ...one, zone: "zone-a" as ZoneName }))];
+    const joined = [
+        ...old,
+        ...testCandidates(1, "zone-new").map(candidate => ({ ...candidate, zone: "zone-a" as ZoneName })),
+    ];
     const share = (nowMs: number) =>
         Array.from({ length: 300 }, () => {
             const chosen = chooser.choose({ candidates: joined, nowMs })!;
@@ -124,7 +129,7 @@
     assert.ok(share(20_000) > 0.1);
 });
 
-test("an upstream that fails is ejected, tried again gently and taken back once it works", () => {
+test("an upstream that fails is ejected, retried gradually and restored once it works", () => {
     const chooser = createChooser();
     const candidates = testCandidates(4);
     const broken = candidates[0].instanceId;
--- a/routing/choice/test/prefixIndex.test.ts
+++ b/routing/choice/test/prefixIndex.test.ts
@@ -9,7 +9,7 @@
 const upstream = "upstream" as InstanceId;
 const allBlocks = Array.from({ length: 8 }, (_, index) => `block-${index}`);
 
-test("with events that come late, twice or not at all, only what the engine has said is confirmed", () => {
+test("if events are late, repeated or lost, only blocks reported by the engine count as confirmed", () => {
     const event = fc.record({
         isStored: fc.boolean(),
         block: fc.constantFrom(...allBlocks),
@@ -19,25 +19,25 @@
     fc.assert(
         fc.property(fc.array(event, { maxLength: 60 }), events => {
             const index = new PrefixIndex({ maxBlocks: 100 });
-            const truth = new Set<string>();
+            const cached = new Set<string>();
             let lostSinceLast = false;
-            const unsure = new Set<string>(allBlocks);
+            const unconfirmed = new Set<string>(allBlocks);
             events.forEach(({ isStored, block, isLost, isRepeated }, position) => {
                 if (isStored) {
-                    truth.add(block);
+                    cached.add(block);
                 }
                 else {
-                    truth.delete(block);
+                    cached.delete(block);
                 }
                 lostSinceLast ||= isLost;
                 if (isLost) {
                     return;
                 }
                 if (lostSinceLast) {
-                    allBlocks.forEach(one => unsure.add(one));
+                    allBlocks.forEach(other => unconfirmed.add(other));
                     lostSinceLast = false;
                 }
-                unsure.delete(block);
+                unconfirmed.delete(block);
                 const kind = isStored ? "stored" as const : "evicted" as const;
                 const change = { instanceId: upstream, sequenceNumber: position, kind, blockHashes: [block] };
                 index.onCacheChange(change);
@@ -47,18 +47,18 @@
             });
             if (!lostSinceLast) {
                 allBlocks
-                    .filter(block => !unsure.has(block))
-                    .forEach(block => assert.equal(index.matchOf(upstream, [block]), truth.has(block) ? 1 : 0));
+                    .filter(block => !unconfirmed.has(block))
+                    .forEach(block => assert.equal(index.matchOf(upstream, [block]), cached.has(block) ? 1 : 0));
             }
             allBlocks
-                .filter(block => unsure.has(block) && !lostSinceLast)
+                .filter(block => unconfirmed.has(block) && !lostSinceLast)
                 .forEach(block => assert.ok(index.matchOf(upstream, [block]) <= 0.5));
         }),
         { seed: SEED, numRuns: 500 },
     );
 });
 
-test("own choices count a half, the oldest blocks are forgotten first", () => {
+test("blocks of own choices count as 0.5, and the oldest blocks are evicted first", () => {
     const index = new PrefixIndex({ maxBlocks: 4 });
     index.recordChoice(upstream, ["a", "b"]);
     assert.equal(index.matchOf(upstream, ["a", "b", "c"]), 1);
@@ -74,7 +74,7 @@
     assert.equal(first.findIndex((block, position) => block !== second[position]), 10);
 });
 
-test("an engine that numbers its events afresh is taken to hold nothing of before", () => {
+test("an engine whose sequence numbers restart is assumed to have an empty cache", () => {
     const index = new PrefixIndex({ maxBlocks: 10 });
     const stored = (sequenceNumber: number, block: string) =>
         index.onCacheChange({ instanceId: upstream, sequenceNumber, kind: "stored", blockHashes: [block] });
--- a/routing/choice/test/subsetPolicy.test.ts
+++ b/routing/choice/test/subsetPolicy.test.ts
@@ -9,7 +9,7 @@
 const names = (prefix: string, count: number) =>
     Array.from({ length: count }, (_, index) => `${prefix}-${index}` as InstanceId);
 
-test("the ring covers all upstreams evenly, whatever the numbers", () => {
+test("the ring covers all upstreams evenly, for any number of entries and upstreams", () => {
     const sizes = fc.tuple(
         fc.integer({ min: 1, max: 30 }),
         fc.integer({ min: 1, max: 60 }),
@@ -23,20 +23,20 @@
                 new RingSubset({ entryId, subsetSize, entries: () => entries }).subsetOf(upstreams)
             );
             subsets.forEach(subset => assert.equal(new Set(subset).size, Math.min(subsetSize, upstreamCount)));
-            const covered = upstreams.map(one => subsets.filter(subset => subset.includes(one)).length);
+            const covered = upstreams.map(upstream => subsets.filter(subset => subset.includes(upstream)).length);
             assert.ok(Math.max(...covered) - Math.min(...covered) <= 1);
         }),
         { seed: SEED, numRuns: 200 },
     );
 });
 
-test("with rendezvous a lost upstream costs each entry at most that one upstream", () => {
+test("with rendezvous hashing, a lost upstream removes at most that upstream from each entry's subset", () => {
     const upstreams = names("upstream", 40);
     names("entry", 20).forEach(entryId => {
         const policy = new RendezvousSubset({ entryId, subsetSize: 8 });
         const before = policy.subsetOf(upstreams);
         const after = policy.subsetOf(upstreams.slice(1));
-        const lost = before.filter(one => !after.includes(one));
+        const lost = before.filter(upstream => !after.includes(upstream));
         assert.ok(lost.length === 0 || (lost.length === 1 && lost[0] === upstreams[0]));
     });
 });
