--- a/routing/limits/src/demandShares.ts
+++ b/routing/limits/src/demandShares.ts
@@ -35,8 +35,8 @@
  *
  * A tenth of a limit is divided evenly, so that demand within it needs no report. The rest is divided by reported
  * demand. An entry uses the smaller of its own last two reports and the larger of each peer's last two. If reports
- * arrive within an interval, the shares therefore never add up to more than 1. The exception is an entry that has demand
- * but has not reported it twice yet: it gets an even share of the whole limit.
+ * arrive within an interval, the shares therefore never add up to more than 1. The exception is an entry that has
+ * demand but has not reported it twice yet: it gets an even share of the whole limit.
  */
 export class DemandShares implements LimitShares {
     private readonly opts: DemandSharesOptions;
--- a/routing/limits/test/leakyBucket.test.ts
+++ b/routing/limits/test/leakyBucket.test.ts
@@ -43,7 +43,7 @@
     );
 });
 
-test("the wait time of a rejection is exactly the time needed", () => {
+test("the wait time given by a rejection is the time needed", () => {
     fc.assert(
         fc.property(fc.integer({ min: 1, max: 100 }), fc.integer({ min: 1, max: 20 }), (ratePerSecond, takes) => {
             const bucket = new LeakyBucket();
--- a/routing/limits/test/sharedLimiter.test.ts
+++ b/routing/limits/test/sharedLimiter.test.ts
@@ -63,7 +63,7 @@
     return admittedAtMs.filter(atMs => atMs >= fromMs && atMs < untilMs).length;
 }
 
-test("all entries together stay within the bound, however demand moves between them", context => {
+test("all entries together stay within the stated bound, however demand moves between them", context => {
     let worstShare = 0;
     const phase = fc.array(fc.integer({ min: 0, max: 80 }), { minLength: 6, maxLength: 6 });
     fc.assert(
