--- a/placement/orders/test/engineReconciler.test.ts
+++ b/placement/orders/test/engineReconciler.test.ts
@@ -94,7 +94,7 @@
 
 [true, false].forEach(checksFencing => {
     const kind = checksFencing ? "checks" : "does not check";
-    test(`interleaved planners and a paused side end with the later plan if the engine ${kind} fencing`, async () => {
+    test(`two planners and a paused side, in any order, end with the later plan (engine ${kind} fencing)`, async () => {
         const orders = interleavings(ACTORS);
         assert.equal(orders.length, 5_040);
         for (const events of orders) {
--- a/placement/planner/src/planRoles.ts
+++ b/placement/planner/src/planRoles.ts
@@ -4,7 +4,7 @@
 import type { UpstreamPlan } from "./upstreamPlan.js";
 import type { UpstreamRole } from "./upstreamRole.js";
 
-/** Minimum difference between planned and demanded share of prefill at which an upstream changes its role. */
+/** An upstream changes its role if the planned and demanded shares of prefill differ by more than this. */
 const HYSTERESIS_SHARE = 0.15;
 const MIN_ROLE_HOLD_MS = 60_000;
 
--- a/placement/planner/test/plannerLease.test.ts
+++ b/placement/planner/test/plannerLease.test.ts
@@ -10,7 +10,7 @@
 
 const region = "tt-north" as RegionName;
 
-test("a planner whose lease expired writes no plan, and its successor has a higher fencing number", async () => {
+test("a planner paused past its lease writes no plan, and its successor has a higher fencing number", async () => {
     const clock = new ManualClock();
     const keyValue = new MemoryKeyValueService({ clock });
     const lease = (name: string) => new PlannerLease({ keyValue, clock, region, instanceId: name as InstanceId });
