--- a/placement/orders/test/orderConverger.test.ts
+++ b/placement/orders/test/engineReconciler.test.ts
@@ -8,9 +8,9 @@
 import { LoadedModels } from "@knapweedwood/standins.engine/loadedModels";
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { convergerChart } from "../src/convergerChart.js";
-import { OrderConverger } from "../src/orderConverger.js";
+import { EngineReconciler } from "../src/engineReconciler.js";
 import type { ReceivedPlan } from "../src/receivedPlan.js";
+import { reconcilerChart } from "../src/reconcilerChart.js";
 
 const model = "demo" as ModelName;
 
@@ -28,13 +28,13 @@
     };
 }
 
-class Engine {
+class TestEngine {
     readonly clock = new ManualClock();
     readonly accepted: EngineOrder[] = [];
-    readonly held: LoadedModels;
+    readonly loadedModels: LoadedModels;
 
     constructor(opts: { checksFencing: boolean; }) {
-        this.held = new LoadedModels({
+        this.loadedModels = new LoadedModels({
             clock: this.clock,
             seed: 1,
             models: [],
@@ -44,31 +44,35 @@
     }
 
     state() {
-        return Promise.resolve(structuredClone(this.held.state()));
+        return Promise.resolve(structuredClone(this.loadedModels.state()));
     }
 
     order(order: EngineOrder): Promise<void> {
-        if (!this.held.accept(order)) {
-            return Promise.reject(new KnapweedError("ENGINE_ORDER_STALE", "old", { outcome: "not-run" }));
+        if (!this.loadedModels.accept(order)) {
+            return Promise.reject(
+                new KnapweedError("ENGINE_ORDER_STALE", "The order has an older fencing number", {
+                    outcome: "not-run",
+                }),
+            );
         }
         this.accepted.push(order);
         return Promise.resolve();
     }
 
     versions(): string[] {
-        return this.held.state().models.map(held => held.version as string).sort();
+        return this.loadedModels.state().models.map(loaded => loaded.version as string).sort();
     }
 }
 
-async function converge(engine: Engine, side: OrderConverger): Promise<void> {
+async function reconcile(engine: TestEngine, side: EngineReconciler): Promise<void> {
     for (let round = 0; round < 5; round += 1) {
-        side.sweep();
+        side.recheck();
         await side.run();
         await engine.clock.advance(1);
     }
 }
 
-/** All orders in which the events of several actors can come, each actor's own order kept. */
+/** Returns every interleaving of the actors' events that keeps the order of each actor. */
 function interleavings(actors: string[][]): string[][] {
     if (actors.every(events => events.length === 0)) {
         return [[]];
@@ -90,20 +94,20 @@
 
 [true, false].forEach(checksFencing => {
     const kind = checksFencing ? "checks" : "does not check";
-    test(`two planners and a paused side in every order end with the later plan, where the engine ${kind} fencing`, async () => {
+    test(`two planners and a paused side, in any order, end with the later plan (engine ${kind} fencing)`, async () => {
         const orders = interleavings(ACTORS);
         assert.equal(orders.length, 5_040);
         for (const events of orders) {
-            await play(events, checksFencing);
+            await runEvents(events, checksFencing);
         }
     });
 });
 
-async function play(events: string[], checksFencing: boolean): Promise<void> {
-    const engine = new Engine({ checksFencing });
-    const create = () => new OrderConverger({ engine, clock: engine.clock });
+async function runEvents(events: string[], checksFencing: boolean): Promise<void> {
+    const engine = new TestEngine({ checksFencing });
+    const create = () => new EngineReconciler({ engine, clock: engine.clock });
     const side = create();
-    // A side process that was paused just before its order, while a new one took its place.
+    // A side process that was paused just before it sent its order, while a new process replaced it.
     const oldSide = create();
     oldSide.receive(plan(1, 1, "old"), 0);
     await oldSide.step();
@@ -135,7 +139,7 @@
             engine.accepted.slice(before).forEach(order => assert.equal(order.fencingNumber, 2, events.join(" ")));
         }
     }
-    await converge(engine, side);
+    await reconcile(engine, side);
     assert.deepEqual(engine.versions(), ["new"], events.join(" "));
     if (checksFencing) {
         const numbers = engine.accepted.map(order => order.fencingNumber as number);
@@ -143,56 +147,56 @@
     }
 }
 
-test("no order is begun once the plan has not been confirmed for too long", async () => {
-    const engine = new Engine({ checksFencing: false });
-    const side = new OrderConverger({ engine, clock: engine.clock });
+test("no order is sent after the plan's validity has expired without a confirmation", async () => {
+    const engine = new TestEngine({ checksFencing: false });
+    const side = new EngineReconciler({ engine, clock: engine.clock });
     side.receive(plan(1, 1, "1"), engine.clock.nowMs());
     await side.step();
     await engine.clock.advance(8_000);
     await side.run();
     assert.deepEqual([engine.accepted, side.state], [[], "waiting"]);
     side.receive(plan(1, 1, "1"), engine.clock.nowMs());
-    await converge(engine, side);
+    await reconcile(engine, side);
     assert.deepEqual(engine.versions(), ["1"]);
 });
 
-test("an engine that was changed by hand is brought back", async () => {
-    const engine = new Engine({ checksFencing: false });
-    const side = new OrderConverger({ engine, clock: engine.clock });
+test("an engine that was changed manually is reconciled with the plan again", async () => {
+    const engine = new TestEngine({ checksFencing: false });
+    const side = new EngineReconciler({ engine, clock: engine.clock });
     side.receive(plan(1, 1, "1"), 0);
-    await converge(engine, side);
-    engine.held.accept({
+    await reconcile(engine, side);
+    engine.loadedModels.accept({
         fencingNumber: 0 as FencingNumber,
         action: { kind: "load-model", model, version: "by-hand" as ModelVersion },
     });
-    await converge(engine, side);
+    await reconcile(engine, side);
     assert.deepEqual(engine.versions(), ["1"]);
 });
 
-test("the old version is unloaded only when the new one is ready", async () => {
-    const engine = new Engine({ checksFencing: true });
-    const side = new OrderConverger({ engine, clock: engine.clock });
+test("the old version is unloaded only after the new one is ready", async () => {
+    const engine = new TestEngine({ checksFencing: true });
+    const side = new EngineReconciler({ engine, clock: engine.clock });
     side.receive(plan(1, 1, "1"), 0);
-    await converge(engine, side);
+    await reconcile(engine, side);
     side.receive(plan(1, 2, "2"), 0);
     await side.run();
     assert.deepEqual(engine.versions(), ["1", "2"]);
-    await converge(engine, side);
+    await reconcile(engine, side);
     assert.deepEqual(engine.versions(), ["2"]);
 });
 
-test("every state of the chart can be reached and left", () => {
-    const reached = new Set([convergerChart.initial]);
-    const frontier = [convergerChart.initial];
+test("every state of the chart is reachable and has an outgoing event", () => {
+    const reached = new Set([reconcilerChart.initial]);
+    const frontier = [reconcilerChart.initial];
     for (let state = frontier.pop(); state !== undefined; state = frontier.pop()) {
         const from = state;
-        convergerChart.events(from).map(event => convergerChart.next(from, event)).forEach(next => {
+        reconcilerChart.events(from).map(event => reconcilerChart.next(from, event)).forEach(next => {
             if (!reached.has(next)) {
                 reached.add(next);
                 frontier.push(next);
             }
         });
     }
-    assert.deepEqual([...reached].sort(), convergerChart.states().sort());
-    convergerChart.states().forEach(state => assert.ok(convergerChart.events(state).length > 0));
+    assert.deepEqual([...reached].sort(), reconcilerChart.states().sort());
+    reconcilerChart.states().forEach(state => assert.ok(reconcilerChart.events(state).length > 0));
 });
--- a/placement/planner/src/plannerLease.ts
+++ b/placement/planner/src/plannerLease.ts
@@ -6,12 +6,12 @@
 import { placementKeys } from "./placementKeys.js";
 
 const LEASE_TTL_MS = 10_000;
-/** Time before the lease's end at which its holder stops acting on it. */
+/** Time before the lease expires at which its holder stops using it. */
 const LEASE_MARGIN_MS = 3_000;
 
 /**
- * The lease of a region's planner. Its fencing number is the revision at which the holder's key was written, which
- * only rises.
+ * The lease of a region's planner. Its fencing number is the revision at which the holder's key was written, so it only
+ * increases.
  */
 export class PlannerLease {
     private readonly keyValue: KeyValueService;
@@ -19,7 +19,7 @@
     private readonly instanceId: InstanceId;
     private readonly key: string;
     private leaseId: string | undefined;
-    private number: FencingNumber | undefined;
+    private heldFencingNumber: FencingNumber | undefined;
     private validUntilMs = 0;
 
     constructor(opts: { keyValue: KeyValueService; clock: Clock; instanceId: InstanceId; region: RegionName; }) {
@@ -29,23 +29,23 @@
         this.key = placementKeys.holder(opts.region);
     }
 
-    /** Undefined while the lease is not held, or about to end. */
+    /** Fencing number of the lease; undefined while the lease is not held or is about to expire. */
     get fencingNumber(): FencingNumber | undefined {
-        return this.clock.nowMs() < this.validUntilMs - LEASE_MARGIN_MS ? this.number : undefined;
+        return this.clock.nowMs() < this.validUntilMs - LEASE_MARGIN_MS ? this.heldFencingNumber : undefined;
     }
 
     /**
-     * Takes the lease where it is free, or keeps it alive where it is held here. Called again and again.
+     * Acquires the lease if it is free, or renews it if this instance holds it. Called periodically.
      *
-     * @returns whether it is held
+     * @returns whether this instance holds the lease
      */
-    async acquireOrKeep(): Promise<boolean> {
-        return this.leaseId === undefined ? this.acquire() : this.keep(this.leaseId);
+    async acquireOrRenew(): Promise<boolean> {
+        return this.leaseId === undefined ? this.acquire() : this.renew(this.leaseId);
     }
 
     async release(): Promise<void> {
         const leaseId = this.leaseId;
-        this.forget();
+        this.clear();
         if (leaseId !== undefined) {
             await this.keyValue.revokeLease(leaseId);
         }
@@ -67,25 +67,25 @@
             return false;
         }
         this.leaseId = leaseId;
-        this.number = result.revision as FencingNumber;
+        this.heldFencingNumber = result.revision as FencingNumber;
         this.validUntilMs = startedAtMs + LEASE_TTL_MS;
         return true;
     }
 
-    private async keep(leaseId: string): Promise<boolean> {
+    private async renew(leaseId: string): Promise<boolean> {
         const startedAtMs = this.clock.nowMs();
-        const leftMs = await this.keyValue.keepLeaseAlive(leaseId);
-        if (leftMs === 0) {
-            this.forget();
+        const remainingMs = await this.keyValue.keepLeaseAlive(leaseId);
+        if (remainingMs === 0) {
+            this.clear();
             return false;
         }
-        this.validUntilMs = startedAtMs + Math.min(leftMs, LEASE_TTL_MS);
+        this.validUntilMs = startedAtMs + Math.min(remainingMs, LEASE_TTL_MS);
         return true;
     }
 
-    private forget(): void {
+    private clear(): void {
         this.leaseId = undefined;
-        this.number = undefined;
+        this.heldFencingNumber = undefined;
         this.validUntilMs = 0;
     }
 }
--- a/routing/limits/src/usageExchange.ts
+++ b/routing/limits/src/usageExchange.ts
@@ -10,16 +10,16 @@
     endpoint: LinkEndpoint;
     shares: DemandShares;
     clock: Clock;
-    /** Time between reports, in milliseconds; the same as that of the shares. */
+    /** Time between reports, in milliseconds; must equal that of the shares. */
     reportIntervalMs: number;
-    /** The entries that share the limits, shape [entries]. Of each two, one opens a link to the other. */
+    /** Returns the entries that share the limits; shape [entries]. Of each pair, one opens a link to the other. */
     entries: () => readonly EntryAddress[];
 }
 
-/** Exchanges reports of demand with all entries that share the limits. */
+/** Exchanges demand reports with all entries that share the limits. */
 export class UsageExchange {
     private readonly opts: UsageExchangeOptions;
-    private readonly opened = new Map<string, Link>();
+    private readonly openedLinks = new Map<string, Link>();
     private timer: Timer | undefined;
 
     constructor(opts: UsageExchangeOptions) {
@@ -32,8 +32,8 @@
 
     start(): void {
         this.timer = this.opts.clock.setTimer(this.opts.reportIntervalMs, () => {
-            this.keepLinks();
-            this.send();
+            this.updateLinks();
+            this.sendReport();
             this.start();
         });
     }
@@ -42,22 +42,22 @@
         this.timer?.cancel();
     }
 
-    private keepLinks(): void {
+    private updateLinks(): void {
         const { endpoint, entries } = this.opts;
         const addresses = entries()
             .filter(entry => entry.instanceId < endpoint.identity.instanceId)
             .map(entry => entry.address);
-        addresses.forEach(address => this.opened.set(address, endpoint.connect(address)));
-        [...this.opened]
+        addresses.forEach(address => this.openedLinks.set(address, endpoint.connect(address)));
+        [...this.openedLinks]
             .filter(([address, link]) => !addresses.includes(address) && link.state !== "open")
             .forEach(([address, link]) => {
                 link.close();
-                this.opened.delete(address);
+                this.openedLinks.delete(address);
             });
     }
 
-    /** An entry linked both ways gets the report once. */
-    private send(): void {
+    /** Sends each entry one report, even if links exist in both directions. */
+    private sendReport(): void {
         const { endpoint, shares, clock } = this.opts;
         const report = shares.report(clock.nowMs());
         const links = endpoint.links().filter(link => link.peer?.kind === "entry");
