--- a/batch/owner/src/batchRole.ts
+++ b/batch/owner/src/batchRole.ts
@@ -22,15 +22,15 @@
 import { handOutItems } from "./handOutItems.js";
 import { JobRetention } from "./jobRetention.js";
 import { PartitionOwner } from "./partitionOwner.js";
-import { PullLedger } from "./pullLedger.js";
-import { SegmentSweep } from "./segmentSweep.js";
+import { PullTracker } from "./pullTracker.js";
+import { SegmentScan } from "./segmentScan.js";
 import { TeamShares } from "./teamShares.js";
 
-const OBSERVE_INTERVAL_MS = 1000;
+const OPEN_JOBS_INTERVAL_MS = 1000;
 const DEFAULT_WRITE_BUDGET_PER_SECOND = 64;
 const MS_PER_SECOND = 1000;
 const FORWARD_TIMEOUT_MS = 5000;
-const SWEEP_INTERVAL_MS = 60_000;
+const DEFAULT_MAINTENANCE_INTERVAL_MS = 60_000;
 
 /** The batch work of one entry instance: owns partitions, hands out their items, gathers and commits results. */
 export class BatchRole {
@@ -38,11 +38,11 @@
     private readonly ownership: PartitionOwnership;
     private readonly owners = new Map<PartitionId, PartitionOwner>();
     private readonly shares: TeamShares;
-    private readonly pulls = new PullLedger({ giveBack: (items, peer) => this.giveBack(items, peer) });
+    private readonly pulls = new PullTracker({ requeue: (items, peer) => this.requeue(items, peer) });
     private readonly stopping = new AbortController();
-    private entries: InstanceId[] = [];
+    private lastEntries: InstanceId[] = [];
     private loop: Promise<void> | undefined;
-    private sweepLoop: Promise<void> | undefined;
+    private maintenanceLoop: Promise<void> | undefined;
 
     constructor(opts: BatchRoleOptions) {
         this.opts = opts;
@@ -51,9 +51,9 @@
             ...opts,
             scope: "batch",
             liveEntries: () => this.liveEntries(),
-            onAcquired: partition => this.acquired(partition),
-            onLost: (partitionId, address) => void this.lost(partitionId, address),
-            onRelease: partitionId => this.released(partitionId),
+            onAcquired: partition => this.startOwner(partition),
+            onLost: (partitionId, address) => void this.forwardResults(partitionId, address),
+            onRelease: partitionId => this.handOver(partitionId),
         });
         opts.endpoint.handle(pullItemsCall, (request, context) => this.pull(request, context.peer));
         opts.endpoint.handle(reportResultsCall, (request, context) => this.report(request.results, context.peer));
@@ -61,8 +61,8 @@
 
     start(): void {
         this.ownership.start();
-        this.loop ??= this.observeUntilStopped();
-        this.sweepLoop ??= this.sweepUntilStopped();
+        this.loop ??= this.syncUntilStopped();
+        this.maintenanceLoop ??= this.maintainUntilStopped();
     }
 
     /** Commits what is done and hands all partitions over. */
@@ -70,7 +70,7 @@
         this.stopping.abort();
         await this.ownership.stop();
         await this.loop;
-        await this.sweepLoop;
+        await this.maintenanceLoop;
         await Promise.all([...this.owners.values()].map(owner => owner.stop()));
         this.owners.clear();
     }
@@ -89,7 +89,7 @@
 
     private async *pull(request: PullItemsRequest, peer: PeerIdentity): AsyncIterable<{ items: BatchItem[]; }> {
         this.confirmHeld(request.held, peer);
-        const items = await this.pulls.answer(request, peer, () => this.handOut(request, peer));
+        const items = await this.pulls.respond(request, peer, () => this.handOut(request, peer));
         this.opts.metrics.increment("batch.items_handed_out", {}, items.length);
         yield { items };
     }
@@ -113,42 +113,48 @@
         });
     }
 
-    private giveBack(items: BatchItem[], peer: PeerIdentity): void {
+    private requeue(items: BatchItem[], peer: PeerIdentity): void {
         items.forEach(item => {
             const owner = this.owners.get(partitionOf(item.jobId, this.opts.partitionCount));
-            owner?.job(item.jobId)?.untake([item], peer);
+            owner?.job(item.jobId)?.requeue([item], peer);
         });
     }
 
     private async *report(results: BatchResult[], peer: PeerIdentity): AsyncIterable<{ taken: number; }> {
         const jobIds = [...new Set(results.map(result => result.jobId))];
-        const taken = await Promise.all(jobIds.map(async jobId => {
+        const acceptedCounts = await Promise.all(jobIds.map(async jobId => {
             const owner = this.owners.get(partitionOf(jobId, this.opts.partitionCount));
             return await owner?.report(jobId, results.filter(result => result.jobId === jobId), peer) ?? 0;
         }));
-        yield { taken: taken.reduce((sum, count) => sum + count, 0) };
+        yield { taken: acceptedCounts.reduce((sum, count) => sum + count, 0) };
     }
 
-    private async observeUntilStopped(): Promise<void> {
+    private async syncUntilStopped(): Promise<void> {
         const { clock, random, logger } = this.opts;
         while (!this.stopping.signal.aborted) {
-            await this.observe().catch((error: unknown) => {
+            await this.syncOpenJobs().catch((error: unknown) => {
                 logger.warn("open jobs not read", { code: toKnapweedError(error).code });
             });
-            await sleep(clock, OBSERVE_INTERVAL_MS * (0.75 + random.next() / 4), this.stopping.signal);
+            await sleep(clock, OPEN_JOBS_INTERVAL_MS * (0.75 + random.next() / 4), this.stopping.signal);
         }
     }
 
     /** Re-copies segments and removes expired jobs, now and then. */
-    private async sweepUntilStopped(): Promise<void> {
-        const { clock, random, logger, sweepIntervalMs = SWEEP_INTERVAL_MS, retentionMs } = this.opts;
+    private async maintainUntilStopped(): Promise<void> {
+        const {
+            clock,
+            random,
+            logger,
+            maintenanceIntervalMs: sweepIntervalMs = DEFAULT_MAINTENANCE_INTERVAL_MS,
+            retentionMs,
+        } = this.opts;
         const isOwned = (partitionId: PartitionId) => this.ownership.owned(partitionId) !== undefined;
-        const sweep = new SegmentSweep({ ...this.opts, isOwned });
+        const scan = new SegmentScan({ ...this.opts, isOwned });
         const retention = new JobRetention({ ...this.opts, isOwned, retentionMs: retentionMs ?? Infinity });
         while (!this.stopping.signal.aborted) {
             await sleep(clock, sweepIntervalMs * (0.75 + random.next() / 2), this.stopping.signal);
             try {
-                await sweep.run(this.stopping.signal);
+                await scan.run(this.stopping.signal);
                 await retention.run();
             }
             catch (error) {
@@ -157,7 +163,7 @@
         }
     }
 
-    private async observe(): Promise<void> {
+    private async syncOpenJobs(): Promise<void> {
         if (this.owners.size === 0) {
             return;
         }
@@ -165,12 +171,12 @@
         const open = records.map(record => record.value);
         await Promise.all(
             [...this.owners].map(([partitionId, owner]) =>
-                owner.observe(open.filter(job => partitionOf(job.jobId, this.opts.partitionCount) === partitionId))
+                owner.syncOpenJobs(open.filter(job => partitionOf(job.jobId, this.opts.partitionCount) === partitionId))
             ),
         );
     }
 
-    private acquired(partition: OwnedPartition): void {
+    private startOwner(partition: OwnedPartition): void {
         const { partitionId } = partition;
         const existing = this.owners.get(partitionId);
         if (existing !== undefined) {
@@ -193,7 +199,7 @@
     }
 
     /** Another instance took the partition: what was not committed goes to it. */
-    private async lost(partitionId: PartitionId, newOwnerAddress: string): Promise<void> {
+    private async forwardResults(partitionId: PartitionId, newOwnerAddress: string): Promise<void> {
         const owner = this.owners.get(partitionId);
         this.owners.delete(partitionId);
         if (owner === undefined) {
@@ -209,7 +215,7 @@
         }
     }
 
-    private async released(partitionId: PartitionId): Promise<void> {
+    private async handOver(partitionId: PartitionId): Promise<void> {
         const owner = this.owners.get(partitionId);
         this.owners.delete(partitionId);
         try {
@@ -223,13 +229,13 @@
     private async liveEntries(): Promise<InstanceId[]> {
         try {
             const records = await this.opts.instanceList.list();
-            this.entries = records
+            this.lastEntries = records
                 .filter(record => record.kind === "entry" && record.state === "live")
                 .map(record => record.instanceId);
         }
         catch (error) {
             this.opts.logger.debug("instance list kept", { code: toKnapweedError(error).code });
         }
-        return this.entries;
+        return this.lastEntries;
     }
 }
--- a/batch/owner/src/batchRoleOptions.ts
+++ b/batch/owner/src/batchRoleOptions.ts
@@ -32,5 +32,5 @@
     leaseTtlMs?: number;
     /** How long a job is kept after its end; undefined keeps all. */
     retentionMs?: number;
-    sweepIntervalMs?: number;
+    maintenanceIntervalMs?: number;
 }
--- a/batch/owner/src/compareRuns.ts
+++ b/batch/owner/src/compareRuns.ts
@@ -9,6 +9,7 @@
         return leftOverdue ? -1 : 1;
     }
     const byDueTime = left.manifest.dueAtMs - right.manifest.dueAtMs;
-    const byShare = opts.shares.servedBy(left.manifest.teamId) - opts.shares.servedBy(right.manifest.teamId);
+    const byShare = opts.shares.weightedCountOf(left.manifest.teamId)
+        - opts.shares.weightedCountOf(right.manifest.teamId);
     return leftOverdue ? byDueTime : byShare || byDueTime;
 }
--- a/batch/owner/src/decideAfterAttempt.ts
+++ b/batch/owner/src/decideAfterAttempt.ts
@@ -50,14 +50,14 @@
 }
 
 function addAttempt(history: ItemHistory, attempt: FailedAttempt): ItemHistory {
-    const isItem = attempt.cause === "item";
-    const isLoss = attempt.cause === "upstream-lost";
+    const isItemFailure = attempt.cause === "item";
+    const isUpstreamLoss = attempt.cause === "upstream-lost";
     return {
         index: history.index,
-        itemFailures: history.itemFailures + Number(isItem),
-        instanceFailures: history.instanceFailures + Number(!isItem),
-        upstreams: isItem ? withInstance(history.upstreams, attempt.upstream) : history.upstreams,
-        lostUpstreams: isLoss ? withInstance(history.lostUpstreams, attempt.upstream) : history.lostUpstreams,
+        itemFailures: history.itemFailures + Number(isItemFailure),
+        instanceFailures: history.instanceFailures + Number(!isItemFailure),
+        upstreams: isItemFailure ? withInstance(history.upstreams, attempt.upstream) : history.upstreams,
+        lostUpstreams: isUpstreamLoss ? withInstance(history.lostUpstreams, attempt.upstream) : history.lostUpstreams,
     };
 }
 
--- a/batch/owner/src/findLostFlights.ts
+++ b/batch/owner/src/findLostItems.ts
@@ -2,36 +2,37 @@
 import type { InstanceId } from "@knapweedwood/core.ids/instanceId";
 import type { PeerIdentity } from "@knapweedwood/links.calls/peerIdentity";
 import type { FailedAttempt } from "./failedAttempt.js";
-import type { ItemFlight } from "./itemFlight.js";
+import type { InFlightItem } from "./inFlightItem.js";
 
 const PEER_LOST_AFTER_MS = 3000;
-const MAX_FLIGHT_MS = 900_000;
+const MAX_IN_FLIGHT_MS = 900_000;
 
 /** Finds items whose gate has gone: its link is closed, it has started anew, or it has not answered for too long. */
-export function findLostFlights(opts: {
+export function findLostItems(opts: {
     nowMs: number;
-    flights: ItemFlight[];
+    inFlightItems: InFlightItem[];
     peers: PeerIdentity[];
 }): { index: number; attempt: FailedAttempt; }[] {
     const { nowMs } = opts;
     const incarnations = newestIncarnations(opts.peers);
-    return opts.flights.flatMap(flight => {
-        const incarnation = incarnations.get(flight.peer);
-        flight.peerLostSinceMs = incarnation === undefined ? flight.peerLostSinceMs ?? nowMs : undefined;
-        const isReplaced = incarnation !== undefined && incarnation !== flight.incarnation;
-        const isGone = flight.peerLostSinceMs !== undefined && nowMs - flight.peerLostSinceMs >= PEER_LOST_AFTER_MS;
-        const isLate = nowMs - flight.sinceMs >= MAX_FLIGHT_MS;
-        if (!isReplaced && !isGone && !isLate) {
+    return opts.inFlightItems.flatMap(inFlightItem => {
+        const incarnation = incarnations.get(inFlightItem.peer);
+        inFlightItem.peerLostSinceMs = incarnation === undefined ? inFlightItem.peerLostSinceMs ?? nowMs : undefined;
+        const isReplaced = incarnation !== undefined && incarnation !== inFlightItem.incarnation;
+        const isDisconnected = inFlightItem.peerLostSinceMs !== undefined
+            && nowMs - inFlightItem.peerLostSinceMs >= PEER_LOST_AFTER_MS;
+        const isTimedOut = nowMs - inFlightItem.sinceMs >= MAX_IN_FLIGHT_MS;
+        if (!isReplaced && !isDisconnected && !isTimedOut) {
             return [];
         }
         const attempt: FailedAttempt = {
-            upstream: flight.peer,
+            upstream: inFlightItem.peer,
             code: "upstream_lost",
             message: "The upstream was lost while it ran the item",
-            cause: isLate ? "instance" : "upstream-lost",
+            cause: isTimedOut ? "instance" : "upstream-lost",
             mayHaveRun: true,
         };
-        return [{ index: flight.item.index, attempt }];
+        return [{ index: inFlightItem.item.index, attempt }];
     });
 }
 
--- a/batch/owner/src/handOutItems.ts
+++ b/batch/owner/src/handOutItems.ts
@@ -21,10 +21,10 @@
 }): Promise<BatchItem[]> {
     const candidates = opts.owners.flatMap(owner => owner.jobs().map(run => ({ owner, run })));
     await Promise.all(candidates.map(({ run }) => run.refill().catch(() => undefined)));
-    const items = pick(candidates, opts);
+    const items = selectItems(candidates, opts);
     const claimed = await Promise.all(
         candidates.map(candidate =>
-            claim(
+            commitClaims(
                 candidate,
                 opts.peer,
                 items.filter(item => !item.repeatable && item.jobId === candidate.run.manifest.jobId),
@@ -34,7 +34,7 @@
     return [...items.filter(item => item.repeatable), ...claimed.flat()];
 }
 
-function pick(candidates: Candidate[], opts: Parameters<typeof handOutItems>[0]): BatchItem[] {
+function selectItems(candidates: Candidate[], opts: Parameters<typeof handOutItems>[0]): BatchItem[] {
     const { request, peer, shares } = opts;
     const items: BatchItem[] = [];
     let runs = candidates.map(candidate => candidate.run);
@@ -45,13 +45,13 @@
             runs = runs.filter(other => other !== run);
             continue;
         }
-        shares.serve(run.manifest.teamId);
+        shares.countItem(run.manifest.teamId);
         items.push(item);
     }
     return items;
 }
 
-async function claim(candidate: Candidate, peer: PeerIdentity, items: BatchItem[]): Promise<BatchItem[]> {
+async function commitClaims(candidate: Candidate, peer: PeerIdentity, items: BatchItem[]): Promise<BatchItem[]> {
     if (items.length === 0) {
         return [];
     }
@@ -59,6 +59,6 @@
     await owner.checkpoint(other => other === run).catch(() => false);
     const pending = new Set(run.pendingClaims);
     const isClaimed = (item: BatchItem) => !pending.has(item.itemIndex) && run.isAtGate(item, peer);
-    run.untake(items.filter(item => !isClaimed(item)), peer);
+    run.requeue(items.filter(item => !isClaimed(item)), peer);
     return items.filter(isClaimed);
 }
--- a/batch/owner/src/itemFlight.ts
+++ b/batch/owner/src/inFlightItem.ts
@@ -3,7 +3,7 @@
 import type { PendingItem } from "./pendingItem.js";
 
 /** An item that was handed to a gate. */
-export interface ItemFlight {
+export interface InFlightItem {
     item: PendingItem;
     peer: InstanceId;
     incarnation: Incarnation;
--- a/batch/owner/src/inheritedItems.ts
+++ b/batch/owner/src/inheritedItems.ts
@@ -33,36 +33,36 @@
         }
         this.unread.delete(item.index);
         this.unconfirmed.set(item.index, handedOut);
-        this.queue.addFlight({ ...item, attemptCount: handedOut.attempt }, handedOut, nowMs);
+        this.queue.addInFlight({ ...item, attemptCount: handedOut.attempt }, handedOut, nowMs);
     }
 
     /** Compares what a gate holds of the job with what was handed to it by the earlier owner. */
     confirm(held: HeldItem[], peer: PeerIdentity, nowMs: number): void {
         const heldIndexes = new Set<number>(held.map(item => item.itemIndex));
-        this.dropMissing(heldIndexes, peer);
-        held.forEach(item => this.keep(item, peer, nowMs));
+        this.requeueMissing(heldIndexes, peer);
+        held.forEach(item => this.confirmItem(item, peer, nowMs));
     }
 
-    private dropMissing(heldIndexes: Set<number>, peer: PeerIdentity): void {
+    private requeueMissing(heldIndexes: Set<number>, peer: PeerIdentity): void {
         const isMissing = (item: HandedOutItem) => item.peer === peer.instanceId && !heldIndexes.has(item.index);
         [...this.unread.values()].filter(isMissing).forEach(item => this.unread.delete(item.index));
         [...this.unconfirmed.values()].filter(isMissing).forEach(({ index, attempt }) => {
             this.unconfirmed.delete(index);
-            const flight = this.queue.flight(index);
-            if (flight?.peer === peer.instanceId && flight.item.attemptCount === attempt) {
-                this.queue.land(index);
-                this.queue.addFirst({ ...flight.item, attemptCount: attempt - 1 });
+            const inFlightItem = this.queue.inFlightItem(index);
+            if (inFlightItem?.peer === peer.instanceId && inFlightItem.item.attemptCount === attempt) {
+                this.queue.removeInFlight(index);
+                this.queue.addFirst({ ...inFlightItem.item, attemptCount: attempt - 1 });
             }
         });
     }
 
-    private keep(held: HeldItem, peer: PeerIdentity, nowMs: number): void {
+    private confirmItem(held: HeldItem, peer: PeerIdentity, nowMs: number): void {
         const index: number = held.itemIndex;
         this.unconfirmed.delete(index);
         const handedOut = { index, peer: peer.instanceId, incarnation: peer.incarnation, attempt: held.attempt };
-        const waiting = this.queue.takeUnbegun(index);
+        const waiting = this.queue.takeUnstarted(index);
         if (waiting !== undefined) {
-            this.queue.addFlight({ ...waiting, attemptCount: held.attempt }, handedOut, nowMs);
+            this.queue.addInFlight({ ...waiting, attemptCount: held.attempt }, handedOut, nowMs);
         }
         else if (!this.queue.has(index)) {
             this.unread.set(index, handedOut);
--- a/batch/owner/src/itemQueue.ts
+++ b/batch/owner/src/itemQueue.ts
@@ -2,16 +2,16 @@
 import type { InstanceId } from "@knapweedwood/core.ids/instanceId";
 import type { ServiceName } from "@knapweedwood/core.ids/serviceName";
 import type { PeerIdentity } from "@knapweedwood/links.calls/peerIdentity";
-import type { ItemFlight } from "./itemFlight.js";
+import type { InFlightItem } from "./inFlightItem.js";
 import type { PendingItem } from "./pendingItem.js";
 
 /** How long a failed item waits for an upstream that has not failed it yet. */
-const OTHER_UPSTREAM_WAIT_MS = 10_000;
+const MAX_OTHER_UPSTREAM_WAIT_MS = 10_000;
 
 /** How long after its last pull a gate counts as there. */
 const RECENT_PULL_MS = 5_000;
 
-interface Pull {
+interface RecentPull {
     service: ServiceName;
     atMs: number;
 }
@@ -19,9 +19,9 @@
 /** The items of a job that wait or are at a gate. */
 export class ItemQueue {
     private waiting: PendingItem[] = [];
-    private readonly flights = new Map<number, ItemFlight>();
+    private readonly inFlight = new Map<number, InFlightItem>();
     private readonly histories = new Map<number, ItemHistory>();
-    private readonly pulls = new Map<InstanceId, Pull>();
+    private readonly lastPulls = new Map<InstanceId, RecentPull>();
 
     constructor(histories: ItemHistory[]) {
         histories.forEach(history => this.histories.set(history.index, history));
@@ -31,25 +31,25 @@
         return this.waiting.length;
     }
 
-    get flightCount(): number {
-        return this.flights.size;
+    get inFlightCount(): number {
+        return this.inFlight.size;
     }
 
     /** Whether the item waits or is at a gate. */
     has(index: number): boolean {
-        return this.flights.has(index) || this.waiting.some(item => item.index === index);
+        return this.inFlight.has(index) || this.waiting.some(item => item.index === index);
     }
 
-    allFlights(): ItemFlight[] {
-        return [...this.flights.values()];
+    inFlightItems(): InFlightItem[] {
+        return [...this.inFlight.values()];
     }
 
     allHistories(): ItemHistory[] {
         return [...this.histories.values()];
     }
 
-    flight(index: number): ItemFlight | undefined {
-        return this.flights.get(index);
+    inFlightItem(index: number): InFlightItem | undefined {
+        return this.inFlight.get(index);
     }
 
     history(index: number): ItemHistory | undefined {
@@ -70,7 +70,7 @@
 
     /** Takes the next item of `service` that may run at this gate's upstream. */
     take(service: ServiceName, peer: PeerIdentity, nowMs: number): PendingItem | undefined {
-        this.pulls.set(peer.instanceId, { service, atMs: nowMs });
+        this.lastPulls.set(peer.instanceId, { service, atMs: nowMs });
         const position = this.waiting.findIndex(item =>
             item.service.name === service && item.notBeforeMs <= nowMs && this.isAllowed(item, peer, nowMs)
         );
@@ -78,40 +78,40 @@
             return undefined;
         }
         const [item] = this.waiting.splice(position, 1);
-        const begun = { ...item, attemptCount: item.attemptCount + 1 };
-        this.addFlight(begun, { peer: peer.instanceId, incarnation: peer.incarnation }, nowMs);
-        return begun;
+        const started = { ...item, attemptCount: item.attemptCount + 1 };
+        this.addInFlight(started, { peer: peer.instanceId, incarnation: peer.incarnation }, nowMs);
+        return started;
     }
 
     /** Takes an item out that waits and that no gate has had from this owner. */
-    takeUnbegun(index: number): PendingItem | undefined {
+    takeUnstarted(index: number): PendingItem | undefined {
         const position = this.waiting.findIndex(item => item.index === index && item.attemptCount === 0);
         return position === -1 ? undefined : this.waiting.splice(position, 1)[0];
     }
 
     /** Notes an item that is at a gate already. */
-    addFlight(item: PendingItem, gate: Pick<ItemFlight, "peer" | "incarnation">, nowMs: number): void {
+    addInFlight(item: PendingItem, gate: Pick<InFlightItem, "peer" | "incarnation">, nowMs: number): void {
         const { peer, incarnation } = gate;
-        this.flights.set(item.index, { item, peer, incarnation, sinceMs: nowMs, peerLostSinceMs: undefined });
+        this.inFlight.set(item.index, { item, peer, incarnation, sinceMs: nowMs, peerLostSinceMs: undefined });
     }
 
     /** Ends the flight of an item, where there is one. */
-    land(index: number): ItemFlight | undefined {
-        const flight = this.flights.get(index);
-        this.flights.delete(index);
-        return flight;
+    removeInFlight(index: number): InFlightItem | undefined {
+        const inFlightItem = this.inFlight.get(index);
+        this.inFlight.delete(index);
+        return inFlightItem;
     }
 
     /** Forgets an item that has its result. */
-    finish(index: number): void {
-        this.flights.delete(index);
+    remove(index: number): void {
+        this.inFlight.delete(index);
         this.histories.delete(index);
         this.waiting = this.waiting.filter(item => item.index !== index);
     }
 
     clear(): void {
         this.waiting = [];
-        this.flights.clear();
+        this.inFlight.clear();
     }
 
     /** An item that may have brought an upstream down runs alone among its like at each upstream. */
@@ -121,24 +121,24 @@
             return true;
         }
         const isSuspect = history.lostUpstreams.length > 0;
-        const failedAt = [...history.upstreams, ...history.lostUpstreams];
-        const hasFailedHere = failedAt.includes(peer.instanceId);
-        const hasWaited = nowMs - item.notBeforeMs >= OTHER_UPSTREAM_WAIT_MS
-            || !this.isAnotherThere(item.service.name, failedAt, nowMs);
+        const failedUpstreams = [...history.upstreams, ...history.lostUpstreams];
+        const hasFailedHere = failedUpstreams.includes(peer.instanceId);
+        const hasWaited = nowMs - item.notBeforeMs >= MAX_OTHER_UPSTREAM_WAIT_MS
+            || !this.hasOtherUpstream(item.service.name, failedUpstreams, nowMs);
         return !(isSuspect && this.hasSuspectAt(peer)) && (!hasFailedHere || hasWaited);
     }
 
     /** Whether an upstream that has not failed the item has pulled of late. */
-    private isAnotherThere(service: ServiceName, failedAt: InstanceId[], nowMs: number): boolean {
-        return [...this.pulls].some(([instanceId, pull]) =>
-            pull.service === service && nowMs - pull.atMs < RECENT_PULL_MS && !failedAt.includes(instanceId)
+    private hasOtherUpstream(service: ServiceName, failedUpstreams: InstanceId[], nowMs: number): boolean {
+        return [...this.lastPulls].some(([instanceId, pull]) =>
+            pull.service === service && nowMs - pull.atMs < RECENT_PULL_MS && !failedUpstreams.includes(instanceId)
         );
     }
 
     private hasSuspectAt(peer: PeerIdentity): boolean {
-        return [...this.flights.values()].some(flight =>
-            flight.peer === peer.instanceId
-            && (this.histories.get(flight.item.index)?.lostUpstreams.length ?? 0) > 0
+        return [...this.inFlight.values()].some(inFlightItem =>
+            inFlightItem.peer === peer.instanceId
+            && (this.histories.get(inFlightItem.item.index)?.lostUpstreams.length ?? 0) > 0
         );
     }
 }
--- a/batch/owner/src/jobRetention.ts
+++ b/batch/owner/src/jobRetention.ts
@@ -31,12 +31,12 @@
         const jobIds = records.map(record => record.value.jobId).filter(id => isOwned(partitionOf(id, partitionCount)));
         let removedCount = 0;
         for (const jobId of jobIds) {
-            removedCount += Number(await this.removeWhereExpired(jobId));
+            removedCount += Number(await this.removeIfExpired(jobId));
         }
         return removedCount;
     }
 
-    private async removeWhereExpired(jobId: JobId): Promise<boolean> {
+    private async removeIfExpired(jobId: JobId): Promise<boolean> {
         const { keyValue, clock, retentionMs } = this.opts;
         const progress = await readRecord<JobProgress>(keyValue, batchKeys.progress(jobId));
         const { state, finishedAtMs } = progress?.value ?? {};
--- a/batch/owner/src/jobRun.ts
+++ b/batch/owner/src/jobRun.ts
@@ -33,18 +33,18 @@
     readonly buffer: ResultBuffer;
     private readonly opts: JobRunOptions;
     private readonly input: JobInput;
-    private beganAtMs: number;
+    private orphanGraceStartedAtMs: number;
     private readonly ownWriteIds = new Set<string>();
     private stored: StoredRecord<JobProgress>;
     private finished: ItemSet;
     private readonly orphans: Set<number>;
     /** Claims that are committed, and those that wait for a commit. */
     private readonly claimed: ItemSet;
-    private readonly claims = new Set<number>();
+    private readonly uncommittedClaims = new Set<number>();
     private readonly queue: ItemQueue;
     private readonly inherited: InheritedItems;
     private cursor = 0;
-    private readUpTo = 0;
+    private readAheadEnd = 0;
     private refilling: Promise<void> | undefined;
     private firstUncommittedAtMs: number | undefined;
 
@@ -54,7 +54,7 @@
         this.stored = opts.progress;
         this.input = new JobInput({ store: opts.segmentStore, segments: opts.manifest.input });
         this.buffer = new ResultBuffer(opts.segmentStore);
-        this.beganAtMs = opts.clock.nowMs();
+        this.orphanGraceStartedAtMs = opts.clock.nowMs();
         this.finished = new ItemSet(opts.progress.value.finished);
         this.claimed = new ItemSet(opts.progress.value.claimed);
         this.orphans = new Set(indexesOf(opts.progress.value.claimed).filter(index => !this.finished.has(index)));
@@ -76,32 +76,32 @@
 
     /** Claims that wait for a commit, shape [items]. */
     get pendingClaims(): number[] {
-        return [...this.claims];
+        return [...this.uncommittedClaims];
     }
 
-    get isDrained(): boolean {
+    get hasAllResults(): boolean {
         return this.progress.state === "in_progress" && this.finished.size === this.progress.totalCount;
     }
 
-    get flights(): ReturnType<ItemQueue["allFlights"]> {
-        return this.queue.allFlights();
+    get inFlightItems(): ReturnType<ItemQueue["inFlightItems"]> {
+        return this.queue.inFlightItems();
     }
 
     /** Whether the item's call may not be repeated. */
     isClaimed(index: number): boolean {
-        return this.orphans.has(index) || this.queue.flight(index)?.item.service.repeatable === false;
+        return this.orphans.has(index) || this.queue.inFlightItem(index)?.item.service.repeatable === false;
     }
 
     /** Whether the item is still out under this attempt. */
     isAtGate(item: BatchItem, peer: PeerIdentity): boolean {
-        const flight = this.queue.flight(item.itemIndex);
-        return flight?.item.attemptCount === item.attempt && flight.peer === peer.instanceId
-            && flight.incarnation === peer.incarnation;
+        const inFlightItem = this.queue.inFlightItem(item.itemIndex);
+        return inFlightItem?.item.attemptCount === item.attempt && inFlightItem.peer === peer.instanceId
+            && inFlightItem.incarnation === peer.incarnation;
     }
 
-    /** What gates have and may be run again; the claims tell the rest. */
+    /** What gates have and may be run again; the uncommittedClaims tell the rest. */
     handedOut(): HandedOutItem[] {
-        return this.flights
+        return this.inFlightItems
             .filter(({ item }) => item.service.repeatable)
             .map(({ item, peer, incarnation }) => ({
                 index: item.index,
@@ -142,17 +142,17 @@
             return undefined;
         }
         if (!item.service.repeatable && !this.claimed.has(item.index)) {
-            this.claims.add(item.index);
+            this.uncommittedClaims.add(item.index);
         }
         return toBatchItem(item, this.manifest);
     }
 
     /** Takes back items that were not handed out after all. */
-    untake(items: BatchItem[], peer: PeerIdentity): void {
+    requeue(items: BatchItem[], peer: PeerIdentity): void {
         items.filter(item => this.isAtGate(item, peer)).forEach(({ itemIndex }) => {
-            const flight = this.queue.land(itemIndex);
-            if (flight !== undefined) {
-                this.queue.addFirst({ ...flight.item, attemptCount: flight.item.attemptCount - 1 });
+            const inFlightItem = this.queue.removeInFlight(itemIndex);
+            if (inFlightItem !== undefined) {
+                this.queue.addFirst({ ...inFlightItem.item, attemptCount: inFlightItem.item.attemptCount - 1 });
             }
         });
     }
@@ -165,33 +165,39 @@
         }
         const { outcome } = result;
         if (outcome.kind === "completed" || outcome.kind === "rejected") {
-            const flight = this.queue.flight(index);
-            const customId = flight?.item.line.customId ?? await this.customIdOf(index);
+            const inFlightItem = this.queue.inFlightItem(index);
+            const customId = inFlightItem?.item.line.customId ?? await this.customIdOf(index);
             this.finish(index, customId, outcome);
             return;
         }
         if (this.inherited.isUnread(index)) {
             this.enqueue(index, await this.input.lineAt(index));
         }
-        const flight = this.queue.flight(index);
-        if (flight === undefined || flight.peer !== peer.instanceId || flight.item.attemptCount !== result.attempt) {
+        const inFlightItem = this.queue.inFlightItem(index);
+        if (
+            inFlightItem === undefined || inFlightItem.peer !== peer.instanceId
+            || inFlightItem.item.attemptCount !== result.attempt
+        ) {
             return;
         }
         if (outcome.kind === "returned") {
-            this.queue.land(index);
-            this.queue.addFirst({ ...flight.item, resumeFrom: outcome.resumeFrom ?? flight.item.resumeFrom });
+            this.queue.removeInFlight(index);
+            this.queue.addFirst({
+                ...inFlightItem.item,
+                resumeFrom: outcome.resumeFrom ?? inFlightItem.item.resumeFrom,
+            });
             return;
         }
         this.fail(index, { ...outcome, upstream: peer.instanceId, cause: outcome.blame });
     }
 
-    /** Notes a failed attempt of an item in flight. */
+    /** Notes a failed attempt of an item in inFlightItem. */
     fail(index: number, attempt: FailedAttempt): void {
-        const flight = this.queue.land(index);
-        if (flight === undefined) {
+        const inFlightItem = this.queue.removeInFlight(index);
+        if (inFlightItem === undefined) {
             return;
         }
-        const { item } = flight;
+        const { item } = inFlightItem;
         const decision = decideAfterAttempt({
             nowMs: this.opts.clock.nowMs(),
             dueAtMs: this.manifest.dueAtMs,
@@ -211,7 +217,7 @@
 
     /** Gives claimed items of an earlier owner up as unknown once nobody can report them any more. */
     async settleOrphans(): Promise<void> {
-        if (this.orphans.size === 0 || this.opts.clock.nowMs() - this.beganAtMs < ORPHAN_GRACE_MS) {
+        if (this.orphans.size === 0 || this.opts.clock.nowMs() - this.orphanGraceStartedAtMs < ORPHAN_GRACE_MS) {
             return;
         }
         const message = "The call may have run and may not be repeated";
@@ -224,21 +230,21 @@
     }
 
     /** Notes the id of a write that may take effect. */
-    noteWrite(writeId: string): void {
+    trackWrite(writeId: string): void {
         this.ownWriteIds.add(writeId);
     }
 
     /** Takes the record as it was committed, by this owner or by another writer. */
-    adopt(stored: StoredRecord<JobProgress>): void {
+    applyRecord(stored: StoredRecord<JobProgress>): void {
         const isOwn = this.ownWriteIds.has(stored.value.writeId);
         const newClaims = indexesOf(stored.value.claimed).filter(index => this.claimed.add(index));
         this.stored = stored;
         const digests = new Set(stored.value.results.map(result => result.digest));
-        this.buffer.forget(this.buffer.sealedSegments.filter(sealed => digests.has(sealed.segment.digest)));
-        newClaims.forEach(index => this.claims.delete(index));
+        this.buffer.dropSealed(this.buffer.sealedSegments.filter(sealed => digests.has(sealed.segment.digest)));
+        newClaims.forEach(index => this.uncommittedClaims.delete(index));
         this.ownWriteIds.clear();
         if (!isOwn) {
-            this.adoptForeign(newClaims);
+            this.mergeForeignCommit(newClaims);
         }
         this.firstUncommittedAtMs = this.buffer.uncommittedCount === 0 ? undefined : this.opts.clock.nowMs();
         if (stored.value.state !== "in_progress") {
@@ -247,38 +253,38 @@
     }
 
     /** Forgets sealed results that another owner has committed; what else was in their segments is run again. */
-    dropOverlaps(): void {
+    dropOverlappingSegments(): void {
         const committed = new ItemSet(this.progress.finished);
         const overlapping = this.buffer.sealedSegments
             .filter(sealed => sealed.indexes.some(index => committed.has(index)));
         if (overlapping.length === 0) {
             return;
         }
-        this.buffer.forget(overlapping);
+        this.buffer.dropSealed(overlapping);
         this.finished = new ItemSet(this.progress.finished);
         this.buffer.uncommittedIndexes().forEach(index => this.finished.add(index));
         this.cursor = 0;
     }
 
-    /** Another owner wrote the record: its results and claims stand. */
-    private adoptForeign(newClaims: number[]): void {
+    /** Another owner wrote the record: its results and uncommittedClaims stand. */
+    private mergeForeignCommit(newClaims: number[]): void {
         const committed = new ItemSet(this.progress.finished);
-        this.buffer.forgetBuffered(index => committed.has(index));
+        this.buffer.dropBuffered(index => committed.has(index));
         indexesOf(this.progress.finished)
             .filter(index => this.finished.add(index))
-            .forEach(index => this.queue.finish(index));
+            .forEach(index => this.queue.remove(index));
         newClaims.filter(index => !this.finished.has(index)).forEach(index => {
-            this.queue.finish(index);
+            this.queue.remove(index);
             this.orphans.add(index);
         });
-        this.beganAtMs = this.opts.clock.nowMs();
+        this.orphanGraceStartedAtMs = this.opts.clock.nowMs();
     }
 
     private finish(index: number, customId: string, outcome: Parameters<typeof createOutputLine>[0]["outcome"]): void {
         if (!this.finished.add(index)) {
             return;
         }
-        this.queue.finish(index);
+        this.queue.remove(index);
         this.orphans.delete(index);
         this.firstUncommittedAtMs ??= this.opts.clock.nowMs();
         const { jobId } = this.manifest;
@@ -296,12 +302,12 @@
                 this.enqueue(index, await this.input.lineAt(index));
             }
             this.cursor = index + 1;
-            this.readUpTo = Math.max(this.readUpTo, this.cursor);
+            this.readAheadEnd = Math.max(this.readAheadEnd, this.cursor);
         }
     }
 
     private wasRead(index: number): boolean {
-        return index < this.readUpTo && this.queue.has(index);
+        return index < this.readAheadEnd && this.queue.has(index);
     }
 
     private enqueue(index: number, text: string): void {
--- a/batch/owner/src/mergeResults.ts
+++ b/batch/owner/src/mergeResults.ts
@@ -12,12 +12,12 @@
  * needed is that of the segments that overlap.
  */
 export async function* mergeResults(store: SegmentStore, segments: ResultSegment[]): AsyncIterable<ItemResult> {
-    const waiting = segments.toSorted((left, right) => left.firstIndex - right.firstIndex);
+    const unopened = segments.toSorted((left, right) => left.firstIndex - right.firstIndex);
     let open: OpenSegment[] = [];
-    while (waiting.length > 0 || open.length > 0) {
+    while (unopened.length > 0 || open.length > 0) {
         const nextIndex = Math.min(...open.map(segment => segment.results[segment.position].index));
-        if (waiting.length > 0 && waiting[0].firstIndex <= nextIndex) {
-            open.push(await openSegment(store, waiting.splice(0, 1)[0]));
+        if (unopened.length > 0 && unopened[0].firstIndex <= nextIndex) {
+            open.push(await openSegment(store, unopened.splice(0, 1)[0]));
             continue;
         }
         const first = open.find(segment => segment.results[segment.position].index === nextIndex);
--- a/batch/owner/src/parseInputLine.ts
+++ b/batch/owner/src/parseInputLine.ts
@@ -8,20 +8,23 @@
 export function parseInputLine(text: string, endpoint: string): InputLine {
     const value = parseJson(text);
     if (!isJsonObject(value)) {
-        throw refused("invalid_json_line", "The line is not a JSON object");
+        throw createLineError("invalid_json_line", "The line is not a JSON object");
     }
     const { custom_id: customId, method, url, body } = value;
     if (typeof customId !== "string" || customId === "" || customId.length > MAX_CUSTOM_ID_LENGTH) {
-        throw refused("invalid_custom_id", `custom_id must be a string of 1 to ${MAX_CUSTOM_ID_LENGTH} characters`);
+        throw createLineError(
+            "invalid_custom_id",
+            `custom_id must be a string of 1 to ${MAX_CUSTOM_ID_LENGTH} characters`,
+        );
     }
     if (method !== "POST") {
-        throw refused("invalid_method", "method must be POST");
+        throw createLineError("invalid_method", "method must be POST");
     }
     if (url !== endpoint) {
-        throw refused("mismatched_url", `url must be the endpoint of the job, ${endpoint}`);
+        throw createLineError("mismatched_url", `url must be the endpoint of the job, ${endpoint}`);
     }
     if (!isJsonObject(body)) {
-        throw refused("invalid_body", "body must be a JSON object");
+        throw createLineError("invalid_body", "body must be a JSON object");
     }
     return { customId, url: endpoint, body };
 }
@@ -31,7 +34,7 @@
         return JSON.parse(text) as unknown;
     }
     catch {
-        throw refused("invalid_json_line", "The line is not valid JSON");
+        throw createLineError("invalid_json_line", "The line is not valid JSON");
     }
 }
 
@@ -39,6 +42,6 @@
     return typeof value === "object" && value !== null && !Array.isArray(value);
 }
 
-function refused(parameter: string, message: string): KnapweedError {
+function createLineError(parameter: string, message: string): KnapweedError {
     return new KnapweedError("BATCH_LINE_INVALID", message, { parameter, statusCode: 400, outcome: "not-run" });
 }
--- a/batch/owner/src/partitionOwner.ts
+++ b/batch/owner/src/partitionOwner.ts
@@ -11,7 +11,7 @@
 import type { JobId } from "@knapweedwood/core.ids/jobId";
 import type { PeerIdentity } from "@knapweedwood/links.calls/peerIdentity";
 import { finalizeJob } from "./finalizeJob.js";
-import { findLostFlights } from "./findLostFlights.js";
+import { findLostItems } from "./findLostItems.js";
 import { isCheckpointDue } from "./isCheckpointDue.js";
 import { JobRun } from "./jobRun.js";
 import type { PartitionOwnerOptions } from "./partitionOwnerOptions.js";
@@ -55,9 +55,9 @@
     /** Commits what is there and what the gates have, for the next owner. */
     async handOver(): Promise<void> {
         this.isHandingOver = true;
-        const left = this.jobs();
-        while (left.length > 0) {
-            const group = left.splice(0, MAX_JOBS_PER_COMMIT);
+        const remaining = this.jobs();
+        while (remaining.length > 0) {
+            const group = remaining.splice(0, MAX_JOBS_PER_COMMIT);
             await this.checkpoint(run => group.includes(run));
         }
     }
@@ -78,7 +78,7 @@
     }
 
     /** Compares the open jobs of this partition with the jobs that run. */
-    async observe(openJobs: OpenJob[]): Promise<void> {
+    async syncOpenJobs(openJobs: OpenJob[]): Promise<void> {
         await Promise.all(openJobs.map(async open => {
             const run = this.runs.get(open.jobId);
             if (run === undefined) {
@@ -136,13 +136,13 @@
     private async tick(): Promise<void> {
         const nowMs = this.opts.clock.nowMs();
         for (const run of this.jobs()) {
-            findLostFlights({ nowMs, flights: run.flights, peers: this.opts.peers() })
+            findLostItems({ nowMs, inFlightItems: run.inFlightItems, peers: this.opts.peers() })
                 .forEach(lost => run.fail(lost.index, lost.attempt));
             await run.settleOrphans().catch(error => this.warn("orphans not settled", error));
             await run.refill().catch(error => this.warn("items not read", error));
             this.advance(run);
         }
-        await this.checkpoint(run => run.isDrained || this.isDue(run));
+        await this.checkpoint(run => run.hasAllResults || this.isDue(run));
     }
 
     private isDue(run: JobRun): boolean {
@@ -167,7 +167,7 @@
         await sleep(clock, this.lastCommitAtMs + commitIntervalMs - clock.nowMs());
         await Promise.all(due.map(run => run.buffer.seal()));
         this.lastCommitAtMs = clock.nowMs();
-        due.forEach(run => run.dropOverlaps());
+        due.forEach(run => run.dropOverlappingSegments());
         const writes = due.map(run => ({
             run,
             baseRevision: run.modRevision,
@@ -187,7 +187,7 @@
     /** Moves a job that is validating, finalizing or cancelling on, beside the others. */
     private advance(run: JobRun): void {
         const { jobId } = run.manifest;
-        const step = this.stepOf(run);
+        const step = this.nextStepOf(run);
         if (step === undefined || this.advancing.has(jobId)) {
             return;
         }
@@ -195,7 +195,7 @@
         step.catch(error => this.warn("job not advanced", error)).finally(() => this.advancing.delete(jobId));
     }
 
-    private stepOf(run: JobRun): Promise<void> | undefined {
+    private nextStepOf(run: JobRun): Promise<void> | undefined {
         if (this.advancing.has(run.manifest.jobId)) {
             return undefined;
         }
@@ -217,19 +217,19 @@
             manifest.endpoint,
         );
         const nowMs = this.opts.clock.nowMs();
-        const isRefused = errors.length > 0;
+        const isRejected = errors.length > 0;
         const next: JobProgress = {
             ...progress,
-            state: jobChart.next(progress.state, isRefused ? "refused" : "validated"),
+            state: jobChart.next(progress.state, isRejected ? "refused" : "validated"),
             writeId: this.createWriteId(),
             totalCount: itemCount,
             startedAtMs: nowMs,
-            finishedAtMs: isRefused ? nowMs : undefined,
+            finishedAtMs: isRejected ? nowMs : undefined,
             errors,
         };
         const open = { kind: "delete" as const, key: batchKeys.openJob(manifest.jobId) };
-        await this.committer.commit([{ run, baseRevision, progress: next, operations: isRefused ? [open] : [] }]);
-        this.forgetWhereFinal(run);
+        await this.committer.commit([{ run, baseRevision, progress: next, operations: isRejected ? [open] : [] }]);
+        this.removeIfFinal(run);
     }
 
     private async finalize(run: JobRun): Promise<void> {
@@ -248,10 +248,10 @@
             writeId: this.createWriteId(),
         });
         await this.committer.commit([{ run, ...write }]);
-        this.forgetWhereFinal(run);
+        this.removeIfFinal(run);
     }
 
-    private forgetWhereFinal(run: JobRun): void {
+    private removeIfFinal(run: JobRun): void {
         if (jobChart.isFinal(run.progress.state)) {
             this.runs.delete(run.manifest.jobId);
             this.opts.logger.info("job finished", { jobId: run.manifest.jobId, state: run.progress.state });
--- a/batch/owner/src/planCheckpoint.ts
+++ b/batch/owner/src/planCheckpoint.ts
@@ -21,10 +21,10 @@
     opts.claims.forEach(index => claimed.add(index));
     const resultCount = sum(sealed.map(segment => segment.indexes.length));
     const failedCount = sum(sealed.map(segment => segment.failedCount));
-    const isDrained = finished.size === progress.totalCount;
+    const hasAllResults = finished.size === progress.totalCount;
     return {
         ...progress,
-        state: jobChart.next(progress.state, isDrained ? "drained" : "checkpoint"),
+        state: jobChart.next(progress.state, hasAllResults ? "drained" : "checkpoint"),
         writeId: opts.writeId,
         completedCount: progress.completedCount + resultCount - failedCount,
         failedCount: progress.failedCount + failedCount,
--- a/batch/owner/src/progressCommitter.ts
+++ b/batch/owner/src/progressCommitter.ts
@@ -9,7 +9,7 @@
 import type { PlannedWrite } from "./plannedWrite.js";
 
 /** A job with the write planned for it. */
-interface RunWrite extends PlannedWrite {
+interface JobRunWrite extends PlannedWrite {
     run: JobRun;
 }
 
@@ -26,7 +26,7 @@
      *
      * @returns whether the writes took effect
      */
-    async commit(planned: RunWrite[]): Promise<boolean> {
+    async commit(planned: JobRunWrite[]): Promise<boolean> {
         const owned = this.opts.owned();
         if (owned === undefined || planned.length === 0) {
             return false;
@@ -34,7 +34,7 @@
         const { fencingNumber } = owned;
         const writes = planned.map(write => ({ ...write, progress: { ...write.progress, fencingNumber } }));
         const { keyValue, clock, random } = this.opts;
-        writes.forEach(({ run, progress }) => run.noteWrite(progress.writeId));
+        writes.forEach(({ run, progress }) => run.trackWrite(progress.writeId));
         const ownerKey = partitionKeys.owner("batch", owned.partitionId);
         const result = await commitTransaction({
             keyValue,
@@ -52,7 +52,7 @@
         this.opts.metrics.increment("batch.commit", { outcome: result.succeeded ? "taken" : "refused" });
         if (result.succeeded) {
             writes.forEach(({ run, progress }) =>
-                run.adopt({ key: progressKey(run), value: progress, modRevision: result.revision })
+                run.applyRecord({ key: progressKey(run), value: progress, modRevision: result.revision })
             );
             return true;
         }
@@ -64,7 +64,7 @@
     async reload(run: JobRun): Promise<void> {
         const stored = await readRecord<JobProgress>(this.opts.keyValue, progressKey(run));
         if (stored !== undefined && stored.modRevision !== run.modRevision) {
-            run.adopt(stored);
+            run.applyRecord(stored);
         }
     }
 }
--- a/batch/owner/src/resolveService.ts
+++ b/batch/owner/src/resolveService.ts
@@ -11,8 +11,8 @@
 export function resolveService(lookup: ServiceLookup, line: InputLine, teamId: TeamId): ServiceView | undefined {
     const name = SERVICE_URL.exec(line.url)?.[1];
     if (name !== undefined) {
-        return lookup.named(decodeURIComponent(name) as ServiceName, teamId);
+        return lookup.findByName(decodeURIComponent(name) as ServiceName, teamId);
     }
     const { model } = line.body;
-    return typeof model === "string" ? lookup.ofModel(model as ModelName, teamId) : undefined;
+    return typeof model === "string" ? lookup.findByModel(model as ModelName, teamId) : undefined;
 }
--- a/batch/owner/src/resultBuffer.ts
+++ b/batch/owner/src/resultBuffer.ts
@@ -18,7 +18,7 @@
     private results: BufferedResult[] = [];
     private sealing: Promise<void> = Promise.resolve();
     private sealed: SealedResults[] = [];
-    private bytes = 0;
+    private bufferedBytes = 0;
 
     constructor(store: SegmentStore) {
         this.store = store;
@@ -26,7 +26,7 @@
 
     /** Size of the results that are in memory only. */
     get sizeBytes(): number {
-        return this.bytes;
+        return this.bufferedBytes;
     }
 
     /** Results that wait for a commit, shape [segments]. */
@@ -40,17 +40,17 @@
 
     /** Whether one result fits into a segment. */
     fits(result: ItemResult): boolean {
-        return encode(result).length <= this.store.maxSegmentBytes;
+        return encodeLine(result).length <= this.store.maxSegmentBytes;
     }
 
     add(result: ItemResult): void {
-        const line = encode(result);
+        const line = encodeLine(result);
         this.results.push({ index: result.index, failed: result.failed, line });
-        this.bytes += line.length;
+        this.bufferedBytes += line.length;
     }
 
     get isFull(): boolean {
-        return this.bytes >= this.store.maxSegmentBytes;
+        return this.bufferedBytes >= this.store.maxSegmentBytes;
     }
 
     /** Writes the buffered results as segments. Throws where a segment can't be kept; its results stay buffered. */
@@ -67,13 +67,13 @@
     }
 
     /** Forgets results that no segment holds yet. */
-    forgetBuffered(matches: (index: number) => boolean): void {
+    dropBuffered(matches: (index: number) => boolean): void {
         this.results = this.results.filter(result => !matches(result.index));
-        this.bytes = this.results.reduce((sum, result) => sum + result.line.length, 0);
+        this.bufferedBytes = this.results.reduce((sum, result) => sum + result.line.length, 0);
     }
 
     /** Forgets sealed segments. */
-    forget(segments: readonly SealedResults[]): void {
+    dropSealed(segments: readonly SealedResults[]): void {
         this.sealed = this.sealed.filter(segment => !segments.includes(segment));
     }
 
@@ -92,16 +92,16 @@
 
     private async sealAll(): Promise<void> {
         while (this.results.length > 0) {
-            const taken = this.takeOneSegment();
-            const bytes = Buffer.concat(taken.map(result => result.line));
+            const selected = this.selectSegmentResults();
+            const bytes = Buffer.concat(selected.map(result => result.line));
             const digest = await this.store.put(bytes);
-            this.results = this.results.filter(result => !taken.includes(result));
-            this.bytes = this.results.reduce((sum, result) => sum + result.line.length, 0);
-            this.sealed.push(describe(taken, { digest, sizeBytes: bytes.length }));
+            this.results = this.results.filter(result => !selected.includes(result));
+            this.bufferedBytes = this.results.reduce((sum, result) => sum + result.line.length, 0);
+            this.sealed.push(toSealedResults(selected, { digest, sizeBytes: bytes.length }));
         }
     }
 
-    private takeOneSegment(): BufferedResult[] {
+    private selectSegmentResults(): BufferedResult[] {
         let sizeBytes = 0;
         const end = this.results.findIndex(result => {
             sizeBytes += result.line.length;
@@ -111,15 +111,23 @@
     }
 }
 
-function encode(result: ItemResult): Buffer {
+function encodeLine(result: ItemResult): Buffer {
     return Buffer.from(`${JSON.stringify(result)}\n`, "utf8");
 }
 
-function describe(taken: BufferedResult[], stored: Pick<ResultSegment, "digest" | "sizeBytes">): SealedResults {
-    const indexes = taken.map(result => result.index);
+function toSealedResults(
+    selected: BufferedResult[],
+    stored: Pick<ResultSegment, "digest" | "sizeBytes">,
+): SealedResults {
+    const indexes = selected.map(result => result.index);
     return {
-        segment: { ...stored, lineCount: taken.length, firstIndex: indexes[0], lastIndex: indexes[indexes.length - 1] },
+        segment: {
+            ...stored,
+            lineCount: selected.length,
+            firstIndex: indexes[0],
+            lastIndex: indexes[indexes.length - 1],
+        },
         indexes,
-        failedCount: taken.filter(result => result.failed).length,
+        failedCount: selected.filter(result => result.failed).length,
     };
 }
--- a/batch/owner/src/segmentSweep.ts
+++ b/batch/owner/src/segmentScan.ts
@@ -8,13 +8,13 @@
 import type { Logger } from "@knapweedwood/observability.logs/logger";
 import type { Metrics } from "@knapweedwood/observability.metrics/metrics";
 import { readReferences } from "./readReferences.js";
-import type { SweepReport } from "./sweepReport.js";
+import type { SegmentScanReport } from "./segmentScanReport.js";
 
 /** Pause between two segments: re-copying takes a bounded share of the network and the disks. */
-const PACE_MS = 20;
+const PAUSE_BETWEEN_SEGMENTS_MS = 20;
 
 /** Compares the segments that files and jobs of owned partitions need with the copies there are, and re-copies. */
-export class SegmentSweep {
+export class SegmentScan {
     private readonly opts: {
         keyValue: KeyValueService;
         segmentStore: SegmentStore;
@@ -25,13 +25,13 @@
         metrics: Metrics;
     };
 
-    constructor(opts: SegmentSweep["opts"]) {
+    constructor(opts: SegmentScan["opts"]) {
         this.opts = opts;
     }
 
-    async run(signal?: AbortSignal): Promise<SweepReport> {
+    async run(signal?: AbortSignal): Promise<SegmentScanReport> {
         const { keyValue, segmentStore, clock, logger, metrics } = this.opts;
-        const report: SweepReport = { checkedCount: 0, singleCopy: [], lost: [] };
+        const report: SegmentScanReport = { checkedCount: 0, singleCopy: [], lost: [] };
         for (const digest of this.ownedDigests(await readReferences(keyValue))) {
             if (signal?.aborted === true) {
                 break;
@@ -41,7 +41,7 @@
             if (copies < segmentStore.copyCount) {
                 (copies === 0 ? report.lost : report.singleCopy).push(digest);
             }
-            await sleep(clock, PACE_MS, signal);
+            await sleep(clock, PAUSE_BETWEEN_SEGMENTS_MS, signal);
         }
         metrics.gauge("batch.segments_single_copy", report.singleCopy.length);
         metrics.gauge("batch.segments_lost", report.lost.length);
--- a/batch/owner/src/serviceLookup.ts
+++ b/batch/owner/src/serviceLookup.ts
@@ -7,6 +7,6 @@
 export interface ServiceLookup {
     /** Whether a configuration is in force; no item is read before. */
     isReady(): boolean;
-    ofModel(model: ModelName, teamId: TeamId): ServiceView | undefined;
-    named(name: ServiceName, teamId: TeamId): ServiceView | undefined;
+    findByModel(model: ModelName, teamId: TeamId): ServiceView | undefined;
+    findByName(name: ServiceName, teamId: TeamId): ServiceView | undefined;
 }
--- a/batch/owner/src/validateInput.ts
+++ b/batch/owner/src/validateInput.ts
@@ -35,8 +35,8 @@
         customIds.add(customId);
         return undefined;
     }
-    catch (thrown) {
-        const error = toKnapweedError(thrown);
+    catch (thrownError) {
+        const error = toKnapweedError(thrownError);
         return { code: error.parameter ?? "invalid_json_line", message: error.message };
     }
 }
--- a/batch/owner/test/decideAfterAttempt.test.ts
+++ b/batch/owner/test/decideAfterAttempt.test.ts
@@ -13,7 +13,7 @@
 }
 
 /** Plays attempts until the item is set aside. @returns how many it took, and the code */
-function play(attempts: FailedAttempt[], opts: { repeatable: boolean; nowMs: number; }) {
+function runAttempts(attempts: FailedAttempt[], opts: { repeatable: boolean; nowMs: number; }) {
     let history: ItemHistory | undefined;
     for (const [position, failed] of attempts.entries()) {
         const decision = decideAfterAttempt({ ...opts, dueAtMs: 1000, index: 0, history, attempt: failed, random });
@@ -30,22 +30,22 @@
 
 test("an item that fails beside three upstreams is set aside with its reason", () => {
     const attempts = ["a", "a", "b", "c", "d"].map(upstream => attempt(upstream, "item"));
-    assert.deepEqual(play(attempts, opts), { count: 4, code: "engine_error" });
+    assert.deepEqual(runAttempts(attempts, opts), { count: 4, code: "engine_error" });
 });
 
 test("failures of an instance do not count against an item before its job is overdue", () => {
     const attempts = Array.from({ length: 40 }, (_, index) => attempt(`u${index}`, "instance"));
-    assert.deepEqual(play(attempts, opts), { count: 40, code: undefined });
-    assert.deepEqual(play(attempts, { ...opts, nowMs: 2000 }), { count: 20, code: "attempts_exhausted" });
+    assert.deepEqual(runAttempts(attempts, opts), { count: 40, code: undefined });
+    assert.deepEqual(runAttempts(attempts, { ...opts, nowMs: 2000 }), { count: 20, code: "attempts_exhausted" });
 });
 
 test("an item takes at most three upstreams down", () => {
     const attempts = ["a", "b", "c", "d"].map(upstream => attempt(upstream, "upstream-lost"));
-    assert.deepEqual(play(attempts, opts), { count: 3, code: "upstreams_lost" });
+    assert.deepEqual(runAttempts(attempts, opts), { count: 3, code: "upstreams_lost" });
 });
 
 test("a call that may not be repeated is never tried again once it may have run", () => {
     const once = { ...opts, repeatable: false };
-    assert.deepEqual(play([attempt("a", "instance")], once), { count: 1, code: "outcome_unknown" });
-    assert.deepEqual(play([attempt("a", "instance", false)], once), { count: 1, code: undefined });
+    assert.deepEqual(runAttempts([attempt("a", "instance")], once), { count: 1, code: "outcome_unknown" });
+    assert.deepEqual(runAttempts([attempt("a", "instance", false)], once), { count: 1, code: undefined });
 });
--- a/batch/owner/test/inheritedItems.test.ts
+++ b/batch/owner/test/inheritedItems.test.ts
@@ -58,7 +58,7 @@
     const inherited = new InheritedItems({ queue, handedOut: [handedOut(0, "x"), handedOut(1, "x")] });
     [0, 1, 2].forEach(index => inherited.add(pending(index), nowMs));
     assert.deepEqual(takeAll(queue, gate("y")), [2]);
-    assert.equal(queue.flight(0)?.peer, "x");
+    assert.equal(queue.inFlightItem(0)?.peer, "x");
 });
 
 test("an item whose answer was lost with the earlier owner waits again once its gate pulls without it", () => {
@@ -69,11 +69,11 @@
     });
     [0, 1].forEach(index => inherited.add(pending(index), nowMs));
     inherited.confirm([held(1)], gate("y"), nowMs);
-    assert.equal(queue.flight(0)?.peer, "x", "what another gate says doesn't count");
+    assert.equal(queue.inFlightItem(0)?.peer, "x", "what another gate says doesn't count");
     inherited.confirm([held(1)], gate("x"), nowMs);
     inherited.add(pending(2), nowMs);
     assert.deepEqual(takeAll(queue, gate("y")), [0, 2]);
-    assert.equal(queue.flight(1)?.peer, "x");
+    assert.equal(queue.inFlightItem(1)?.peer, "x");
 });
 
 test("after a crash of the owner, what gates hold is not handed out, read or not", () => {
@@ -84,7 +84,7 @@
     inherited.add(pending(1), nowMs);
     inherited.add(pending(2), nowMs);
     assert.deepEqual(takeAll(queue, gate("y")), [2]);
-    assert.equal(queue.flight(0)?.item.attemptCount, 2);
+    assert.equal(queue.inFlightItem(0)?.item.attemptCount, 2);
 });
 
 test("an item that this owner has handed to another gate stays there", () => {
@@ -93,5 +93,5 @@
     inherited.add(pending(0), nowMs);
     assert.deepEqual(takeAll(queue, gate("y")), [0]);
     inherited.confirm([held(0)], gate("x"), nowMs);
-    assert.equal(queue.flight(0)?.peer, "y");
+    assert.equal(queue.inFlightItem(0)?.peer, "y");
 });
--- a/daemons/entry/src/configuredServices.ts
+++ b/daemons/entry/src/configuredServices.ts
@@ -10,7 +10,7 @@
         service !== undefined && mayCall(service, teamId) ? service : undefined;
     return {
         isReady: () => configuration.current() !== undefined,
-        ofModel: (model, teamId) => callable(configuration.current()?.serviceOfModel(model), teamId),
-        named: (name, teamId) => callable(configuration.current()?.service(name), teamId),
+        findByModel: (model, teamId) => callable(configuration.current()?.serviceOfModel(model), teamId),
+        findByName: (name, teamId) => callable(configuration.current()?.service(name), teamId),
     };
 }
--- a/fuzz/promises/src/simulatedServices.ts
+++ b/fuzz/promises/src/simulatedServices.ts
@@ -8,6 +8,6 @@
 /** The services of the simulation: `chat` may be repeated, `ledger` may not. */
 export const simulatedServices: ServiceLookup = {
     isReady: () => true,
-    ofModel: model => model === "demo" ? chat : undefined,
-    named: name => name === ledger.name ? ledger : undefined,
+    findByModel: model => model === "demo" ? chat : undefined,
+    findByName: name => name === ledger.name ? ledger : undefined,
 };
--- a/fuzz/promises/test/recovery.test.ts
+++ b/fuzz/promises/test/recovery.test.ts
@@ -2,7 +2,7 @@
 import type { JobProgress } from "@knapweedwood/batch.jobs/jobProgress";
 import type { JobRecord } from "@knapweedwood/batch.jobs/jobRecord";
 import { JobRetention } from "@knapweedwood/batch.owner/jobRetention";
-import { SegmentSweep } from "@knapweedwood/batch.owner/segmentSweep";
+import { SegmentScan } from "@knapweedwood/batch.owner/segmentScan";
 import { partitionKeys } from "@knapweedwood/batch.ownership/partitionKeys";
 import type { PartitionRecord } from "@knapweedwood/batch.ownership/partitionRecord";
 import { readRecord } from "@knapweedwood/batch.records/readRecord";
@@ -140,7 +140,7 @@
     assert.ok(ended.outputFileId);
     fleet.dataFolders[0].clear();
     const { keyValue, clock } = fleet.platform;
-    const sweep = new SegmentSweep({
+    const sweep = new SegmentScan({
         keyValue,
         clock,
         segmentStore: fleet.entries[1].segmentStore,
