--- a/batch/ownership/src/decideOwnership.ts
+++ b/batch/ownership/src/decideOwnership.ts
@@ -17,7 +17,7 @@
         partition.holder === undefined
         && (partition.state === "suspended"
             || (partition.state === "idle" && partition.freeSinceMs !== undefined
-                && view.nowMs - partition.freeSinceMs >= waitMs(view, partition)))
+                && view.nowMs - partition.freeSinceMs >= acquireDelayMs(view, partition)))
     );
     const release = view.partitions.filter(partition =>
         partition.state === "held" && partition.misplacedSinceMs !== undefined
@@ -29,10 +29,11 @@
     };
 }
 
-function waitMs(view: OwnershipView, partition: OwnershipView["partitions"][number]): number {
+function acquireDelayMs(view: OwnershipView, partition: OwnershipView["partitions"][number]): number {
     const rank = rendezvousRank(partition.partitionId, view.liveEntries).indexOf(view.instanceId);
     const rankMs = RANK_DELAY_MS * (rank === -1 ? MAX_RANK_DELAYS : Math.min(rank, MAX_RANK_DELAYS));
     const { lastHolder } = partition;
-    const mayReturn = partition.wasFreedByOutage && lastHolder !== undefined && view.liveEntries.includes(lastHolder);
-    return rankMs + (mayReturn ? OUTAGE_GRACE_MS : 0);
+    const mayHolderReturn = partition.wasFreedByOutage && lastHolder !== undefined
+        && view.liveEntries.includes(lastHolder);
+    return rankMs + (mayHolderReturn ? OUTAGE_GRACE_MS : 0);
 }
--- a/batch/ownership/src/partitionOwnership.ts
+++ b/batch/ownership/src/partitionOwnership.ts
@@ -20,7 +20,7 @@
 
 const LEASE_TTL_MS = 2500;
 const TICK_MS = 400;
-const KEEP_ALIVE_INTERVAL_MS = 700;
+const LEASE_RENEWAL_INTERVAL_MS = 700;
 const MAX_BACKOFF_MS = 4000;
 
 interface PartitionStatus {
@@ -43,7 +43,7 @@
     private loop: Promise<void> | undefined;
     private stopped: Promise<void> | undefined;
     private failureCount = 0;
-    private lastKeptAtMs = Number.NEGATIVE_INFINITY;
+    private lastRenewedAtMs = Number.NEGATIVE_INFINITY;
     private writeCount = 0;
 
     constructor(opts: PartitionOwnershipOptions) {
@@ -68,11 +68,11 @@
 
     /** Hands all partitions over in order. */
     stop(): Promise<void> {
-        this.stopped ??= this.handOver();
+        this.stopped ??= this.releaseAll();
         return this.stopped;
     }
 
-    private async handOver(): Promise<void> {
+    private async releaseAll(): Promise<void> {
         this.stopping.abort();
         await this.loop;
         const held = [...this.statuses].filter(([, status]) => status.state === "held");
@@ -110,8 +110,8 @@
     }
 
     private async tick(): Promise<void> {
-        await this.keepLease();
-        await this.observe();
+        await this.renewLease();
+        await this.refreshStatuses();
         const decision = decideOwnership({
             nowMs: this.opts.clock.nowMs(),
             instanceId: this.opts.instanceId,
@@ -126,21 +126,21 @@
         }
     }
 
-    private async keepLease(): Promise<void> {
+    private async renewLease(): Promise<void> {
         const { keyValue, clock } = this.opts;
         const nowMs = clock.nowMs();
-        if (nowMs - this.lastKeptAtMs < KEEP_ALIVE_INTERVAL_MS) {
+        if (nowMs - this.lastRenewedAtMs < LEASE_RENEWAL_INTERVAL_MS) {
             return;
         }
-        const leftMs = this.leaseId === undefined ? 0 : await keyValue.keepLeaseAlive(this.leaseId);
-        if (leftMs <= 0) {
+        const remainingMs = this.leaseId === undefined ? 0 : await keyValue.keepLeaseAlive(this.leaseId);
+        if (remainingMs <= 0) {
             this.leaseId = await keyValue.grantLease(this.opts.leaseTtlMs ?? LEASE_TTL_MS);
         }
-        this.lastKeptAtMs = nowMs;
+        this.lastRenewedAtMs = nowMs;
     }
 
     /** Compares what is held with the records. */
-    private async observe(): Promise<void> {
+    private async refreshStatuses(): Promise<void> {
         const prefix = partitionKeys.owners(this.opts.scope);
         const entries = await this.opts.keyValue.list(prefix);
         const records = new Map(
@@ -152,11 +152,11 @@
         );
         const liveEntries = await this.opts.liveEntries();
         this.statuses.forEach((status, partitionId) => {
-            this.observePartition(partitionId, status, records.get(partitionId), liveEntries);
+            this.refreshStatus(partitionId, status, records.get(partitionId), liveEntries);
         });
     }
 
-    private observePartition(
+    private refreshStatus(
         partitionId: PartitionId,
         status: PartitionStatus,
         record: StoredRecord<PartitionRecord> | undefined,
@@ -177,10 +177,10 @@
             return;
         }
         if (record === undefined && status.state === "held") {
-            this.move(status, "lapsed");
+            this.applyEvent(status, "lapsed");
         }
         else if (record !== undefined && (status.state === "held" || status.state === "suspended")) {
-            this.move(status, "taken");
+            this.applyEvent(status, "taken");
             status.owned = undefined;
             this.opts.onLost(partitionId, record.value.address);
         }
@@ -211,7 +211,7 @@
         if (!result.succeeded || status === undefined) {
             return;
         }
-        this.move(status, "acquired");
+        this.applyEvent(status, "acquired");
         status.owned = { partitionId, fencingNumber, modRevision: result.revision };
         status.holder = instanceId;
         status.lastHolder = instanceId;
@@ -230,18 +230,18 @@
         await this.opts.onRelease(partitionId).catch((error: unknown) => {
             this.opts.logger.warn("partition released with work uncommitted", { code: toKnapweedError(error).code });
         });
-        this.move(status, "release");
+        this.applyEvent(status, "release");
         const key = partitionKeys.owner(this.opts.scope, partitionId);
         await this.opts.keyValue
             .transact([{ key, modRevision: owned.modRevision }], [{ kind: "delete", key }])
             .catch(() => undefined);
-        this.move(status, "released");
+        this.applyEvent(status, "released");
         status.owned = undefined;
         status.misplacedSinceMs = undefined;
         this.opts.logger.info("partition released", { scope: this.opts.scope, partitionId });
     }
 
-    private move(status: PartitionStatus, event: OwnershipEvent): void {
+    private applyEvent(status: PartitionStatus, event: OwnershipEvent): void {
         status.state = ownershipChart.next(status.state, event);
     }
 }
--- a/batch/ownership/test/commitProtocol.test.ts
+++ b/batch/ownership/test/commitProtocol.test.ts
@@ -6,7 +6,7 @@
 
 interface Exploration {
     states: ProtocolState[];
-    doubled: ProtocolState | undefined;
+    doubleCommit: ProtocolState | undefined;
     /** Steps from each state backwards, as indexes into `states`. */
     predecessors: number[][];
 }
@@ -15,27 +15,27 @@
     const states = [initialState];
     const indexes = new Map([[JSON.stringify(initialState), 0]]);
     const predecessors: number[][] = [[]];
-    const isDoubled = (state: ProtocolState) => state.commitCounts.some(count => count > 1);
-    let doubled: ProtocolState | undefined;
+    const hasDoubleCommit = (state: ProtocolState) => state.commitCounts.some(count => count > 1);
+    let doubleCommit: ProtocolState | undefined;
     for (let position = 0; position < states.length && states.length < MAX_STATES; position++) {
-        if (isDoubled(states[position])) {
-            doubled = states[position];
+        if (hasDoubleCommit(states[position])) {
+            doubleCommit = states[position];
             break;
         }
         successorsOf(states[position], opts).forEach(next => {
             const key = JSON.stringify(next);
-            const known = indexes.get(key) ?? states.push(next) - 1;
-            indexes.set(key, known);
-            (predecessors[known] ??= []).push(position);
+            const knownIndex = indexes.get(key) ?? states.push(next) - 1;
+            indexes.set(key, knownIndex);
+            (predecessors[knownIndex] ??= []).push(position);
         });
     }
-    return { states, doubled, predecessors };
+    return { states, doubleCommit, predecessors };
 }
 
 test("no reachable state has an item committed twice, and each can still complete", () => {
-    const { states, doubled, predecessors } = explore({ checksFencing: true });
+    const { states, doubleCommit, predecessors } = explore({ checksFencing: true });
     assert.ok(states.length < MAX_STATES);
-    assert.equal(doubled, undefined);
+    assert.equal(doubleCommit, undefined);
     const canComplete = new Set(states.flatMap((state, index) => state.committed.length === 3 ? [index] : []));
     const queue = [...canComplete];
     for (let index = queue.pop(); index !== undefined; index = queue.pop()) {
@@ -49,5 +49,5 @@
 });
 
 test("without the fencing check the same exploration finds an item committed twice", () => {
-    assert.notEqual(explore({ checksFencing: false }).doubled, undefined);
+    assert.notEqual(explore({ checksFencing: false }).doubleCommit, undefined);
 });
--- a/batch/ownership/test/commitProtocol.ts
+++ b/batch/ownership/test/commitProtocol.ts
@@ -12,7 +12,7 @@
     /** Items run and not committed. */
     results: number[];
     /** Whether its last commit's answer was lost. */
-    isUnsettled: boolean;
+    isOutcomeUnknown: boolean;
 }
 
 /** The protocol of lease, ownership and checkpoints at its smallest: two owners, three items. */
@@ -24,9 +24,9 @@
     revision: number;
     committed: number[];
     commitCounts: number[];
-    lostAnswersLeft: number;
+    lostResponsesLeft: number;
     pausesLeft: number;
-    lapsesLeft: number;
+    leaseExpiriesLeft: number;
 }
 
 export const initialState: ProtocolState = {
@@ -36,21 +36,21 @@
     revision: 1,
     committed: [],
     commitCounts: Array.from({ length: ITEM_COUNT }, () => 0),
-    lostAnswersLeft: 1,
+    lostResponsesLeft: 1,
     pausesLeft: 1,
-    lapsesLeft: 2,
+    leaseExpiriesLeft: 2,
 };
 
 function createOwner(): OwnerModel {
     const state = ownershipChart.initial;
-    return { state, isPaused: false, fencingNumber: 0, baseRevision: 0, results: [], isUnsettled: false };
+    return { state, isPaused: false, fencingNumber: 0, baseRevision: 0, results: [], isOutcomeUnknown: false };
 }
 
 /** All states that one action leads to. Shape [successors] */
 export function successorsOf(state: ProtocolState, opts: { checksFencing: boolean; }): ProtocolState[] {
     return ([0, 1] as const).flatMap(index => [
         ...acquire(state, index),
-        ...lapse(state, index),
+        ...expireLease(state, index),
         ...observe(state, index),
         ...runItem(state, index),
         ...commit(state, index, opts),
@@ -74,13 +74,18 @@
         baseRevision: state.revision,
         results: owner.results.filter(item => !state.committed.includes(item)),
     };
-    const next = { state: ownershipChart.next(owner.state, "acquired"), fencingNumber, isUnsettled: false, ...reload };
+    const next = {
+        state: ownershipChart.next(owner.state, "acquired"),
+        fencingNumber,
+        isOutcomeUnknown: false,
+        ...reload,
+    };
     return [change(state, index, next, { holder: index, fencingNumber })];
 }
 
-function lapse(state: ProtocolState, index: 0 | 1): ProtocolState[] {
-    return state.holder === index && state.lapsesLeft > 0
-        ? [change(state, index, {}, { holder: undefined, lapsesLeft: state.lapsesLeft - 1 })]
+function expireLease(state: ProtocolState, index: 0 | 1): ProtocolState[] {
+    return state.holder === index && state.leaseExpiriesLeft > 0
+        ? [change(state, index, {}, { holder: undefined, leaseExpiriesLeft: state.leaseExpiriesLeft - 1 })]
         : [];
 }
 
@@ -111,14 +116,16 @@
 /** A commit compares the holder and the record's revision; its answer may be lost and is then settled by reading. */
 function commit(state: ProtocolState, index: 0 | 1, opts: { checksFencing: boolean; }): ProtocolState[] {
     const owner = state.owners[index];
-    if (owner.isPaused || owner.state !== "held" || (owner.results.length === 0 && !owner.isUnsettled)) {
+    if (owner.isPaused || owner.state !== "held" || (owner.results.length === 0 && !owner.isOutcomeUnknown)) {
         return [];
     }
     const isOwner = state.holder === index && owner.fencingNumber === state.fencingNumber;
     const isCurrent = owner.baseRevision === state.revision;
     if (opts.checksFencing && (!isOwner || !isCurrent)) {
         const results = owner.results.filter(item => !state.committed.includes(item));
-        return isOwner ? [change(state, index, { baseRevision: state.revision, results, isUnsettled: false })] : [];
+        return isOwner
+            ? [change(state, index, { baseRevision: state.revision, results, isOutcomeUnknown: false })]
+            : [];
     }
     const revision = state.revision + 1;
     const written = {
@@ -126,12 +133,17 @@
         committed: [...new Set([...state.committed, ...owner.results])].sort(),
         commitCounts: state.commitCounts.map((count, item) => count + Number(owner.results.includes(item))),
     };
-    const answered = change(state, index, { baseRevision: revision, results: [], isUnsettled: false }, written);
-    const lost = change(state, index, { isUnsettled: true }, {
+    const acknowledged = change(
+        state,
+        index,
+        { baseRevision: revision, results: [], isOutcomeUnknown: false },
+        written,
+    );
+    const responseLost = change(state, index, { isOutcomeUnknown: true }, {
         ...written,
-        lostAnswersLeft: state.lostAnswersLeft - 1,
+        lostResponsesLeft: state.lostResponsesLeft - 1,
     });
-    return state.lostAnswersLeft > 0 ? [answered, lost] : [answered];
+    return state.lostResponsesLeft > 0 ? [acknowledged, responseLost] : [acknowledged];
 }
 
 function pauseOrResume(state: ProtocolState, index: 0 | 1): ProtocolState[] {
