--- a/batch/source/src/linkBatchSource.ts
+++ b/batch/source/src/linkBatchSource.ts
@@ -15,14 +15,14 @@
 
 const CALL_TIMEOUT_MS = 10_000;
 /** How long an entry that had no work is left alone while others have some. */
-const EMPTY_PAUSE_MS = 250;
-const MAX_EMPTY_PAUSE_MS = 2000;
-const GIVE_BACK_MS = 1000;
+const EMPTY_PULL_PAUSE_MS = 250;
+const MAX_EMPTY_PULL_PAUSE_MS = 2000;
+const FOLLOW_UP_PULL_MS = 1000;
 const REPORT_RETRY_MS = 100;
 const MAX_REPORT_RETRY_MS = 2000;
 const GROUP_SIZE_RESULTS = 64;
 
-interface EntryState {
+interface EntryPullState {
     emptyCount: number;
     notBeforeMs: number;
     /** Pulls so far, and the last whose answer has arrived. */
@@ -43,7 +43,7 @@
 /** Pulls items from the entries that own partitions and reports results to the owner of each. */
 export class LinkBatchSource implements BatchSource {
     private readonly opts: LinkBatchSourceOptions;
-    private readonly states = new Map<string, EntryState>();
+    private readonly states = new Map<string, EntryPullState>();
     private readonly ownerOfJob = new Map<JobId, string>();
     private readonly held = new Map<string, HeldItem>();
     private readonly stopping = new AbortController();
@@ -60,7 +60,7 @@
 
     async pull(count: number): Promise<BatchItem[]> {
         const items: BatchItem[] = [];
-        for (const address of this.entriesToAsk()) {
+        for (const address of this.entriesToPull()) {
             if (items.length >= count) {
                 break;
             }
@@ -71,12 +71,12 @@
 
     async report(results: BatchResult[]): Promise<void> {
         const jobIds = [...new Set(results.map(result => result.jobId))];
-        const groups = jobIds.flatMap(jobId => chunk(results.filter(result => result.jobId === jobId)));
+        const groups = jobIds.flatMap(jobId => splitIntoGroups(results.filter(result => result.jobId === jobId)));
         await Promise.all(groups.map(group => this.reportGroup(group)));
     }
 
     /** Entries that may have work, in random order, those that had some before the others. */
-    private entriesToAsk(): string[] {
+    private entriesToPull(): string[] {
         const nowMs = this.opts.clock.nowMs();
         return this.opts.entries()
             .filter(address => !this.stateOf(address).isPulling && this.stateOf(address).notBeforeMs <= nowMs)
@@ -85,7 +85,7 @@
             .map(ranked => ranked.address);
     }
 
-    private stateOf(address: string): EntryState {
+    private stateOf(address: string): EntryPullState {
         const state = this.states.get(address)
             ?? { emptyCount: 0, notBeforeMs: 0, pullNumber: 0, receivedNumber: 0, isPulling: false };
         this.states.set(address, state);
@@ -100,13 +100,13 @@
         state.isPulling = true;
         try {
             const items = await this.request(address, state, count);
-            items.forEach(item => this.hold(item, address));
-            this.note(state, items.length);
+            items.forEach(item => this.trackHeld(item, address));
+            this.recordPull(state, items.length);
             return items;
         }
         catch {
-            this.note(state, 0);
-            this.giveBackLater(address, state);
+            this.recordPull(state, 0);
+            this.scheduleFollowUpPull(address, state);
             return [];
         }
         finally {
@@ -114,13 +114,13 @@
         }
     }
 
-    private hold(item: BatchItem, address: string): void {
+    private trackHeld(item: BatchItem, address: string): void {
         const { jobId, itemIndex, attempt } = item;
         this.ownerOfJob.set(jobId, address);
         this.held.set(heldKey(item), { jobId, itemIndex, attempt });
     }
 
-    private async request(address: string, state: EntryState, count: number): Promise<BatchItem[]> {
+    private async request(address: string, state: EntryPullState, count: number): Promise<BatchItem[]> {
         const { endpoint, service } = this.opts;
         const { receivedNumber } = state;
         const pullNumber = ++state.pullNumber;
@@ -133,19 +133,19 @@
     }
 
     /** Items of an answer that was lost go back to their owner with the next pull: makes sure that there is one. */
-    private giveBackLater(address: string, state: EntryState): void {
-        const lostNumber = state.pullNumber;
-        this.opts.clock.setTimer(GIVE_BACK_MS * (0.5 + this.opts.random.next()), () => {
-            const isSettled = state.pullNumber !== lostNumber || this.stopping.signal.aborted;
-            if (!isSettled && this.opts.entries().includes(address)) {
+    private scheduleFollowUpPull(address: string, state: EntryPullState): void {
+        const lostPullNumber = state.pullNumber;
+        this.opts.clock.setTimer(FOLLOW_UP_PULL_MS * (0.5 + this.opts.random.next()), () => {
+            const isObsolete = state.pullNumber !== lostPullNumber || this.stopping.signal.aborted;
+            if (!isObsolete && this.opts.entries().includes(address)) {
                 void this.pullFrom(address, 0);
             }
         });
     }
 
-    private note(state: EntryState, itemCount: number): void {
+    private recordPull(state: EntryPullState, itemCount: number): void {
         state.emptyCount = itemCount > 0 ? 0 : state.emptyCount + 1;
-        const pauseMs = Math.min(MAX_EMPTY_PAUSE_MS, EMPTY_PAUSE_MS * state.emptyCount);
+        const pauseMs = Math.min(MAX_EMPTY_PULL_PAUSE_MS, EMPTY_PULL_PAUSE_MS * state.emptyCount);
         state.notBeforeMs = itemCount > 0 ? 0 : this.opts.clock.nowMs() + pauseMs * (0.5 + this.opts.random.next() / 2);
     }
 
@@ -164,14 +164,18 @@
 
     private async reportOnce(results: BatchResult[]): Promise<boolean> {
         const { jobId } = results[0];
-        const known = this.ownerOfJob.get(jobId);
+        const lastOwner = this.ownerOfJob.get(jobId);
         const entries = this.opts.entries();
-        const order = known === undefined ? entries : [known, ...entries.filter(address => address !== known)];
+        const order = lastOwner === undefined
+            ? entries
+            : [lastOwner, ...entries.filter(address => address !== lastOwner)];
         for (const address of order) {
             const link = this.opts.endpoint.connect(address);
-            const taken = await singleFrame(link.call(reportResultsCall, { results }, { timeoutMs: CALL_TIMEOUT_MS }))
+            const acceptedCount = await singleFrame(
+                link.call(reportResultsCall, { results }, { timeoutMs: CALL_TIMEOUT_MS }),
+            )
                 .then(frame => frame.taken, () => 0);
-            if (taken >= results.length) {
+            if (acceptedCount >= results.length) {
                 this.ownerOfJob.set(jobId, address);
                 return true;
             }
@@ -184,7 +188,7 @@
     return `${item.jobId}/${item.itemIndex}`;
 }
 
-function chunk(results: BatchResult[]): BatchResult[][] {
+function splitIntoGroups(results: BatchResult[]): BatchResult[][] {
     return Array.from(
         { length: Math.ceil(results.length / GROUP_SIZE_RESULTS) },
         (_, index) => results.slice(index * GROUP_SIZE_RESULTS, (index + 1) * GROUP_SIZE_RESULTS),
