--- a/batch/owner/src/attemptDecision.ts
+++ b/batch/owner/src/attemptDecision.ts
@@ -1,6 +1,6 @@
 import type { ItemHistory } from "@knapweedwood/batch.jobs/itemHistory";
 
-/** What happens to an item after a failed attempt. */
+/** Outcome of a failed attempt: the item is retried after `notBeforeMs`, or fails permanently. */
 export type AttemptDecision =
     | { kind: "retry"; notBeforeMs: number; history: ItemHistory; }
-    | { kind: "set-aside"; code: string; message: string; };
+    | { kind: "abandoned"; code: string; message: string; };
--- a/batch/owner/src/batchRole.ts
+++ b/batch/owner/src/batchRole.ts
@@ -32,7 +32,7 @@
 const FORWARD_TIMEOUT_MS = 5000;
 const DEFAULT_MAINTENANCE_INTERVAL_MS = 60_000;
 
-/** The batch work of one entry instance: owns partitions, hands out their items, gathers and commits results. */
+/** Batch processing on one entry instance: owns partitions, hands out their items, collects and commits results. */
 export class BatchRole {
     private readonly opts: BatchRoleOptions;
     private readonly ownership: PartitionOwnership;
@@ -65,7 +65,7 @@
         this.maintenanceLoop ??= this.maintainUntilStopped();
     }
 
-    /** Commits what is done and hands all partitions over. */
+    /** Commits the collected results and hands over all partitions. */
     async stop(): Promise<void> {
         this.stopping.abort();
         await this.ownership.stop();
@@ -75,14 +75,14 @@
         this.owners.clear();
     }
 
-    /** Tells the gates that this instance has links with to stop a job's items. */
+    /** Notifies the gates linked to this instance to stop a job's items. */
     notifyCancelled(jobId: JobId): void {
         this.opts.endpoint.links()
             .filter(link => link.peer?.kind === "side")
             .forEach(link => link.notify(cancelJobNotification, { jobId }));
     }
 
-    /** Partitions that this instance may commit to, shape [partitions]. */
+    /** Returns the partitions that this instance may commit to, shape [partitions]. */
     ownedPartitions(): OwnedPartition[] {
         return [...this.owners.keys()].flatMap(partitionId => this.ownership.owned(partitionId) ?? []);
     }
@@ -133,13 +133,13 @@
         const { clock, random, logger } = this.opts;
         while (!this.stopping.signal.aborted) {
             await this.syncOpenJobs().catch((error: unknown) => {
-                logger.warn("open jobs not read", { code: toKnapweedError(error).code });
+                logger.warn("open-jobs-read-failed", { code: toKnapweedError(error).code });
             });
             await sleep(clock, OPEN_JOBS_INTERVAL_MS * (0.75 + random.next() / 4), this.stopping.signal);
         }
     }
 
-    /** Re-copies segments and removes expired jobs, now and then. */
+    /** Re-copies segments and removes expired jobs at jittered intervals. */
     private async maintainUntilStopped(): Promise<void> {
         const {
             clock,
@@ -158,7 +158,7 @@
                 await retention.run();
             }
             catch (error) {
-                logger.warn("sweep ended early", { code: toKnapweedError(error).code });
+                logger.warn("segment-scan-interrupted", { code: toKnapweedError(error).code });
             }
         }
     }
@@ -181,7 +181,7 @@
         const existing = this.owners.get(partitionId);
         if (existing !== undefined) {
             existing.reloadAll().catch((error: unknown) => {
-                this.opts.logger.warn("jobs not reloaded", { code: toKnapweedError(error).code });
+                this.opts.logger.warn("jobs-reload-failed", { code: toKnapweedError(error).code });
             });
             return;
         }
@@ -198,14 +198,14 @@
         owner.start();
     }
 
-    /** Another instance took the partition: what was not committed goes to it. */
+    /** Stops the owner of a partition that another instance has taken and sends the uncommitted results there. */
     private async forwardResults(partitionId: PartitionId, newOwnerAddress: string): Promise<void> {
         const owner = this.owners.get(partitionId);
         this.owners.delete(partitionId);
         if (owner === undefined) {
             return;
         }
-        this.opts.logger.warn("partition lost", { partitionId });
+        this.opts.logger.warn("partition-lost", { partitionId });
         await owner.stop();
         const link = this.opts.endpoint.connect(newOwnerAddress);
         for await (const results of owner.uncommittedResults()) {
@@ -234,7 +234,7 @@
                 .map(record => record.instanceId);
         }
         catch (error) {
-            this.opts.logger.debug("instance list kept", { code: toKnapweedError(error).code });
+            this.opts.logger.debug("instance-list-read-failed", { code: toKnapweedError(error).code });
         }
         return this.lastEntries;
     }
--- a/batch/owner/src/batchRoleOptions.ts
+++ b/batch/owner/src/batchRoleOptions.ts
@@ -13,7 +13,7 @@
 /** Options of {@link BatchRole}. */
 export interface BatchRoleOptions {
     instanceId: InstanceId;
-    /** Where this instance accepts links, as `host:port`. */
+    /** Returns the address where this instance accepts links, as `host:port`. */
     address: () => string;
     clock: Clock;
     random: Random;
@@ -25,12 +25,13 @@
     teamWeight: (teamId: TeamId) => number;
     logger: Logger;
     metrics: Metrics;
-    /** The same in all entry instances. */
+    /** Number of partitions; must be the same on all entry instances. */
     partitionCount: number;
-    /** Checkpoint writes per second of the whole fleet; shared out over the partitions. */
+    /** Checkpoint writes per second of the whole fleet, divided evenly between the partitions. */
     writeBudgetPerSecond?: number;
     leaseTtlMs?: number;
-    /** How long a job is kept after its end; undefined keeps all. */
+    /** How long a job is kept after its end; undefined keeps all jobs. */
     retentionMs?: number;
+    /** Mean time between two segment scans, each followed by the removal of expired jobs. */
     maintenanceIntervalMs?: number;
 }
--- a/batch/owner/src/compareRuns.ts
+++ b/batch/owner/src/compareRuns.ts
@@ -1,7 +1,7 @@
 import type { JobRun } from "./jobRun.js";
 import type { TeamShares } from "./teamShares.js";
 
-/** Orders jobs for handing out: overdue ones first, then by the teams' shares, then by due time. */
+/** Orders jobs for handing out items: overdue jobs first by due time, then by their teams' shares, then by due time. */
 export function compareRuns(left: JobRun, right: JobRun, opts: { nowMs: number; shares: TeamShares; }): number {
     const leftOverdue = left.manifest.dueAtMs <= opts.nowMs;
     const rightOverdue = right.manifest.dueAtMs <= opts.nowMs;
--- a/batch/owner/src/createOutputLine.ts
+++ b/batch/owner/src/createOutputLine.ts
@@ -4,9 +4,9 @@
 
 type FinalOutcome =
     | Extract<BatchResult["outcome"], { kind: "completed" | "rejected"; }>
-    | { kind: "set-aside"; code: string; message: string; };
+    | { kind: "abandoned"; code: string; message: string; };
 
-/** The line of the output or error file for an item, in OpenAI's published batch format. */
+/** Creates an item's line of the output or error file, in OpenAI's published batch format. */
 export function createOutputLine(opts: {
     jobId: JobId;
     index: number;
@@ -16,7 +16,7 @@
     const { outcome, index } = opts;
     const id = `batch_req_${opts.jobId.replace(/^batch_/u, "")}_${index}`;
     const envelope = { id, custom_id: opts.customId };
-    // The published format says null where there is no value.
+    // The published format requires null for absent values.
     switch (outcome.kind) {
         case "completed": {
             const response = { status_code: outcome.statusCode, request_id: id, body: outcome.body };
@@ -28,7 +28,7 @@
             const response = { status_code: outcome.statusCode, request_id: id, body };
             return { index, failed: true, line: { ...envelope, response, error: null } };
         }
-        case "set-aside": {
+        case "abandoned": {
             const { code, message } = outcome;
             return { index, failed: true, line: { ...envelope, response: null, error: { code, message } } };
         }
--- a/batch/owner/src/decideAfterAttempt.ts
+++ b/batch/owner/src/decideAfterAttempt.ts
@@ -12,8 +12,9 @@
 const BACKOFF_LIMIT_MS = 10_000;
 
 /**
- * Decides whether an item is tried again. Failures that an instance caused do not count against the item, until the
- * job is overdue; an item that fails, or loses its upstream, at several upstreams is set aside.
+ * Decides whether an item is retried. Failures caused by an instance do not count against the item until its job is
+ * overdue. An item that fails at several upstreams, or is in flight when several are lost, fails permanently. So does
+ * an item whose call may have run and is not repeatable.
  */
 export function decideAfterAttempt(opts: {
     nowMs: number;
@@ -27,18 +28,18 @@
     const { attempt, nowMs } = opts;
     if (!opts.repeatable && attempt.mayHaveRun) {
         const message = "The call may have run and may not be repeated";
-        return { kind: "set-aside", code: "outcome_unknown", message };
+        return { kind: "abandoned", code: "outcome_unknown", message };
     }
     const history = addAttempt(opts.history ?? emptyHistory(opts.index), attempt);
     if (history.upstreams.length >= MAX_FAILED_UPSTREAMS || history.itemFailures >= MAX_ITEM_FAILURES) {
-        return { kind: "set-aside", code: attempt.code, message: attempt.message };
+        return { kind: "abandoned", code: attempt.code, message: attempt.message };
     }
     if (history.lostUpstreams.length >= MAX_LOST_UPSTREAMS) {
         const message = `${MAX_LOST_UPSTREAMS} upstreams were lost while they ran the item`;
-        return { kind: "set-aside", code: "upstreams_lost", message };
+        return { kind: "abandoned", code: "upstreams_lost", message };
     }
     if (nowMs > opts.dueAtMs && history.instanceFailures >= MAX_OVERDUE_INSTANCE_FAILURES) {
-        return { kind: "set-aside", code: "attempts_exhausted", message: attempt.message };
+        return { kind: "abandoned", code: "attempts_exhausted", message: attempt.message };
     }
     const failureCount = history.itemFailures + history.instanceFailures;
     const ceilingMs = Math.min(BACKOFF_LIMIT_MS, BACKOFF_BASE_MS * 2 ** Math.min(failureCount - 1, 16));
--- a/batch/owner/src/failedAttempt.ts
+++ b/batch/owner/src/failedAttempt.ts
@@ -6,5 +6,6 @@
     code: string;
     message: string;
     cause: "item" | "instance" | "upstream-lost";
+    /** Whether the upstream may have run the call. */
     mayHaveRun: boolean;
 }
--- a/batch/owner/src/finalizeJob.ts
+++ b/batch/owner/src/finalizeJob.ts
@@ -14,7 +14,10 @@
 import type { PlannedWrite } from "./plannedWrite.js";
 import { writeOutputs } from "./writeOutputs.js";
 
-/** Writes a job's output and error files and plans the write that makes it final. */
+/**
+ * Writes the segments of a job's output and error files. Returns the planned write that stores the file records,
+ * removes the job from the open jobs and makes it final.
+ */
 export async function finalizeJob(opts: {
     manifest: JobManifest;
     progress: JobProgress;
--- a/batch/owner/src/findLostItems.ts
+++ b/batch/owner/src/findLostItems.ts
@@ -7,7 +7,10 @@
 const PEER_LOST_AFTER_MS = 3000;
 const MAX_IN_FLIGHT_MS = 900_000;
 
-/** Finds items whose gate has gone: its link is closed, it has started anew, or it has not answered for too long. */
+/**
+ * Finds in-flight items whose gate is lost: its link has been closed for PEER_LOST_AFTER_MS, it has restarted, or it
+ * has reported no result within MAX_IN_FLIGHT_MS. Updates `peerLostSinceMs` of the given items.
+ */
 export function findLostItems(opts: {
     nowMs: number;
     inFlightItems: InFlightItem[];
@@ -36,7 +39,7 @@
     });
 }
 
-/** A link of an earlier process may linger beside that of its successor. */
+/** Returns the newest incarnation of each peer: the link of an earlier process may outlive its successor's start. */
 function newestIncarnations(peers: PeerIdentity[]): Map<InstanceId, Incarnation> {
     const newest = new Map<InstanceId, Incarnation>();
     peers
--- a/batch/owner/src/handOutItems.ts
+++ b/batch/owner/src/handOutItems.ts
@@ -11,7 +11,7 @@
     run: JobRun;
 }
 
-/** Picks the items for one pull. Those that may not be repeated are handed out once their claim is committed. */
+/** Selects the items for one pull. Items that may not be repeated are returned only after their claim is committed. */
 export async function handOutItems(opts: {
     owners: PartitionOwner[];
     request: PullItemsRequest;
--- a/batch/owner/src/inheritedItems.ts
+++ b/batch/owner/src/inheritedItems.ts
@@ -5,14 +5,14 @@
 import type { PendingItem } from "./pendingItem.js";
 
 /**
- * Items that gates have from an earlier owner of the partition: none is handed out again while its gate holds it. An
- * earlier owner names them when it hands over; gates name what they hold with each pull.
+ * Items that gates received from an earlier owner of the partition. None is handed out again while its gate holds it.
+ * An earlier owner lists them when it hands over; gates list the items that they hold in each pull.
  */
 export class InheritedItems {
     private readonly queue: ItemQueue;
-    /** Items whose input line was not read yet. */
+    /** Items whose input line has not been read yet. */
     private readonly unread: Map<number, HandedOutItem>;
-    /** Items whose gate has not said that it holds them: an answer may have been lost with the earlier owner. */
+    /** Items whose gate has not confirmed them: the response may have been lost with the earlier owner. */
     private readonly unconfirmed = new Map<number, HandedOutItem>();
 
     constructor(opts: { queue: ItemQueue; handedOut: HandedOutItem[]; }) {
@@ -24,7 +24,7 @@
         return this.unread.has(index);
     }
 
-    /** Takes an item in whose line was read: it waits, or is out at the gate that has it. */
+    /** Adds an item whose line was read: to the queue, or as in flight if a gate holds it. */
     add(item: PendingItem, nowMs: number): void {
         const handedOut = this.unread.get(item.index);
         if (handedOut === undefined) {
@@ -36,7 +36,7 @@
         this.queue.addInFlight({ ...item, attemptCount: handedOut.attempt }, handedOut, nowMs);
     }
 
-    /** Compares what a gate holds of the job with what was handed to it by the earlier owner. */
+    /** Compares the items of the job that a gate holds with those that the earlier owner handed to it. */
     confirm(held: HeldItem[], peer: PeerIdentity, nowMs: number): void {
         const heldIndexes = new Set<number>(held.map(item => item.itemIndex));
         this.requeueMissing(heldIndexes, peer);
--- a/batch/owner/src/inputReport.ts
+++ b/batch/owner/src/inputReport.ts
@@ -1,6 +1,6 @@
 import type { JobProgress } from "@knapweedwood/batch.jobs/jobProgress";
 
-/** What the validation of an input file found. */
+/** Result of validating an input file. */
 export interface InputReport {
     itemCount: number;
     errors: JobProgress["errors"];
--- a/batch/owner/src/isCheckpointDue.ts
+++ b/batch/owner/src/isCheckpointDue.ts
@@ -4,8 +4,8 @@
 const MIN_INTERVAL_MS = 2000;
 
 /**
- * Whether a job's uncommitted results are worth a write: after a 32nd of its items or a 16th of its running time, so
- * that the number of writes of a job does not grow with its items and only with the logarithm of its running time.
+ * Returns whether to commit a job's uncommitted results: after a 32nd of its items or a 16th of its running time. The
+ * number of writes then does not grow with the number of items, and only logarithmically with the running time.
  */
 export function isCheckpointDue(opts: {
     nowMs: number;
--- a/batch/owner/src/itemQueue.ts
+++ b/batch/owner/src/itemQueue.ts
@@ -5,10 +5,10 @@
 import type { InFlightItem } from "./inFlightItem.js";
 import type { PendingItem } from "./pendingItem.js";
 
-/** How long a failed item waits for an upstream that has not failed it yet. */
+/** How long a failed item waits for an upstream where it has not failed yet. */
 const MAX_OTHER_UPSTREAM_WAIT_MS = 10_000;
 
-/** How long after its last pull a gate counts as there. */
+/** How long after its last pull a gate counts as available. */
 const RECENT_PULL_MS = 5_000;
 
 interface RecentPull {
@@ -16,7 +16,7 @@
     atMs: number;
 }
 
-/** The items of a job that wait or are at a gate. */
+/** The waiting and in-flight items of one job, with the history of their failed attempts. */
 export class ItemQueue {
     private waiting: PendingItem[] = [];
     private readonly inFlight = new Map<number, InFlightItem>();
@@ -35,7 +35,7 @@
         return this.inFlight.size;
     }
 
-    /** Whether the item waits or is at a gate. */
+    /** Returns whether the item is waiting or in flight. */
     has(index: number): boolean {
         return this.inFlight.has(index) || this.waiting.some(item => item.index === index);
     }
@@ -68,7 +68,7 @@
         this.waiting.unshift(item);
     }
 
-    /** Takes the next item of `service` that may run at this gate's upstream. */
+    /** Removes the next waiting item of `service` that may run at this gate's upstream and marks it as in flight. */
     take(service: ServiceName, peer: PeerIdentity, nowMs: number): PendingItem | undefined {
         this.lastPulls.set(peer.instanceId, { service, atMs: nowMs });
         const position = this.waiting.findIndex(item =>
@@ -83,26 +83,26 @@
         return started;
     }
 
-    /** Takes an item out that waits and that no gate has had from this owner. */
+    /** Removes and returns a waiting item that this owner has not handed to any gate yet. */
     takeUnstarted(index: number): PendingItem | undefined {
         const position = this.waiting.findIndex(item => item.index === index && item.attemptCount === 0);
         return position === -1 ? undefined : this.waiting.splice(position, 1)[0];
     }
 
-    /** Notes an item that is at a gate already. */
+    /** Adds an item that a gate already holds. */
     addInFlight(item: PendingItem, gate: Pick<InFlightItem, "peer" | "incarnation">, nowMs: number): void {
         const { peer, incarnation } = gate;
         this.inFlight.set(item.index, { item, peer, incarnation, sinceMs: nowMs, peerLostSinceMs: undefined });
     }
 
-    /** Ends the flight of an item, where there is one. */
+    /** Removes an item from the in-flight items. Returns undefined if it is not in flight. */
     removeInFlight(index: number): InFlightItem | undefined {
         const inFlightItem = this.inFlight.get(index);
         this.inFlight.delete(index);
         return inFlightItem;
     }
 
-    /** Forgets an item that has its result. */
+    /** Removes an item that has its result, with its history. */
     remove(index: number): void {
         this.inFlight.delete(index);
         this.histories.delete(index);
@@ -114,7 +114,11 @@
         this.inFlight.clear();
     }
 
-    /** An item that may have brought an upstream down runs alone among its like at each upstream. */
+    /**
+     * Returns whether the item may run at this upstream. An item that may have caused the loss of an
+     * upstream does not share an upstream with another such item. An item returns to an upstream where it has
+     * failed only after MAX_OTHER_UPSTREAM_WAIT_MS, or if no other upstream is available.
+     */
     private isAllowed(item: PendingItem, peer: PeerIdentity, nowMs: number): boolean {
         const history = this.histories.get(item.index);
         if (history === undefined) {
@@ -128,7 +132,7 @@
         return !(isSuspect && this.hasSuspectAt(peer)) && (!hasFailedHere || hasWaited);
     }
 
-    /** Whether an upstream that has not failed the item has pulled of late. */
+    /** Returns whether an upstream where the item has not failed has pulled within RECENT_PULL_MS. */
     private hasOtherUpstream(service: ServiceName, failedUpstreams: InstanceId[], nowMs: number): boolean {
         return [...this.lastPulls].some(([instanceId, pull]) =>
             pull.service === service && nowMs - pull.atMs < RECENT_PULL_MS && !failedUpstreams.includes(instanceId)
--- a/batch/owner/src/jobInput.ts
+++ b/batch/owner/src/jobInput.ts
@@ -7,7 +7,7 @@
     lines: string[];
 }
 
-/** Reads lines of a job's input by item index, with one segment in memory. */
+/** Reads lines of a job's input by item index. Keeps one segment in memory. */
 export class JobInput {
     private readonly store: SegmentStore;
     private readonly segments: { reference: SegmentReference; firstIndex: number; }[];
@@ -23,6 +23,7 @@
         });
     }
 
+    /** Returns the line of an item. Rejects with ITEM_NOT_FOUND if the index is out of range. */
     async lineAt(index: number): Promise<string> {
         const segment = this.segments.findLast(candidate => candidate.firstIndex <= index);
         if (segment === undefined || index >= segment.firstIndex + segment.reference.lineCount) {
--- a/batch/owner/src/jobRetention.ts
+++ b/batch/owner/src/jobRetention.ts
@@ -10,7 +10,7 @@
 import type { PartitionId } from "@knapweedwood/core.ids/partitionId";
 import type { KeyValueService } from "@knapweedwood/core.key-value/keyValueService";
 
-/** Removes jobs of owned partitions once they have been final for the retention time: whole, with their results. */
+/** Removes jobs of owned partitions, with their results, once they have been final for the retention time. */
 export class JobRetention {
     private readonly opts: {
         keyValue: KeyValueService;
@@ -24,7 +24,7 @@
         this.opts = opts;
     }
 
-    /** @returns how many jobs were removed */
+    /** Removes all expired jobs. @returns the number of jobs removed */
     async run(): Promise<number> {
         const { keyValue, partitionCount, isOwned } = this.opts;
         const records = await listRecords<{ jobId: JobId; }>(keyValue, batchKeys.allTeamJobs);
--- a/batch/owner/src/jobRun.ts
+++ b/batch/owner/src/jobRun.ts
@@ -24,10 +24,10 @@
 const READ_AHEAD_ITEMS = 512;
 const REFILL_BELOW_ITEMS = 256;
 const MAX_BUFFERED_BYTES = 16_000_000;
-/** How long the results of claimed items of an earlier owner may still arrive. */
+/** How long results of items that an earlier owner claimed may still arrive. */
 const ORPHAN_GRACE_MS = 20_000;
 
-/** One job in the memory of its partition's owner. */
+/** The in-memory state of one job at its partition's owner: queue, in-flight items, claims and uncommitted results. */
 export class JobRun {
     readonly manifest: JobManifest;
     readonly buffer: ResultBuffer;
@@ -37,9 +37,11 @@
     private readonly ownWriteIds = new Set<string>();
     private stored: StoredRecord<JobProgress>;
     private finished: ItemSet;
+    /** Items that another owner claimed and that have no result yet. */
     private readonly orphans: Set<number>;
-    /** Claims that are committed, and those that wait for a commit. */
+    /** Items whose claim is committed. */
     private readonly claimed: ItemSet;
+    /** Items whose claim waits for a commit. */
     private readonly uncommittedClaims = new Set<number>();
     private readonly queue: ItemQueue;
     private readonly inherited: InheritedItems;
@@ -74,7 +76,7 @@
         return this.firstUncommittedAtMs;
     }
 
-    /** Claims that wait for a commit, shape [items]. */
+    /** Items whose claim waits for a commit, shape [items]. */
     get pendingClaims(): number[] {
         return [...this.uncommittedClaims];
     }
@@ -87,19 +89,19 @@
         return this.queue.inFlightItems();
     }
 
-    /** Whether the item's call may not be repeated. */
+    /** Returns whether the item is in flight or orphaned and its call may not be repeated. */
     isClaimed(index: number): boolean {
         return this.orphans.has(index) || this.queue.inFlightItem(index)?.item.service.repeatable === false;
     }
 
-    /** Whether the item is still out under this attempt. */
+    /** Returns whether this attempt of the item is in flight at this peer. */
     isAtGate(item: BatchItem, peer: PeerIdentity): boolean {
         const inFlightItem = this.queue.inFlightItem(item.itemIndex);
         return inFlightItem?.item.attemptCount === item.attempt && inFlightItem.peer === peer.instanceId
             && inFlightItem.incarnation === peer.incarnation;
     }
 
-    /** What gates have and may be run again; the uncommittedClaims tell the rest. */
+    /** Returns the repeatable items that gates hold. Claims cover the items that may not be repeated. */
     handedOut(): HandedOutItem[] {
         return this.inFlightItems
             .filter(({ item }) => item.service.repeatable)
@@ -111,7 +113,7 @@
             }));
     }
 
-    /** Learns what a gate has of the job, from this owner or an earlier one. */
+    /** Records which items of the job a gate holds, from this owner or an earlier one. */
     confirmHeld(held: HeldItem[], peer: PeerIdentity): void {
         const open = held.filter(({ itemIndex }) => !this.finished.has(itemIndex) && !this.orphans.has(itemIndex));
         this.inherited.confirm(open, peer, this.opts.clock.nowMs());
@@ -121,7 +123,7 @@
         return this.queue.allHistories();
     }
 
-    /** Reads items ahead; the queue stays bounded. */
+    /** Reads items ahead until READ_AHEAD_ITEMS are waiting. Waits for a read that is already running. */
     async refill(): Promise<void> {
         if (
             this.opts.services.isReady() && this.progress.state === "in_progress"
@@ -132,7 +134,7 @@
         }
     }
 
-    /** Hands out the next item of a service; undefined where none may run at this gate now. */
+    /** Hands out the next item of a service. Returns undefined if none may run at this gate now. */
     take(service: ServiceName, peer: PeerIdentity): BatchItem | undefined {
         if (this.progress.state !== "in_progress" || this.buffer.sizeBytes > MAX_BUFFERED_BYTES) {
             return undefined;
@@ -147,7 +149,7 @@
         return toBatchItem(item, this.manifest);
     }
 
-    /** Takes back items that were not handed out after all. */
+    /** Puts items back at the front of the queue that were not handed out after all, without counting the attempt. */
     requeue(items: BatchItem[], peer: PeerIdentity): void {
         items.filter(item => this.isAtGate(item, peer)).forEach(({ itemIndex }) => {
             const inFlightItem = this.queue.removeInFlight(itemIndex);
@@ -157,7 +159,7 @@
         });
     }
 
-    /** Takes a result in; one that no longer matters is ignored. */
+    /** Records a result. Ignores results that no longer apply, such as those of an item that already has one. */
     async report(result: BatchResult, peer: PeerIdentity): Promise<void> {
         const index: number = result.itemIndex;
         if (this.progress.state !== "in_progress" || this.finished.has(index) || index >= this.progress.totalCount) {
@@ -191,7 +193,7 @@
         this.fail(index, { ...outcome, upstream: peer.instanceId, cause: outcome.blame });
     }
 
-    /** Notes a failed attempt of an item in inFlightItem. */
+    /** Records a failed attempt of an in-flight item: requeues it or fails it permanently. */
     fail(index: number, attempt: FailedAttempt): void {
         const inFlightItem = this.queue.removeInFlight(index);
         if (inFlightItem === undefined) {
@@ -207,7 +209,7 @@
             attempt,
             random: this.opts.random,
         });
-        if (decision.kind === "set-aside") {
+        if (decision.kind === "abandoned") {
             this.finish(index, item.line.customId, decision);
             return;
         }
@@ -215,7 +217,7 @@
         this.queue.add({ ...item, notBeforeMs: decision.notBeforeMs });
     }
 
-    /** Gives claimed items of an earlier owner up as unknown once nobody can report them any more. */
+    /** Fails an earlier owner's claimed items with `outcome_unknown` once no more reports of them are expected. */
     async settleOrphans(): Promise<void> {
         if (this.orphans.size === 0 || this.opts.clock.nowMs() - this.orphanGraceStartedAtMs < ORPHAN_GRACE_MS) {
             return;
@@ -224,17 +226,17 @@
         for (const index of [...this.orphans]) {
             const customId = await this.customIdOf(index);
             if (!this.finished.has(index)) {
-                this.finish(index, customId, { kind: "set-aside", code: "outcome_unknown", message });
+                this.finish(index, customId, { kind: "abandoned", code: "outcome_unknown", message });
             }
         }
     }
 
-    /** Notes the id of a write that may take effect. */
+    /** Records the id of a write that may take effect, to recognize this owner's own records. */
     trackWrite(writeId: string): void {
         this.ownWriteIds.add(writeId);
     }
 
-    /** Takes the record as it was committed, by this owner or by another writer. */
+    /** Applies a committed record, written by this owner or by another writer. */
     applyRecord(stored: StoredRecord<JobProgress>): void {
         const isOwn = this.ownWriteIds.has(stored.value.writeId);
         const newClaims = indexesOf(stored.value.claimed).filter(index => this.claimed.add(index));
@@ -252,7 +254,7 @@
         }
     }
 
-    /** Forgets sealed results that another owner has committed; what else was in their segments is run again. */
+    /** Drops sealed segments with a result that another owner has committed. The other items in them are run again. */
     dropOverlappingSegments(): void {
         const committed = new ItemSet(this.progress.finished);
         const overlapping = this.buffer.sealedSegments
@@ -266,7 +268,7 @@
         this.cursor = 0;
     }
 
-    /** Another owner wrote the record: its results and uncommittedClaims stand. */
+    /** Merges a record that another owner wrote: its results and claims take precedence. */
     private mergeForeignCommit(newClaims: number[]): void {
         const committed = new ItemSet(this.progress.finished);
         this.buffer.dropBuffered(index => committed.has(index));
@@ -289,7 +291,11 @@
         this.firstUncommittedAtMs ??= this.opts.clock.nowMs();
         const { jobId } = this.manifest;
         const result = createOutputLine({ jobId, index, customId, outcome });
-        const tooLarge = { kind: "set-aside", code: "result_too_large", message: "The result is too large" } as const;
+        const tooLarge = {
+            kind: "abandoned",
+            code: "result_too_large",
+            message: "The result exceeds the maximum result size",
+        } as const;
         this.buffer.add(
             this.buffer.fits(result) ? result : createOutputLine({ jobId, index, customId, outcome: tooLarge }),
         );
@@ -317,7 +323,7 @@
         const line = parseInputLine(text, this.manifest.endpoint);
         const service = resolveService(this.opts.services, line, this.manifest.teamId);
         if (service === undefined) {
-            const message = "No service offers the model or has the name";
+            const message = "No service provides the model or has the name in the URL";
             this.finish(index, line.customId, { kind: "rejected", statusCode: 404, code: "model_not_found", message });
             return;
         }
--- a/batch/owner/src/jobRunOptions.ts
+++ b/batch/owner/src/jobRunOptions.ts
@@ -6,7 +6,7 @@
 import type { Random } from "@knapweedwood/core.random/random";
 import type { ServiceLookup } from "./serviceLookup.js";
 
-/** Options of a job that its partition's owner runs. */
+/** Options of {@link JobRun}. */
 export interface JobRunOptions {
     manifest: JobManifest;
     progress: StoredRecord<JobProgress>;
--- a/batch/owner/src/mergeResults.ts
+++ b/batch/owner/src/mergeResults.ts
@@ -8,8 +8,8 @@
 }
 
 /**
- * Yields results in the items' order. A segment is in memory only while the order has reached it, so that the memory
- * needed is that of the segments that overlap.
+ * Yields results in the items' order. A segment is loaded when the order reaches its first item and released after its
+ * last, so that memory is bounded by the segments that overlap.
  */
 export async function* mergeResults(store: SegmentStore, segments: ResultSegment[]): AsyncIterable<ItemResult> {
     const unopened = segments.toSorted((left, right) => left.firstIndex - right.firstIndex);
--- a/batch/owner/src/parseInputLine.ts
+++ b/batch/owner/src/parseInputLine.ts
@@ -4,7 +4,10 @@
 
 const MAX_CUSTOM_ID_LENGTH = 512;
 
-/** Parses one line of a batch input file. Throws a KnapweedError that says what is wrong with it. */
+/**
+ * Parses one line of a batch input file. Throws a KnapweedError with code BATCH_LINE_INVALID that describes the fault.
+ * The error's `parameter` is the code of the fault in the validation report.
+ */
 export function parseInputLine(text: string, endpoint: string): InputLine {
     const value = parseJson(text);
     if (!isJsonObject(value)) {
--- a/batch/owner/src/partitionOwner.ts
+++ b/batch/owner/src/partitionOwner.ts
@@ -22,7 +22,7 @@
 const TICK_MS = 200;
 const MAX_JOBS_PER_COMMIT = 32;
 
-/** Runs the jobs of one partition: hands out items, gathers results, commits checkpoints. */
+/** Runs the jobs of one partition: hands out their items, collects results and commits checkpoints. */
 export class PartitionOwner {
     private readonly opts: PartitionOwnerOptions;
     private readonly committer: ProgressCommitter;
@@ -45,14 +45,14 @@
         this.loop ??= this.loopUntilStopped();
     }
 
-    /** Stops without committing. */
+    /** Stops without committing the remaining results. */
     async stop(): Promise<void> {
         this.stopping.abort();
         await this.loop;
         await this.committing;
     }
 
-    /** Commits what is there and what the gates have, for the next owner. */
+    /** Commits all results and the list of items that gates hold, for the next owner. */
     async handOver(): Promise<void> {
         this.isHandingOver = true;
         const remaining = this.jobs();
@@ -70,14 +70,14 @@
         return this.runs.get(jobId);
     }
 
-    /** Results that are not committed, for another owner, in groups. */
+    /** Yields the uncommitted results in groups, to be reported to another owner. */
     async *uncommittedResults(): AsyncIterable<BatchResult[]> {
         for (const run of this.jobs()) {
             yield* run.buffer.uncommittedResults(run.manifest.jobId);
         }
     }
 
-    /** Compares the open jobs of this partition with the jobs that run. */
+    /** Starts open jobs of this partition that are not running yet and reloads those that were cancelled. */
     async syncOpenJobs(openJobs: OpenJob[]): Promise<void> {
         await Promise.all(openJobs.map(async open => {
             const run = this.runs.get(open.jobId);
@@ -90,12 +90,16 @@
         }));
     }
 
-    /** Reads the records of all jobs again, after the partition was taken anew. */
+    /** Rereads the records of all jobs after the partition was reacquired. */
     async reloadAll(): Promise<void> {
         await Promise.all(this.jobs().map(run => this.committer.reload(run)));
     }
 
-    /** Takes results in. @returns how many are settled here; claims wait for the commit */
+    /**
+     * Records results of one job. Waits for the commit if any of the items is claimed.
+     *
+     * @returns how many results are accepted; if fewer than given, the gate reports them again
+     */
     async report(jobId: JobId, results: BatchResult[], peer: PeerIdentity): Promise<number> {
         const run = this.runs.get(jobId);
         if (run === undefined) {
@@ -109,15 +113,15 @@
             return await this.checkpoint(candidate => candidate === run) ? results.length : 0;
         }
         if (run.buffer.isFull) {
-            await run.buffer.seal().catch(error => this.warn("results not kept", error));
+            await run.buffer.seal().catch(error => this.warn("results-store-failed", error));
         }
         return results.length;
     }
 
     /**
-     * Commits the due jobs; concurrent callers wait for each other.
+     * Commits the due jobs, at most MAX_JOBS_PER_COMMIT at a time. Concurrent calls run one after another.
      *
-     * @returns whether all that was due is committed
+     * @returns whether the commit took effect; true if no job is due
      */
     async checkpoint(isDue: (run: JobRun) => boolean): Promise<boolean> {
         const round = this.committing.then(() => this.commitRound(isDue));
@@ -128,7 +132,7 @@
     private async loopUntilStopped(): Promise<void> {
         const { clock, random } = this.opts;
         while (!this.stopping.signal.aborted) {
-            await this.tick().catch(error => this.warn("partition tick failed", error));
+            await this.tick().catch(error => this.warn("partition-tick-failed", error));
             await sleep(clock, TICK_MS * (0.75 + random.next() / 2), this.stopping.signal);
         }
     }
@@ -138,8 +142,8 @@
         for (const run of this.jobs()) {
             findLostItems({ nowMs, inFlightItems: run.inFlightItems, peers: this.opts.peers() })
                 .forEach(lost => run.fail(lost.index, lost.attempt));
-            await run.settleOrphans().catch(error => this.warn("orphans not settled", error));
-            await run.refill().catch(error => this.warn("items not read", error));
+            await run.settleOrphans().catch(error => this.warn("orphans-settle-failed", error));
+            await run.refill().catch(error => this.warn("items-read-failed", error));
             this.advance(run);
         }
         await this.checkpoint(run => run.hasAllResults || this.isDue(run));
@@ -184,7 +188,7 @@
         return await this.committer.commit(writes);
     }
 
-    /** Moves a job that is validating, finalizing or cancelling on, beside the others. */
+    /** Starts the next step of a job that is validating, finalizing or cancelling, without waiting for it. */
     private advance(run: JobRun): void {
         const { jobId } = run.manifest;
         const step = this.nextStepOf(run);
@@ -192,7 +196,7 @@
             return;
         }
         this.advancing.add(jobId);
-        step.catch(error => this.warn("job not advanced", error)).finally(() => this.advancing.delete(jobId));
+        step.catch(error => this.warn("job-advance-failed", error)).finally(() => this.advancing.delete(jobId));
     }
 
     private nextStepOf(run: JobRun): Promise<void> | undefined {
@@ -254,7 +258,7 @@
     private removeIfFinal(run: JobRun): void {
         if (jobChart.isFinal(run.progress.state)) {
             this.runs.delete(run.manifest.jobId);
-            this.opts.logger.info("job finished", { jobId: run.manifest.jobId, state: run.progress.state });
+            this.opts.logger.info("job-finished", { jobId: run.manifest.jobId, state: run.progress.state });
             this.opts.metrics.increment("batch.job_finished", { state: run.progress.state });
         }
     }
--- a/batch/owner/src/partitionOwnerOptions.ts
+++ b/batch/owner/src/partitionOwnerOptions.ts
@@ -14,13 +14,13 @@
 /** Options of {@link PartitionOwner}. */
 export interface PartitionOwnerOptions {
     partitionId: PartitionId;
-    /** Part of each write's id. */
+    /** This instance; part of the id of each write. */
     instanceId: InstanceId;
-    /** Proof of ownership; undefined while this instance may not commit. */
+    /** Returns the proof of ownership; undefined while this instance may not commit. */
     owned: () => OwnedPartition | undefined;
-    /** Peers with an open link. */
+    /** Returns the peers with an open link. */
     peers: () => PeerIdentity[];
-    /** Tells gates to stop a job's items. */
+    /** Notifies gates to stop a job's items. */
     notifyCancelled: (jobId: JobId) => void;
     keyValue: KeyValueService;
     segmentStore: SegmentStore;
@@ -29,6 +29,6 @@
     random: Random;
     logger: Logger;
     metrics: Metrics;
-    /** Least time between two commits of this partition: its share of the fleet's write budget. */
+    /** Minimum time between two commits of this partition, from its share of the fleet's write budget. */
     commitIntervalMs: number;
 }
--- a/batch/owner/src/pendingItem.ts
+++ b/batch/owner/src/pendingItem.ts
@@ -7,8 +7,9 @@
     index: number;
     line: InputLine;
     service: ServiceView;
-    /** Attempts begun so far. */
+    /** Number of attempts started so far. */
     attemptCount: number;
+    /** Earliest time of the next attempt. */
     notBeforeMs: number;
     resumeFrom: ResumePoint | undefined;
 }
--- a/batch/owner/src/planCheckpoint.ts
+++ b/batch/owner/src/planCheckpoint.ts
@@ -4,13 +4,13 @@
 import type { JobProgress } from "@knapweedwood/batch.jobs/jobProgress";
 import type { SealedResults } from "./sealedResults.js";
 
-/** The progress after a checkpoint: everything in `sealed` and `claims` added to what is committed. */
+/** Returns the progress after a checkpoint: the committed progress with everything in `sealed` and `claims` added. */
 export function planCheckpoint(opts: {
     progress: JobProgress;
     sealed: readonly SealedResults[];
     claims: readonly number[];
     histories: JobProgress["histories"];
-    /** What gates have, where the partition is handed over with this write. */
+    /** Items that gates hold; empty unless the partition is handed over with this write. */
     handedOut: readonly HandedOutItem[];
     writeId: string;
 }): JobProgress {
--- a/batch/owner/src/progressCommitter.ts
+++ b/batch/owner/src/progressCommitter.ts
@@ -8,7 +8,7 @@
 import type { PartitionOwnerOptions } from "./partitionOwnerOptions.js";
 import type { PlannedWrite } from "./plannedWrite.js";
 
-/** A job with the write planned for it. */
+/** A planned write with its job. */
 interface JobRunWrite extends PlannedWrite {
     run: JobRun;
 }
@@ -22,7 +22,7 @@
     }
 
     /**
-     * Commits all writes in one transaction. Jobs whose record had changed are read again.
+     * Commits all writes in one transaction. If it is rejected, jobs whose record has changed are reloaded.
      *
      * @returns whether the writes took effect
      */
@@ -60,7 +60,7 @@
         return false;
     }
 
-    /** Reads a job's progress again and adopts it where another writer has changed it. */
+    /** Rereads a job's progress and applies it if another writer has changed it. */
     async reload(run: JobRun): Promise<void> {
         const stored = await readRecord<JobProgress>(this.opts.keyValue, progressKey(run));
         if (stored !== undefined && stored.modRevision !== run.modRevision) {
--- a/batch/owner/src/pullTracker.ts
+++ b/batch/owner/src/pullTracker.ts
@@ -10,12 +10,12 @@
     items: Promise<BatchItem[]>;
 }
 
-/** Remembers each gate's last pull, so that a repeated request gets the same items and a lost answer loses none. */
+/** Keeps each gate's last pull: a repeated request gets the same items, and items of a lost response are requeued. */
 export class PullTracker {
     private readonly lastPulls = new Map<InstanceId, TrackedPull>();
     private readonly requeue: (items: BatchItem[], peer: PeerIdentity) => void;
 
-    /** @param opts.requeue returns items whose answer did not arrive to their queue */
+    /** @param opts.requeue puts items whose response did not arrive back into their queue */
     constructor(opts: { requeue: (items: BatchItem[], peer: PeerIdentity) => void; }) {
         this.requeue = opts.requeue;
     }
--- a/batch/owner/src/readReferences.ts
+++ b/batch/owner/src/readReferences.ts
@@ -8,7 +8,7 @@
 import type { SegmentDigest } from "@knapweedwood/core.ids/segmentDigest";
 import type { KeyValueService } from "@knapweedwood/core.key-value/keyValueService";
 
-/** Segments that files and open jobs need, by the id of the file or job. */
+/** Reads the digests of the segments that files and open jobs need, by the id of the file or job. */
 export async function readReferences(keyValue: KeyValueService): Promise<Map<string, SegmentDigest[]>> {
     const openJobs = await listRecords<OpenJob>(keyValue, batchKeys.openJobs);
     const files = await listRecords<StoredFile>(keyValue, batchKeys.allFiles);
--- a/batch/owner/src/resolveService.ts
+++ b/batch/owner/src/resolveService.ts
@@ -7,7 +7,10 @@
 
 const SERVICE_URL = /^\/services\/([^/]+)/u;
 
-/** The service that an item calls: named by its URL, or offering its model. */
+/**
+ * Returns the service that an item calls: the one named in its URL, or the one that provides its model. Returns
+ * undefined if there is none or the team may not call it.
+ */
 export function resolveService(lookup: ServiceLookup, line: InputLine, teamId: TeamId): ServiceView | undefined {
     const name = SERVICE_URL.exec(line.url)?.[1];
     if (name !== undefined) {
--- a/batch/owner/src/resultBuffer.ts
+++ b/batch/owner/src/resultBuffer.ts
@@ -12,7 +12,7 @@
     line: Buffer;
 }
 
-/** Results that no segment holds yet. */
+/** Results of one job that are not committed yet, in memory or in sealed segments. */
 export class ResultBuffer {
     private readonly store: SegmentStore;
     private results: BufferedResult[] = [];
@@ -24,12 +24,12 @@
         this.store = store;
     }
 
-    /** Size of the results that are in memory only. */
+    /** Size in bytes of the results that are in memory only. */
     get sizeBytes(): number {
         return this.bufferedBytes;
     }
 
-    /** Results that wait for a commit, shape [segments]. */
+    /** Stored segments of results that wait for a commit, shape [segments]. */
     get sealedSegments(): readonly SealedResults[] {
         return this.sealed;
     }
@@ -38,7 +38,7 @@
         return this.results.length + this.sealed.reduce((sum, segment) => sum + segment.indexes.length, 0);
     }
 
-    /** Whether one result fits into a segment. */
+    /** Returns whether a result fits into a segment. */
     fits(result: ItemResult): boolean {
         return encodeLine(result).length <= this.store.maxSegmentBytes;
     }
@@ -53,7 +53,7 @@
         return this.bufferedBytes >= this.store.maxSegmentBytes;
     }
 
-    /** Writes the buffered results as segments. Throws where a segment can't be kept; its results stay buffered. */
+    /** Writes the buffered results as segments. Rejects if a segment can't be stored; its results stay buffered. */
     async seal(): Promise<void> {
         const previous = this.sealing;
         const next = previous.catch(() => undefined).then(() => this.sealAll());
@@ -61,23 +61,23 @@
         await next;
     }
 
-    /** Items with a result that is not committed, shape [results]. */
+    /** Returns the indexes of items whose result is not committed, shape [results]. */
     uncommittedIndexes(): number[] {
         return [...this.results.map(result => result.index), ...this.sealed.flatMap(segment => segment.indexes)];
     }
 
-    /** Forgets results that no segment holds yet. */
+    /** Drops buffered results whose index matches. */
     dropBuffered(matches: (index: number) => boolean): void {
         this.results = this.results.filter(result => !matches(result.index));
         this.bufferedBytes = this.results.reduce((sum, result) => sum + result.line.length, 0);
     }
 
-    /** Forgets sealed segments. */
+    /** Drops sealed segments from the uncommitted results. */
     dropSealed(segments: readonly SealedResults[]): void {
         this.sealed = this.sealed.filter(segment => !segments.includes(segment));
     }
 
-    /** The uncommitted results as reports, in groups, for another owner to take. */
+    /** Yields the uncommitted results as reports, in groups, to send to another owner. */
     async *uncommittedResults(jobId: JobId): AsyncIterable<BatchResult[]> {
         for (const { segment } of this.sealed) {
             const text = Buffer.from(await this.store.get(segment.digest)).toString("utf8");
--- a/batch/owner/src/sealedResults.ts
+++ b/batch/owner/src/sealedResults.ts
@@ -3,7 +3,7 @@
 /** A segment of results that is stored and not yet committed. */
 export interface SealedResults {
     segment: ResultSegment;
-    /** Items in it, shape [results]. */
+    /** Indexes of the items in the segment, shape [results]. */
     indexes: number[];
     failedCount: number;
 }
--- a/batch/owner/src/segmentScan.ts
+++ b/batch/owner/src/segmentScan.ts
@@ -10,10 +10,10 @@
 import { readReferences } from "./readReferences.js";
 import type { SegmentScanReport } from "./segmentScanReport.js";
 
-/** Pause between two segments: re-copying takes a bounded share of the network and the disks. */
+/** Pause between two segments, to bound the share of network and disks that re-copying takes. */
 const PAUSE_BETWEEN_SEGMENTS_MS = 20;
 
-/** Compares the segments that files and jobs of owned partitions need with the copies there are, and re-copies. */
+/** Checks the copies of segments that files and open jobs of owned partitions need, and re-copies missing ones. */
 export class SegmentScan {
     private readonly opts: {
         keyValue: KeyValueService;
@@ -29,6 +29,7 @@
         this.opts = opts;
     }
 
+    /** Scans all segments once, until done or aborted. @returns the segments that lack copies */
     async run(signal?: AbortSignal): Promise<SegmentScanReport> {
         const { keyValue, segmentStore, clock, logger, metrics } = this.opts;
         const report: SegmentScanReport = { checkedCount: 0, singleCopy: [], lost: [] };
@@ -46,7 +47,7 @@
         metrics.gauge("batch.segments_single_copy", report.singleCopy.length);
         metrics.gauge("batch.segments_lost", report.lost.length);
         if (report.singleCopy.length + report.lost.length > 0) {
-            logger.warn("segments short of copies", { singleCopy: report.singleCopy.length, lost: report.lost });
+            logger.warn("segments-under-replicated", { singleCopy: report.singleCopy.length, lost: report.lost });
         }
         return report;
     }
--- a/batch/owner/src/segmentScanReport.ts
+++ b/batch/owner/src/segmentScanReport.ts
@@ -1,9 +1,9 @@
 import type { SegmentDigest } from "@knapweedwood/core.ids/segmentDigest";
 
-/** What a sweep over segments found. */
+/** Result of one scan of the segments. */
 export interface SegmentScanReport {
     checkedCount: number;
-    /** Segments that could not be brought to their number of copies. */
+    /** Segments with at least one copy that could not be brought to the required number of copies. */
     singleCopy: SegmentDigest[];
     /** Segments of which no copy was found. */
     lost: SegmentDigest[];
--- a/batch/owner/src/serviceView.ts
+++ b/batch/owner/src/serviceView.ts
@@ -1,9 +1,9 @@
 import type { ServiceName } from "@knapweedwood/core.ids/serviceName";
 
-/** What the owner of a partition needs to know of a service. */
+/** The properties of a service that the owner of a partition uses. */
 export interface ServiceView {
     name: ServiceName;
     kind: "model-engine" | "plain";
-    /** Whether a call may be run a second time after an unknown outcome. */
+    /** Whether a call may be repeated after an unknown outcome. */
     repeatable: boolean;
 }
--- a/batch/owner/src/teamShares.ts
+++ b/batch/owner/src/teamShares.ts
@@ -1,6 +1,6 @@
 import type { TeamId } from "@knapweedwood/core.ids/teamId";
 
-/** Shares items out between teams by weight: the team that has had the least for its weight comes first. */
+/** Distributes items between teams by weight: the team with the lowest weighted count of items comes first. */
 export class TeamShares {
     private readonly weightOf: (teamId: TeamId) => number;
     private readonly weightedCounts = new Map<TeamId, number>();
@@ -10,7 +10,10 @@
         this.weightOf = opts.weightOf;
     }
 
-    /** Weighted count of items that the team has had; one that was idle starts from where the others are. */
+    /**
+     * Returns the weighted count of items that the team has received. A team that was idle starts at the level
+     * of the others.
+     */
     weightedCountOf(teamId: TeamId): number {
         return Math.max(this.minimumCount, this.weightedCounts.get(teamId) ?? 0);
     }
--- a/batch/owner/src/toBatchItem.ts
+++ b/batch/owner/src/toBatchItem.ts
@@ -3,7 +3,7 @@
 import type { ItemIndex } from "@knapweedwood/core.ids/itemIndex";
 import type { PendingItem } from "./pendingItem.js";
 
-/** The item as a gate gets it. */
+/** Converts a pending item to the form that is sent to a gate. */
 export function toBatchItem(item: PendingItem, manifest: JobManifest): BatchItem {
     return {
         jobId: manifest.jobId,
--- a/batch/owner/src/toBatchResult.ts
+++ b/batch/owner/src/toBatchResult.ts
@@ -4,7 +4,7 @@
 import type { JobId } from "@knapweedwood/core.ids/jobId";
 import type { JsonObject } from "@knapweedwood/engines.model-engine/jsonObject";
 
-/** The report that led to a result; undefined for one that the owner itself decided on. */
+/** Converts a stored result back to the report it came from. Returns undefined if the owner itself set the result. */
 export function toBatchResult(jobId: JobId, result: ItemResult): BatchResult | undefined {
     const response = result.line.response as { status_code: number; body: JsonObject; } | null;
     if (response === null) {
--- a/batch/owner/src/validateInput.ts
+++ b/batch/owner/src/validateInput.ts
@@ -4,7 +4,10 @@
 
 const MAX_ERRORS = 100;
 
-/** Checks each line of an input file as it streams by; only the custom ids are kept. */
+/**
+ * Validates each line of an input file while it is read; only the custom ids are kept in memory. Returns the number of
+ * lines and at most MAX_ERRORS errors; an empty file is an error.
+ */
 export async function validateInput(lines: AsyncIterable<string>, endpoint: string): Promise<InputReport> {
     const customIds = new Set<string>();
     const errors: InputReport["errors"] = [];
--- a/batch/owner/src/writeOutputs.ts
+++ b/batch/owner/src/writeOutputs.ts
@@ -5,7 +5,7 @@
 import { writeLineSegments } from "@knapweedwood/batch.segments/writeLineSegments";
 import { mergeResults } from "./mergeResults.js";
 
-/** Writes the output file (`failed` false) or the error file of a job, in the items' order, as segments. */
+/** Writes the output file of a job (`failed` is false) or its error file as segments, in the items' order. */
 export async function writeOutputs(
     store: SegmentStore,
     results: ResultSegment[],
--- a/batch/owner/test/decideAfterAttempt.test.ts
+++ b/batch/owner/test/decideAfterAttempt.test.ts
@@ -12,12 +12,12 @@
     return { upstream: upstream as InstanceId, code: "engine_error", message: "failed", cause, mayHaveRun };
 }
 
-/** Plays attempts until the item is set aside. @returns how many it took, and the code */
+/** Runs attempts until the item fails permanently. @returns how many it took, and the error code */
 function runAttempts(attempts: FailedAttempt[], opts: { repeatable: boolean; nowMs: number; }) {
     let history: ItemHistory | undefined;
     for (const [position, failed] of attempts.entries()) {
         const decision = decideAfterAttempt({ ...opts, dueAtMs: 1000, index: 0, history, attempt: failed, random });
-        if (decision.kind === "set-aside") {
+        if (decision.kind === "abandoned") {
             return { count: position + 1, code: decision.code };
         }
         assert.ok(decision.notBeforeMs >= opts.nowMs && decision.notBeforeMs <= opts.nowMs + 60_000);
@@ -28,7 +28,7 @@
 
 const opts = { repeatable: true, nowMs: 0 };
 
-test("an item that fails beside three upstreams is set aside with its reason", () => {
+test("an item that fails at three upstreams fails permanently with its last error code", () => {
     const attempts = ["a", "a", "b", "c", "d"].map(upstream => attempt(upstream, "item"));
     assert.deepEqual(runAttempts(attempts, opts), { count: 4, code: "engine_error" });
 });
@@ -39,12 +39,12 @@
     assert.deepEqual(runAttempts(attempts, { ...opts, nowMs: 2000 }), { count: 20, code: "attempts_exhausted" });
 });
 
-test("an item takes at most three upstreams down", () => {
+test("an item fails permanently after the loss of three upstreams", () => {
     const attempts = ["a", "b", "c", "d"].map(upstream => attempt(upstream, "upstream-lost"));
     assert.deepEqual(runAttempts(attempts, opts), { count: 3, code: "upstreams_lost" });
 });
 
-test("a call that may not be repeated is never tried again once it may have run", () => {
+test("a call that may not be repeated is not retried once it may have run", () => {
     const once = { ...opts, repeatable: false };
     assert.deepEqual(runAttempts([attempt("a", "instance")], once), { count: 1, code: "outcome_unknown" });
     assert.deepEqual(runAttempts([attempt("a", "instance", false)], once), { count: 1, code: undefined });
--- a/batch/owner/test/inheritedItems.test.ts
+++ b/batch/owner/test/inheritedItems.test.ts
@@ -53,7 +53,7 @@
     return indexes;
 }
 
-test("items that a gate had at the hand-over are handed to no other", () => {
+test("items that a gate held at the hand-over are not handed to another gate", () => {
     const queue = new ItemQueue([]);
     const inherited = new InheritedItems({ queue, handedOut: [handedOut(0, "x"), handedOut(1, "x")] });
     [0, 1, 2].forEach(index => inherited.add(pending(index), nowMs));
@@ -61,7 +61,7 @@
     assert.equal(queue.inFlightItem(0)?.peer, "x");
 });
 
-test("an item whose answer was lost with the earlier owner waits again once its gate pulls without it", () => {
+test("an item whose response was lost with the earlier owner is requeued once its gate's pull does not list it", () => {
     const queue = new ItemQueue([]);
     const inherited = new InheritedItems({
         queue,
@@ -69,14 +69,14 @@
     });
     [0, 1].forEach(index => inherited.add(pending(index), nowMs));
     inherited.confirm([held(1)], gate("y"), nowMs);
-    assert.equal(queue.inFlightItem(0)?.peer, "x", "what another gate says doesn't count");
+    assert.equal(queue.inFlightItem(0)?.peer, "x", "a report of another gate is ignored");
     inherited.confirm([held(1)], gate("x"), nowMs);
     inherited.add(pending(2), nowMs);
     assert.deepEqual(takeAll(queue, gate("y")), [0, 2]);
     assert.equal(queue.inFlightItem(1)?.peer, "x");
 });
 
-test("after a crash of the owner, what gates hold is not handed out, read or not", () => {
+test("after an owner crash, items that gates hold are not handed out, whether or not their line was read", () => {
     const queue = new ItemQueue([]);
     const inherited = new InheritedItems({ queue, handedOut: [] });
     inherited.add(pending(0), nowMs);
@@ -87,7 +87,7 @@
     assert.equal(queue.inFlightItem(0)?.item.attemptCount, 2);
 });
 
-test("an item that this owner has handed to another gate stays there", () => {
+test("an item that this owner handed out stays at its gate when another gate reports it", () => {
     const queue = new ItemQueue([]);
     const inherited = new InheritedItems({ queue, handedOut: [] });
     inherited.add(pending(0), nowMs);
--- a/batch/owner/test/isCheckpointDue.test.ts
+++ b/batch/owner/test/isCheckpointDue.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { isCheckpointDue } from "../src/isCheckpointDue.js";
 
-/** Plays a job with a steady rate of results. @returns the number of checkpoints */
+/** Simulates a job with a steady rate of results. @returns the number of checkpoints */
 function countCheckpoints(opts: { totalCount: number; durationMs: number; stepMs: number; }): number {
     let count = 0;
     let committed = 0;
--- a/batch/owner/test/validateInput.test.ts
+++ b/batch/owner/test/validateInput.test.ts
@@ -9,7 +9,7 @@
     yield* lines;
 }
 
-test("each wrong line is named with its number", async () => {
+test("each invalid line is reported with its number and error code", async () => {
     const wrongUrl = JSON.stringify({ custom_id: "d", method: "POST", url: "/v1/other", body: {} });
     const report = await validateInput(linesOf([line("a"), "{ not json", line("b"), line("a"), wrongUrl]), endpoint);
     assert.equal(report.itemCount, 5);
@@ -20,7 +20,7 @@
     ]);
 });
 
-test("an empty file is refused", async () => {
+test("an empty file is rejected", async () => {
     const report = await validateInput(linesOf([]), endpoint);
     assert.deepEqual(report.errors.map(error => error.code), ["empty_file"]);
 });
