--- a/batch/ownership/src/decideOwnership.ts
+++ b/batch/ownership/src/decideOwnership.ts
@@ -3,14 +3,15 @@
 import type { OwnershipView } from "./ownershipView.js";
 
 const RANK_DELAY_MS = 300;
-/** Longer than the back-off of a holder whose calls failed in an outage. */
+/** Longer than the backoff of a holder whose calls failed during an outage. */
 const OUTAGE_GRACE_MS = 7000;
 const MAX_RANK_DELAYS = 3;
 const REBALANCE_DELAY_MS = 5000;
 
 /**
- * Decides which partitions to take and which to hand over: the entry that ranks first takes a free partition at once,
- * the others wait by rank; a suspended holder keeps its partition where nobody else has taken it.
+ * Decides which partitions to acquire and which to release. The entry that ranks first acquires a free partition at
+ * once; the others wait longer the lower they rank. A suspended holder reacquires its partition unless another instance
+ * has taken it.
  */
 export function decideOwnership(view: OwnershipView): OwnershipDecision {
     const acquire = view.partitions.filter(partition =>
--- a/batch/ownership/src/ownedPartition.ts
+++ b/batch/ownership/src/ownedPartition.ts
@@ -1,7 +1,7 @@
 import type { FencingNumber } from "@knapweedwood/core.ids/fencingNumber";
 import type { PartitionId } from "@knapweedwood/core.ids/partitionId";
 
-/** Proof of ownership: each commit compares the record of the owner with it. */
+/** Proof of ownership: each commit compares the owner's record with it. */
 export interface OwnedPartition {
     partitionId: PartitionId;
     fencingNumber: FencingNumber;
--- a/batch/ownership/src/ownershipChart.ts
+++ b/batch/ownership/src/ownershipChart.ts
@@ -3,5 +3,5 @@
 import type { OwnershipEvent } from "./ownershipEvent.js";
 import type { OwnershipState } from "./ownershipState.js";
 
-/** The states of one instance's ownership of one partition. */
+/** State chart of one instance's ownership of one partition. */
 export const ownershipChart = new Chart<OwnershipState, OwnershipEvent>(definition);
--- a/batch/ownership/src/ownershipDecision.ts
+++ b/batch/ownership/src/ownershipDecision.ts
@@ -1,8 +1,8 @@
 import type { PartitionId } from "@knapweedwood/core.ids/partitionId";
 
-/** What an instance does about ownership next. */
+/** The partitions that an instance acquires and releases next. */
 export interface OwnershipDecision {
     acquire: PartitionId[];
-    /** At most one at a time, so that a rebalance is paced. */
+    /** At most one at a time, which limits the rate of a rebalance. */
     release: PartitionId[];
 }
--- a/batch/ownership/src/ownershipEvent.ts
+++ b/batch/ownership/src/ownershipEvent.ts
@@ -1,2 +1,2 @@
-/** What moves an instance's ownership of a partition. */
+/** Events of {@link ownershipChart}. */
 export type OwnershipEvent = "acquired" | "lapsed" | "taken" | "release" | "released";
--- a/batch/ownership/src/partitionOwnership.ts
+++ b/batch/ownership/src/partitionOwnership.ts
@@ -34,7 +34,7 @@
     misplacedSinceMs: number | undefined;
 }
 
-/** Takes, keeps and hands over partitions: one lease for all that the instance holds. */
+/** Acquires, keeps and releases partitions. One lease covers all partitions that the instance holds. */
 export class PartitionOwnership {
     private readonly opts: PartitionOwnershipOptions;
     private readonly statuses: Map<PartitionId, PartitionStatus>;
@@ -66,7 +66,7 @@
         this.loop ??= this.run();
     }
 
-    /** Hands all partitions over in order. */
+    /** Stops the loop, then releases all held partitions and revokes the lease. */
     stop(): Promise<void> {
         this.stopped ??= this.releaseAll();
         return this.stopped;
@@ -82,13 +82,13 @@
         }
     }
 
-    /** Proof of ownership; undefined where this instance may not commit. */
+    /** Returns the proof of ownership; undefined if this instance may not commit. */
     owned(partitionId: PartitionId): OwnedPartition | undefined {
         const status = this.statuses.get(partitionId);
         return status?.state === "held" ? status.owned : undefined;
     }
 
-    /** Where the holder accepts links, as last seen; undefined where the partition is free. */
+    /** Returns the address where the holder accepts links, as last observed; undefined if the partition is free. */
     holderAddress(partitionId: PartitionId): string | undefined {
         return this.statuses.get(partitionId)?.holderAddress;
     }
@@ -102,7 +102,7 @@
             }
             catch (error) {
                 this.failureCount += 1;
-                logger.warn("partition ownership unchanged", { code: toKnapweedError(error).code });
+                logger.warn("partition-ownership-check-failed", { code: toKnapweedError(error).code });
             }
             const delayMs = Math.min(MAX_BACKOFF_MS, TICK_MS * 2 ** Math.min(this.failureCount, 4));
             await sleep(clock, delayMs * (0.75 + random.next() / 2), this.stopping.signal);
@@ -139,7 +139,7 @@
         this.lastRenewedAtMs = nowMs;
     }
 
-    /** Compares what is held with the records. */
+    /** Compares the status of each partition with its record. */
     private async refreshStatuses(): Promise<void> {
         const prefix = partitionKeys.owners(this.opts.scope);
         const entries = await this.opts.keyValue.list(prefix);
@@ -216,7 +216,7 @@
         status.holder = instanceId;
         status.lastHolder = instanceId;
         status.holderAddress = record.address;
-        logger.info("partition acquired", { scope, partitionId, fencingNumber });
+        logger.info("partition-acquired", { scope, partitionId, fencingNumber });
         metrics.increment("batch.partition_acquired");
         this.opts.onAcquired(status.owned);
     }
@@ -228,7 +228,7 @@
             return;
         }
         await this.opts.onRelease(partitionId).catch((error: unknown) => {
-            this.opts.logger.warn("partition released with work uncommitted", { code: toKnapweedError(error).code });
+            this.opts.logger.warn("partition-released-uncommitted", { code: toKnapweedError(error).code });
         });
         this.applyEvent(status, "release");
         const key = partitionKeys.owner(this.opts.scope, partitionId);
@@ -238,7 +238,7 @@
         this.applyEvent(status, "released");
         status.owned = undefined;
         status.misplacedSinceMs = undefined;
-        this.opts.logger.info("partition released", { scope: this.opts.scope, partitionId });
+        this.opts.logger.info("partition-released", { scope: this.opts.scope, partitionId });
     }
 
     private applyEvent(status: PartitionStatus, event: OwnershipEvent): void {
--- a/batch/ownership/src/partitionOwnershipOptions.ts
+++ b/batch/ownership/src/partitionOwnershipOptions.ts
@@ -9,13 +9,13 @@
 
 /** Options of {@link PartitionOwnership}. */
 export interface PartitionOwnershipOptions {
-    /** First part of the keys, such as `batch`. */
+    /** First segment of the keys, such as `batch`. */
     scope: string;
     partitionCount: number;
     instanceId: InstanceId;
-    /** Where this instance accepts links. */
+    /** Returns the address where this instance accepts links, as `host:port`. */
     address: () => string;
-    /** Entry instances that are not leaving. */
+    /** Returns the entry instances that are not leaving. */
     liveEntries: () => Promise<InstanceId[]>;
     keyValue: KeyValueService;
     clock: Clock;
@@ -23,10 +23,10 @@
     logger: Logger;
     metrics: Metrics;
     leaseTtlMs?: number;
-    /** Also called when a lapsed partition is taken again, with the new fencing number. */
+    /** Called when a partition is acquired, also when an expired one is reacquired with a new fencing number. */
     onAcquired: (partition: OwnedPartition) => void;
-    /** Another instance has taken the partition. */
+    /** Called when another instance has taken the partition. */
     onLost: (partitionId: PartitionId, newOwnerAddress: string) => void;
-    /** Commits what is left before a hand-over; nothing is committed after it. */
+    /** Commits the remaining work before a hand-over; nothing is committed after it. */
     onRelease: (partitionId: PartitionId) => Promise<void>;
 }
--- a/batch/ownership/test/commitProtocol.test.ts
+++ b/batch/ownership/test/commitProtocol.test.ts
@@ -7,7 +7,7 @@
 interface Exploration {
     states: ProtocolState[];
     doubleCommit: ProtocolState | undefined;
-    /** Steps from each state backwards, as indexes into `states`. */
+    /** Predecessors of each state, as indexes into `states`. */
     predecessors: number[][];
 }
 
@@ -32,7 +32,7 @@
     return { states, doubleCommit, predecessors };
 }
 
-test("no reachable state has an item committed twice, and each can still complete", () => {
+test("no reachable state has an item committed twice, and every state can still reach completion", () => {
     const { states, doubleCommit, predecessors } = explore({ checksFencing: true });
     assert.ok(states.length < MAX_STATES);
     assert.equal(doubleCommit, undefined);
@@ -48,6 +48,6 @@
     assert.equal(stuck, undefined, JSON.stringify(stuck));
 });
 
-test("without the fencing check the same exploration finds an item committed twice", () => {
+test("without the fencing check, the same exploration finds an item committed twice", () => {
     assert.notEqual(explore({ checksFencing: false }).doubleCommit, undefined);
 });
--- a/batch/ownership/test/commitProtocol.ts
+++ b/batch/ownership/test/commitProtocol.ts
@@ -6,19 +6,20 @@
 interface OwnerModel {
     state: OwnershipState;
     isPaused: boolean;
-    /** Fencing number under which it owns, and the record's revision that it last read. */
+    /** Fencing number of its ownership. */
     fencingNumber: number;
+    /** Revision of the progress record that it last read. */
     baseRevision: number;
-    /** Items run and not committed. */
+    /** Items that it has run and not committed. */
     results: number[];
-    /** Whether its last commit's answer was lost. */
+    /** Whether the response to its last commit was lost. */
     isOutcomeUnknown: boolean;
 }
 
-/** The protocol of lease, ownership and checkpoints at its smallest: two owners, three items. */
+/** State of the smallest model of leases, ownership and checkpoints: two owners, three items. */
 export interface ProtocolState {
     owners: [OwnerModel, OwnerModel];
-    /** The service: who holds the lease, the fencing counter, the progress record and its revision. */
+    /** Key-value service: holder of the lease, fencing counter, progress record and its revision. */
     holder: 0 | 1 | undefined;
     fencingNumber: number;
     revision: number;
@@ -46,7 +47,7 @@
     return { state, isPaused: false, fencingNumber: 0, baseRevision: 0, results: [], isOutcomeUnknown: false };
 }
 
-/** All states that one action leads to. Shape [successors] */
+/** Returns all states that one action leads to, shape [successors]. */
 export function successorsOf(state: ProtocolState, opts: { checksFencing: boolean; }): ProtocolState[] {
     return ([0, 1] as const).flatMap(index => [
         ...acquire(state, index),
@@ -89,7 +90,7 @@
         : [];
 }
 
-/** An owner learns that its lease has lapsed or that another has taken over. */
+/** An owner observes that its lease has expired or that another owner has taken over. */
 function observe(state: ProtocolState, index: 0 | 1): ProtocolState[] {
     const owner = state.owners[index];
     if (owner.isPaused || owner.state === "idle" || state.holder === index) {
@@ -113,7 +114,7 @@
         .map(item => change(state, index, { results: [...owner.results, item].sort() }));
 }
 
-/** A commit compares the holder and the record's revision; its answer may be lost and is then settled by reading. */
+/** A commit compares the holder and the record's revision. If its response is lost, a later read finds the outcome. */
 function commit(state: ProtocolState, index: 0 | 1, opts: { checksFencing: boolean; }): ProtocolState[] {
     const owner = state.owners[index];
     if (owner.isPaused || owner.state !== "held" || (owner.results.length === 0 && !owner.isOutcomeUnknown)) {
