--- a/batch/source/src/linkBatchSource.ts
+++ b/batch/source/src/linkBatchSource.ts
@@ -14,7 +14,7 @@
 import { setMaxListeners } from "node:events";
 
 const CALL_TIMEOUT_MS = 10_000;
-/** How long an entry that had no work is left alone while others have some. */
+/** How long an entry that had no work is not pulled from; grows with each empty pull. */
 const EMPTY_PULL_PAUSE_MS = 250;
 const MAX_EMPTY_PULL_PAUSE_MS = 2000;
 const FOLLOW_UP_PULL_MS = 1000;
@@ -25,22 +25,23 @@
 interface EntryPullState {
     emptyCount: number;
     notBeforeMs: number;
-    /** Pulls so far, and the last whose answer has arrived. */
+    /** Number of the last pull sent. */
     pullNumber: number;
+    /** Number of the last pull whose response has arrived. */
     receivedNumber: number;
     isPulling: boolean;
 }
 
 interface LinkBatchSourceOptions {
     endpoint: LinkEndpoint;
-    /** Addresses of the live entry instances. */
+    /** Returns the addresses of the live entry instances. */
     entries: () => string[];
     service: ServiceName;
     clock: Clock;
     random: Random;
 }
 
-/** Pulls items from the entries that own partitions and reports results to the owner of each. */
+/** Pulls items from the entries that own partitions and reports results to the owner of each job's partition. */
 export class LinkBatchSource implements BatchSource {
     private readonly opts: LinkBatchSourceOptions;
     private readonly states = new Map<string, EntryPullState>();
@@ -53,7 +54,7 @@
         setMaxListeners(0, this.stopping.signal);
     }
 
-    /** Ends reports that no owner has taken. */
+    /** Ends the retries of reports that no owner has accepted. */
     stop(): void {
         this.stopping.abort();
     }
@@ -75,7 +76,7 @@
         await Promise.all(groups.map(group => this.reportGroup(group)));
     }
 
-    /** Entries that may have work, in random order, those that had some before the others. */
+    /** Returns the entries that may have work, in random order, with those that had work last time first. */
     private entriesToPull(): string[] {
         const nowMs = this.opts.clock.nowMs();
         return this.opts.entries()
@@ -132,7 +133,7 @@
         return items;
     }
 
-    /** Items of an answer that was lost go back to their owner with the next pull: makes sure that there is one. */
+    /** Ensures that a next pull follows: with it, the owner requeues the items of a response that was lost. */
     private scheduleFollowUpPull(address: string, state: EntryPullState): void {
         const lostPullNumber = state.pullNumber;
         this.opts.clock.setTimer(FOLLOW_UP_PULL_MS * (0.5 + this.opts.random.next()), () => {
@@ -149,7 +150,7 @@
         state.notBeforeMs = itemCount > 0 ? 0 : this.opts.clock.nowMs() + pauseMs * (0.5 + this.opts.random.next() / 2);
     }
 
-    /** Reports results of one job until an owner has taken them. */
+    /** Reports results of one job, with backoff, until an owner has accepted them. */
     private async reportGroup(results: BatchResult[]): Promise<void> {
         for (let attempt = 0; !this.stopping.signal.aborted; attempt++) {
             if (await this.reportOnce(results)) {
