--- a/batch/owner/src/isCheckpointDue.ts
+++ b/batch/owner/src/isCheckpointDue.ts
@@ -12,7 +12,7 @@
     startedAtMs: number;
     totalCount: number;
     uncommittedCount: number;
-    /** When the first uncommitted result arrived; undefined where there is none. */
+    /** When the first uncommitted result arrived; undefined if there is none. */
     oldestAtMs: number | undefined;
 }): boolean {
     if (opts.oldestAtMs === undefined) {
--- a/batch/owner/src/itemQueue.ts
+++ b/batch/owner/src/itemQueue.ts
@@ -115,9 +115,9 @@
     }
 
     /**
-     * Returns whether the item may run at this upstream. An item that may have caused the loss of an
-     * upstream does not share an upstream with another such item. An item returns to an upstream where it has
-     * failed only after MAX_OTHER_UPSTREAM_WAIT_MS, or if no other upstream is available.
+     * Returns whether the item may run at this upstream. An item that may have caused the loss of an upstream does not
+     * share an upstream with another such item. An item returns to an upstream where it has failed only after
+     * MAX_OTHER_UPSTREAM_WAIT_MS, or if no other upstream is available.
      */
     private isAllowed(item: PendingItem, peer: PeerIdentity, nowMs: number): boolean {
         const history = this.histories.get(item.index);
--- a/batch/owner/src/jobRun.ts
+++ b/batch/owner/src/jobRun.ts
@@ -89,7 +89,7 @@
         return this.queue.inFlightItems();
     }
 
-    /** Returns whether the item is in flight or orphaned and its call may not be repeated. */
+    /** Returns whether the item is claimed: its call may not be repeated, and it is in flight or orphaned. */
     isClaimed(index: number): boolean {
         return this.orphans.has(index) || this.queue.inFlightItem(index)?.item.service.repeatable === false;
     }
--- a/batch/owner/src/teamShares.ts
+++ b/batch/owner/src/teamShares.ts
@@ -11,8 +11,8 @@
     }
 
     /**
-     * Returns the weighted count of items that the team has received. A team that was idle starts at the level
-     * of the others.
+     * Returns the weighted count of items that the team has received. A team that was idle starts at the level of
+     * the others.
      */
     weightedCountOf(teamId: TeamId): number {
         return Math.max(this.minimumCount, this.weightedCounts.get(teamId) ?? 0);
