--- a/batch/owner/src/jobRetention.ts
+++ b/batch/owner/src/jobRetention.ts
@@ -10,7 +10,7 @@
 import type { PartitionId } from "@knapweedwood/core.ids/partitionId";
 import type { KeyValueService } from "@knapweedwood/core.key-value/keyValueService";
 
-/** Removes jobs of owned partitions once they have been final for the retention time: whole, with their results. */
+/** Removes jobs of owned partitions, with their results, once they have been final for the retention time. */
 export class JobRetention {
     private readonly opts: {
         keyValue: KeyValueService;
@@ -24,19 +24,19 @@
         this.opts = opts;
     }
 
-    /** @returns how many jobs were removed */
+    /** Removes all expired jobs. @returns the number of jobs removed */
     async run(): Promise<number> {
         const { keyValue, partitionCount, isOwned } = this.opts;
         const records = await listRecords<{ jobId: JobId; }>(keyValue, batchKeys.allTeamJobs);
         const jobIds = records.map(record => record.value.jobId).filter(id => isOwned(partitionOf(id, partitionCount)));
         let removedCount = 0;
         for (const jobId of jobIds) {
-            removedCount += Number(await this.removeWhereExpired(jobId));
+            removedCount += Number(await this.removeIfExpired(jobId));
         }
         return removedCount;
     }
 
-    private async removeWhereExpired(jobId: JobId): Promise<boolean> {
+    private async removeIfExpired(jobId: JobId): Promise<boolean> {
         const { keyValue, clock, retentionMs } = this.opts;
         const progress = await readRecord<JobProgress>(keyValue, batchKeys.progress(jobId));
         const { state, finishedAtMs } = progress?.value ?? {};
--- a/batch/owner/src/jobRun.ts
+++ b/batch/owner/src/jobRun.ts
@@ -24,27 +24,29 @@
 const READ_AHEAD_ITEMS = 512;
 const REFILL_BELOW_ITEMS = 256;
 const MAX_BUFFERED_BYTES = 16_000_000;
-/** How long the results of claimed items of an earlier owner may still arrive. */
+/** How long results of items that an earlier owner claimed may still arrive. */
 const ORPHAN_GRACE_MS = 20_000;
 
-/** One job in the memory of its partition's owner. */
+/** The in-memory state of one job at its partition's owner: queue, in-flight items, claims and uncommitted results. */
 export class JobRun {
     readonly manifest: JobManifest;
     readonly buffer: ResultBuffer;
     private readonly opts: JobRunOptions;
     private readonly input: JobInput;
-    private beganAtMs: number;
+    private orphanGraceStartedAtMs: number;
     private readonly ownWriteIds = new Set<string>();
     private stored: StoredRecord<JobProgress>;
     private finished: ItemSet;
+    /** Items that another owner claimed and that have no result yet. */
     private readonly orphans: Set<number>;
-    /** Claims that are committed, and those that wait for a commit. */
+    /** Items whose claim is committed. */
     private readonly claimed: ItemSet;
-    private readonly claims = new Set<number>();
+    /** Items whose claim waits for a commit. */
+    private readonly uncommittedClaims = new Set<number>();
     private readonly queue: ItemQueue;
     private readonly inherited: InheritedItems;
     private cursor = 0;
-    private readUpTo = 0;
+    private readAheadEnd = 0;
     private refilling: Promise<void> | undefined;
     private firstUncommittedAtMs: number | undefined;
 
@@ -54,7 +56,7 @@
         this.stored = opts.progress;
         this.input = new JobInput({ store: opts.segmentStore, segments: opts.manifest.input });
         this.buffer = new ResultBuffer(opts.segmentStore);
-        this.beganAtMs = opts.clock.nowMs();
+        this.orphanGraceStartedAtMs = opts.clock.nowMs();
         this.finished = new ItemSet(opts.progress.value.finished);
         this.claimed = new ItemSet(opts.progress.value.claimed);
         this.orphans = new Set(indexesOf(opts.progress.value.claimed).filter(index => !this.finished.has(index)));
@@ -74,34 +76,34 @@
         return this.firstUncommittedAtMs;
     }
 
-    /** Claims that wait for a commit, shape [items]. */
+    /** Items whose claim waits for a commit, shape [items]. */
     get pendingClaims(): number[] {
-        return [...this.claims];
+        return [...this.uncommittedClaims];
     }
 
-    get isDrained(): boolean {
+    get hasAllResults(): boolean {
         return this.progress.state === "in_progress" && this.finished.size === this.progress.totalCount;
     }
 
-    get flights(): ReturnType<ItemQueue["allFlights"]> {
-        return this.queue.allFlights();
+    get inFlightItems(): ReturnType<ItemQueue["inFlightItems"]> {
+        return this.queue.inFlightItems();
     }
 
-    /** Whether the item's call may not be repeated. */
+    /** Returns whether the item is claimed: its call may not be repeated, and it is in flight or orphaned. */
     isClaimed(index: number): boolean {
-        return this.orphans.has(index) || this.queue.flight(index)?.item.service.repeatable === false;
+        return this.orphans.has(index) || this.queue.inFlightItem(index)?.item.service.repeatable === false;
     }
 
-    /** Whether the item is still out under this attempt. */
+    /** Returns whether this attempt of the item is in flight at this peer. */
     isAtGate(item: BatchItem, peer: PeerIdentity): boolean {
-        const flight = this.queue.flight(item.itemIndex);
-        return flight?.item.attemptCount === item.attempt && flight.peer === peer.instanceId
-            && flight.incarnation === peer.incarnation;
+        const inFlightItem = this.queue.inFlightItem(item.itemIndex);
+        return inFlightItem?.item.attemptCount === item.attempt && inFlightItem.peer === peer.instanceId
+            && inFlightItem.incarnation === peer.incarnation;
     }
 
-    /** What gates have and may be run again; the claims tell the rest. */
+    /** Returns the repeatable items that gates hold. Claims cover the items that may not be repeated. */
     handedOut(): HandedOutItem[] {
-        return this.flights
+        return this.inFlightItems
             .filter(({ item }) => item.service.repeatable)
             .map(({ item, peer, incarnation }) => ({
                 index: item.index,
@@ -111,7 +113,7 @@
             }));
     }
 
-    /** Learns what a gate has of the job, from this owner or an earlier one. */
+    /** Records which items of the job a gate holds, from this owner or an earlier one. */
     confirmHeld(held: HeldItem[], peer: PeerIdentity): void {
         const open = held.filter(({ itemIndex }) => !this.finished.has(itemIndex) && !this.orphans.has(itemIndex));
         this.inherited.confirm(open, peer, this.opts.clock.nowMs());
@@ -121,7 +123,7 @@
         return this.queue.allHistories();
     }
 
-    /** Reads items ahead; the queue stays bounded. */
+    /** Reads items ahead until READ_AHEAD_ITEMS are waiting. Waits for a read that is already running. */
     async refill(): Promise<void> {
         if (
             this.opts.services.isReady() && this.progress.state === "in_progress"
@@ -132,7 +134,7 @@
         }
     }
 
-    /** Hands out the next item of a service; undefined where none may run at this gate now. */
+    /** Hands out the next item of a service. Returns undefined if none may run at this gate now. */
     take(service: ServiceName, peer: PeerIdentity): BatchItem | undefined {
         if (this.progress.state !== "in_progress" || this.buffer.sizeBytes > MAX_BUFFERED_BYTES) {
             return undefined;
@@ -142,22 +144,22 @@
             return undefined;
         }
         if (!item.service.repeatable && !this.claimed.has(item.index)) {
-            this.claims.add(item.index);
+            this.uncommittedClaims.add(item.index);
         }
         return toBatchItem(item, this.manifest);
     }
 
-    /** Takes back items that were not handed out after all. */
-    untake(items: BatchItem[], peer: PeerIdentity): void {
+    /** Puts items back at the front of the queue that were not handed out after all, without counting the attempt. */
+    requeue(items: BatchItem[], peer: PeerIdentity): void {
         items.filter(item => this.isAtGate(item, peer)).forEach(({ itemIndex }) => {
-            const flight = this.queue.land(itemIndex);
-            if (flight !== undefined) {
-                this.queue.addFirst({ ...flight.item, attemptCount: flight.item.attemptCount - 1 });
+            const inFlightItem = this.queue.removeInFlight(itemIndex);
+            if (inFlightItem !== undefined) {
+                this.queue.addFirst({ ...inFlightItem.item, attemptCount: inFlightItem.item.attemptCount - 1 });
             }
         });
     }
 
-    /** Takes a result in; one that no longer matters is ignored. */
+    /** Records a result. Ignores results that no longer apply, such as those of an item that already has one. */
     async report(result: BatchResult, peer: PeerIdentity): Promise<void> {
         const index: number = result.itemIndex;
         if (this.progress.state !== "in_progress" || this.finished.has(index) || index >= this.progress.totalCount) {
@@ -165,33 +167,39 @@
         }
         const { outcome } = result;
         if (outcome.kind === "completed" || outcome.kind === "rejected") {
-            const flight = this.queue.flight(index);
-            const customId = flight?.item.line.customId ?? await this.customIdOf(index);
+            const inFlightItem = this.queue.inFlightItem(index);
+            const customId = inFlightItem?.item.line.customId ?? await this.customIdOf(index);
             this.finish(index, customId, outcome);
             return;
         }
         if (this.inherited.isUnread(index)) {
             this.enqueue(index, await this.input.lineAt(index));
         }
-        const flight = this.queue.flight(index);
-        if (flight === undefined || flight.peer !== peer.instanceId || flight.item.attemptCount !== result.attempt) {
+        const inFlightItem = this.queue.inFlightItem(index);
+        if (
+            inFlightItem === undefined || inFlightItem.peer !== peer.instanceId
+            || inFlightItem.item.attemptCount !== result.attempt
+        ) {
             return;
         }
         if (outcome.kind === "returned") {
-            this.queue.land(index);
-            this.queue.addFirst({ ...flight.item, resumeFrom: outcome.resumeFrom ?? flight.item.resumeFrom });
+            this.queue.removeInFlight(index);
+            this.queue.addFirst({
+                ...inFlightItem.item,
+                resumeFrom: outcome.resumeFrom ?? inFlightItem.item.resumeFrom,
+            });
             return;
         }
         this.fail(index, { ...outcome, upstream: peer.instanceId, cause: outcome.blame });
     }
 
-    /** Notes a failed attempt of an item in flight. */
+    /** Records a failed attempt of an in-flight item: requeues it or fails it permanently. */
     fail(index: number, attempt: FailedAttempt): void {
-        const flight = this.queue.land(index);
-        if (flight === undefined) {
+        const inFlightItem = this.queue.removeInFlight(index);
+        if (inFlightItem === undefined) {
             return;
         }
-        const { item } = flight;
+        const { item } = inFlightItem;
         const decision = decideAfterAttempt({
             nowMs: this.opts.clock.nowMs(),
             dueAtMs: this.manifest.dueAtMs,
@@ -201,7 +209,7 @@
             attempt,
             random: this.opts.random,
         });
-        if (decision.kind === "set-aside") {
+        if (decision.kind === "abandoned") {
             this.finish(index, item.line.customId, decision);
             return;
         }
@@ -209,36 +217,36 @@
         this.queue.add({ ...item, notBeforeMs: decision.notBeforeMs });
     }
 
-    /** Gives claimed items of an earlier owner up as unknown once nobody can report them any more. */
+    /** Fails an earlier owner's claimed items with `outcome_unknown` once no more reports of them are expected. */
     async settleOrphans(): Promise<void> {
-        if (this.orphans.size === 0 || this.opts.clock.nowMs() - this.beganAtMs < ORPHAN_GRACE_MS) {
+        if (this.orphans.size === 0 || this.opts.clock.nowMs() - this.orphanGraceStartedAtMs < ORPHAN_GRACE_MS) {
             return;
         }
         const message = "The call may have run and may not be repeated";
         for (const index of [...this.orphans]) {
             const customId = await this.customIdOf(index);
             if (!this.finished.has(index)) {
-                this.finish(index, customId, { kind: "set-aside", code: "outcome_unknown", message });
+                this.finish(index, customId, { kind: "abandoned", code: "outcome_unknown", message });
             }
         }
     }
 
-    /** Notes the id of a write that may take effect. */
-    noteWrite(writeId: string): void {
+    /** Records the id of a write that may take effect, to recognize this owner's own records. */
+    trackWrite(writeId: string): void {
         this.ownWriteIds.add(writeId);
     }
 
-    /** Takes the record as it was committed, by this owner or by another writer. */
-    adopt(stored: StoredRecord<JobProgress>): void {
+    /** Applies a committed record, written by this owner or by another writer. */
+    applyRecord(stored: StoredRecord<JobProgress>): void {
         const isOwn = this.ownWriteIds.has(stored.value.writeId);
         const newClaims = indexesOf(stored.value.claimed).filter(index => this.claimed.add(index));
         this.stored = stored;
         const digests = new Set(stored.value.results.map(result => result.digest));
-        this.buffer.forget(this.buffer.sealedSegments.filter(sealed => digests.has(sealed.segment.digest)));
-        newClaims.forEach(index => this.claims.delete(index));
+        this.buffer.dropSealed(this.buffer.sealedSegments.filter(sealed => digests.has(sealed.segment.digest)));
+        newClaims.forEach(index => this.uncommittedClaims.delete(index));
         this.ownWriteIds.clear();
         if (!isOwn) {
-            this.adoptForeign(newClaims);
+            this.mergeForeignCommit(newClaims);
         }
         this.firstUncommittedAtMs = this.buffer.uncommittedCount === 0 ? undefined : this.opts.clock.nowMs();
         if (stored.value.state !== "in_progress") {
@@ -246,44 +254,48 @@
         }
     }
 
-    /** Forgets sealed results that another owner has committed; what else was in their segments is run again. */
-    dropOverlaps(): void {
+    /** Drops sealed segments with a result that another owner has committed. The other items in them are run again. */
+    dropOverlappingSegments(): void {
         const committed = new ItemSet(this.progress.finished);
         const overlapping = this.buffer.sealedSegments
             .filter(sealed => sealed.indexes.some(index => committed.has(index)));
         if (overlapping.length === 0) {
             return;
         }
-        this.buffer.forget(overlapping);
+        this.buffer.dropSealed(overlapping);
         this.finished = new ItemSet(this.progress.finished);
         this.buffer.uncommittedIndexes().forEach(index => this.finished.add(index));
         this.cursor = 0;
     }
 
-    /** Another owner wrote the record: its results and claims stand. */
-    private adoptForeign(newClaims: number[]): void {
+    /** Merges a record that another owner wrote: its results and claims take precedence. */
+    private mergeForeignCommit(newClaims: number[]): void {
         const committed = new ItemSet(this.progress.finished);
-        this.buffer.forgetBuffered(index => committed.has(index));
+        this.buffer.dropBuffered(index => committed.has(index));
         indexesOf(this.progress.finished)
             .filter(index => this.finished.add(index))
-            .forEach(index => this.queue.finish(index));
+            .forEach(index => this.queue.remove(index));
         newClaims.filter(index => !this.finished.has(index)).forEach(index => {
-            this.queue.finish(index);
+            this.queue.remove(index);
             this.orphans.add(index);
         });
-        this.beganAtMs = this.opts.clock.nowMs();
+        this.orphanGraceStartedAtMs = this.opts.clock.nowMs();
     }
 
     private finish(index: number, customId: string, outcome: Parameters<typeof createOutputLine>[0]["outcome"]): void {
         if (!this.finished.add(index)) {
             return;
         }
-        this.queue.finish(index);
+        this.queue.remove(index);
         this.orphans.delete(index);
         this.firstUncommittedAtMs ??= this.opts.clock.nowMs();
         const { jobId } = this.manifest;
         const result = createOutputLine({ jobId, index, customId, outcome });
-        const tooLarge = { kind: "set-aside", code: "result_too_large", message: "The result is too large" } as const;
+        const tooLarge = {
+            kind: "abandoned",
+            code: "result_too_large",
+            message: "The result exceeds the maximum result size",
+        } as const;
         this.buffer.add(
             this.buffer.fits(result) ? result : createOutputLine({ jobId, index, customId, outcome: tooLarge }),
         );
@@ -296,12 +308,12 @@
                 this.enqueue(index, await this.input.lineAt(index));
             }
             this.cursor = index + 1;
-            this.readUpTo = Math.max(this.readUpTo, this.cursor);
+            this.readAheadEnd = Math.max(this.readAheadEnd, this.cursor);
         }
     }
 
     private wasRead(index: number): boolean {
-        return index < this.readUpTo && this.queue.has(index);
+        return index < this.readAheadEnd && this.queue.has(index);
     }
 
     private enqueue(index: number, text: string): void {
@@ -311,7 +323,7 @@
         const line = parseInputLine(text, this.manifest.endpoint);
         const service = resolveService(this.opts.services, line, this.manifest.teamId);
         if (service === undefined) {
-            const message = "No service offers the model or has the name";
+            const message = "No service provides the model or has the name in the URL";
             this.finish(index, line.customId, { kind: "rejected", statusCode: 404, code: "model_not_found", message });
             return;
         }
--- a/batch/owner/src/partitionOwner.ts
+++ b/batch/owner/src/partitionOwner.ts
@@ -11,7 +11,7 @@
 import type { JobId } from "@knapweedwood/core.ids/jobId";
 import type { PeerIdentity } from "@knapweedwood/links.calls/peerIdentity";
 import { finalizeJob } from "./finalizeJob.js";
-import { findLostFlights } from "./findLostFlights.js";
+import { findLostItems } from "./findLostItems.js";
 import { isCheckpointDue } from "./isCheckpointDue.js";
 import { JobRun } from "./jobRun.js";
 import type { PartitionOwnerOptions } from "./partitionOwnerOptions.js";
@@ -22,7 +22,7 @@
 const TICK_MS = 200;
 const MAX_JOBS_PER_COMMIT = 32;
 
-/** Runs the jobs of one partition: hands out items, gathers results, commits checkpoints. */
+/** Runs the jobs of one partition: hands out their items, collects results and commits checkpoints. */
 export class PartitionOwner {
     private readonly opts: PartitionOwnerOptions;
     private readonly committer: ProgressCommitter;
@@ -45,19 +45,19 @@
         this.loop ??= this.loopUntilStopped();
     }
 
-    /** Stops without committing. */
+    /** Stops without committing the remaining results. */
     async stop(): Promise<void> {
         this.stopping.abort();
         await this.loop;
         await this.committing;
     }
 
-    /** Commits what is there and what the gates have, for the next owner. */
+    /** Commits all results and the list of items that gates hold, for the next owner. */
     async handOver(): Promise<void> {
         this.isHandingOver = true;
-        const left = this.jobs();
-        while (left.length > 0) {
-            const group = left.splice(0, MAX_JOBS_PER_COMMIT);
+        const remaining = this.jobs();
+        while (remaining.length > 0) {
+            const group = remaining.splice(0, MAX_JOBS_PER_COMMIT);
             await this.checkpoint(run => group.includes(run));
         }
     }
@@ -70,15 +70,15 @@
         return this.runs.get(jobId);
     }
 
-    /** Results that are not committed, for another owner, in groups. */
+    /** Yields the uncommitted results in groups, to be reported to another owner. */
     async *uncommittedResults(): AsyncIterable<BatchResult[]> {
         for (const run of this.jobs()) {
             yield* run.buffer.uncommittedResults(run.manifest.jobId);
         }
     }
 
-    /** Compares the open jobs of this partition with the jobs that run. */
-    async observe(openJobs: OpenJob[]): Promise<void> {
+    /** Starts open jobs of this partition that are not running yet and reloads those that were cancelled. */
+    async syncOpenJobs(openJobs: OpenJob[]): Promise<void> {
         await Promise.all(openJobs.map(async open => {
             const run = this.runs.get(open.jobId);
             if (run === undefined) {
@@ -90,12 +90,16 @@
         }));
     }
 
-    /** Reads the records of all jobs again, after the partition was taken anew. */
+    /** Rereads the records of all jobs after the partition was reacquired. */
     async reloadAll(): Promise<void> {
         await Promise.all(this.jobs().map(run => this.committer.reload(run)));
     }
 
-    /** Takes results in. @returns how many are settled here; claims wait for the commit */
+    /**
+     * Records results of one job. Waits for the commit if any of the items is claimed.
+     *
+     * @returns how many results are accepted; if fewer than given, the gate reports them again
+     */
     async report(jobId: JobId, results: BatchResult[], peer: PeerIdentity): Promise<number> {
         const run = this.runs.get(jobId);
         if (run === undefined) {
@@ -109,15 +113,15 @@
             return await this.checkpoint(candidate => candidate === run) ? results.length : 0;
         }
         if (run.buffer.isFull) {
-            await run.buffer.seal().catch(error => this.warn("results not kept", error));
+            await run.buffer.seal().catch(error => this.warn("results-store-failed", error));
         }
         return results.length;
     }
 
     /**
-     * Commits the due jobs; concurrent callers wait for each other.
+     * Commits the due jobs, at most MAX_JOBS_PER_COMMIT at a time. Concurrent calls run one after another.
      *
-     * @returns whether all that was due is committed
+     * @returns whether the commit took effect; true if no job is due
      */
     async checkpoint(isDue: (run: JobRun) => boolean): Promise<boolean> {
         const round = this.committing.then(() => this.commitRound(isDue));
@@ -128,7 +132,7 @@
     private async loopUntilStopped(): Promise<void> {
         const { clock, random } = this.opts;
         while (!this.stopping.signal.aborted) {
-            await this.tick().catch(error => this.warn("partition tick failed", error));
+            await this.tick().catch(error => this.warn("partition-tick-failed", error));
             await sleep(clock, TICK_MS * (0.75 + random.next() / 2), this.stopping.signal);
         }
     }
@@ -136,13 +140,13 @@
     private async tick(): Promise<void> {
         const nowMs = this.opts.clock.nowMs();
         for (const run of this.jobs()) {
-            findLostFlights({ nowMs, flights: run.flights, peers: this.opts.peers() })
+            findLostItems({ nowMs, inFlightItems: run.inFlightItems, peers: this.opts.peers() })
                 .forEach(lost => run.fail(lost.index, lost.attempt));
-            await run.settleOrphans().catch(error => this.warn("orphans not settled", error));
-            await run.refill().catch(error => this.warn("items not read", error));
+            await run.settleOrphans().catch(error => this.warn("orphans-settle-failed", error));
+            await run.refill().catch(error => this.warn("items-read-failed", error));
             this.advance(run);
         }
-        await this.checkpoint(run => run.isDrained || this.isDue(run));
+        await this.checkpoint(run => run.hasAllResults || this.isDue(run));
     }
 
     private isDue(run: JobRun): boolean {
@@ -167,7 +171,7 @@
         await sleep(clock, this.lastCommitAtMs + commitIntervalMs - clock.nowMs());
         await Promise.all(due.map(run => run.buffer.seal()));
         this.lastCommitAtMs = clock.nowMs();
-        due.forEach(run => run.dropOverlaps());
+        due.forEach(run => run.dropOverlappingSegments());
         const writes = due.map(run => ({
             run,
             baseRevision: run.modRevision,
@@ -184,18 +188,18 @@
         return await this.committer.commit(writes);
     }
 
-    /** Moves a job that is validating, finalizing or cancelling on, beside the others. */
+    /** Starts the next step of a job that is validating, finalizing or cancelling, without waiting for it. */
     private advance(run: JobRun): void {
         const { jobId } = run.manifest;
-        const step = this.stepOf(run);
+        const step = this.nextStepOf(run);
         if (step === undefined || this.advancing.has(jobId)) {
             return;
         }
         this.advancing.add(jobId);
-        step.catch(error => this.warn("job not advanced", error)).finally(() => this.advancing.delete(jobId));
+        step.catch(error => this.warn("job-advance-failed", error)).finally(() => this.advancing.delete(jobId));
     }
 
-    private stepOf(run: JobRun): Promise<void> | undefined {
+    private nextStepOf(run: JobRun): Promise<void> | undefined {
         if (this.advancing.has(run.manifest.jobId)) {
             return undefined;
         }
@@ -217,19 +221,19 @@
             manifest.endpoint,
         );
         const nowMs = this.opts.clock.nowMs();
-        const isRefused = errors.length > 0;
+        const isRejected = errors.length > 0;
         const next: JobProgress = {
             ...progress,
-            state: jobChart.next(progress.state, isRefused ? "refused" : "validated"),
+            state: jobChart.next(progress.state, isRejected ? "refused" : "validated"),
             writeId: this.createWriteId(),
             totalCount: itemCount,
             startedAtMs: nowMs,
-            finishedAtMs: isRefused ? nowMs : undefined,
+            finishedAtMs: isRejected ? nowMs : undefined,
             errors,
         };
         const open = { kind: "delete" as const, key: batchKeys.openJob(manifest.jobId) };
-        await this.committer.commit([{ run, baseRevision, progress: next, operations: isRefused ? [open] : [] }]);
-        this.forgetWhereFinal(run);
+        await this.committer.commit([{ run, baseRevision, progress: next, operations: isRejected ? [open] : [] }]);
+        this.removeIfFinal(run);
     }
 
     private async finalize(run: JobRun): Promise<void> {
@@ -248,13 +252,13 @@
             writeId: this.createWriteId(),
         });
         await this.committer.commit([{ run, ...write }]);
-        this.forgetWhereFinal(run);
+        this.removeIfFinal(run);
     }
 
-    private forgetWhereFinal(run: JobRun): void {
+    private removeIfFinal(run: JobRun): void {
         if (jobChart.isFinal(run.progress.state)) {
             this.runs.delete(run.manifest.jobId);
-            this.opts.logger.info("job finished", { jobId: run.manifest.jobId, state: run.progress.state });
+            this.opts.logger.info("job-finished", { jobId: run.manifest.jobId, state: run.progress.state });
             this.opts.metrics.increment("batch.job_finished", { state: run.progress.state });
         }
     }
--- a/batch/owner/src/planCheckpoint.ts
+++ b/batch/owner/src/planCheckpoint.ts
@@ -4,13 +4,13 @@
 import type { JobProgress } from "@knapweedwood/batch.jobs/jobProgress";
 import type { SealedResults } from "./sealedResults.js";
 
-/** The progress after a checkpoint: everything in `sealed` and `claims` added to what is committed. */
+/** Returns the progress after a checkpoint: the committed progress with everything in `sealed` and `claims` added. */
 export function planCheckpoint(opts: {
     progress: JobProgress;
     sealed: readonly SealedResults[];
     claims: readonly number[];
     histories: JobProgress["histories"];
-    /** What gates have, where the partition is handed over with this write. */
+    /** Items that gates hold; empty unless the partition is handed over with this write. */
     handedOut: readonly HandedOutItem[];
     writeId: string;
 }): JobProgress {
@@ -21,10 +21,10 @@
     opts.claims.forEach(index => claimed.add(index));
     const resultCount = sum(sealed.map(segment => segment.indexes.length));
     const failedCount = sum(sealed.map(segment => segment.failedCount));
-    const isDrained = finished.size === progress.totalCount;
+    const hasAllResults = finished.size === progress.totalCount;
     return {
         ...progress,
-        state: jobChart.next(progress.state, isDrained ? "drained" : "checkpoint"),
+        state: jobChart.next(progress.state, hasAllResults ? "drained" : "checkpoint"),
         writeId: opts.writeId,
         completedCount: progress.completedCount + resultCount - failedCount,
         failedCount: progress.failedCount + failedCount,
--- a/batch/owner/src/resultBuffer.ts
+++ b/batch/owner/src/resultBuffer.ts
@@ -12,24 +12,24 @@
     line: Buffer;
 }
 
-/** Results that no segment holds yet. */
+/** Results of one job that are not committed yet, in memory or in sealed segments. */
 export class ResultBuffer {
     private readonly store: SegmentStore;
     private results: BufferedResult[] = [];
     private sealing: Promise<void> = Promise.resolve();
     private sealed: SealedResults[] = [];
-    private bytes = 0;
+    private bufferedBytes = 0;
 
     constructor(store: SegmentStore) {
         this.store = store;
     }
 
-    /** Size of the results that are in memory only. */
+    /** Size in bytes of the results that are in memory only. */
     get sizeBytes(): number {
-        return this.bytes;
+        return this.bufferedBytes;
     }
 
-    /** Results that wait for a commit, shape [segments]. */
+    /** Stored segments of results that wait for a commit, shape [segments]. */
     get sealedSegments(): readonly SealedResults[] {
         return this.sealed;
     }
@@ -38,22 +38,22 @@
         return this.results.length + this.sealed.reduce((sum, segment) => sum + segment.indexes.length, 0);
     }
 
-    /** Whether one result fits into a segment. */
+    /** Returns whether a result fits into a segment. */
     fits(result: ItemResult): boolean {
-        return encode(result).length <= this.store.maxSegmentBytes;
+        return encodeLine(result).length <= this.store.maxSegmentBytes;
     }
 
     add(result: ItemResult): void {
-        const line = encode(result);
+        const line = encodeLine(result);
         this.results.push({ index: result.index, failed: result.failed, line });
-        this.bytes += line.length;
+        this.bufferedBytes += line.length;
     }
 
     get isFull(): boolean {
-        return this.bytes >= this.store.maxSegmentBytes;
+        return this.bufferedBytes >= this.store.maxSegmentBytes;
     }
 
-    /** Writes the buffered results as segments. Throws where a segment can't be kept; its results stay buffered. */
+    /** Writes the buffered results as segments. Rejects if a segment can't be stored; its results stay buffered. */
     async seal(): Promise<void> {
         const previous = this.sealing;
         const next = previous.catch(() => undefined).then(() => this.sealAll());
@@ -61,23 +61,23 @@
         await next;
     }
 
-    /** Items with a result that is not committed, shape [results]. */
+    /** Returns the indexes of items whose result is not committed, shape [results]. */
     uncommittedIndexes(): number[] {
         return [...this.results.map(result => result.index), ...this.sealed.flatMap(segment => segment.indexes)];
     }
 
-    /** Forgets results that no segment holds yet. */
-    forgetBuffered(matches: (index: number) => boolean): void {
+    /** Drops buffered results whose index matches. */
+    dropBuffered(matches: (index: number) => boolean): void {
         this.results = this.results.filter(result => !matches(result.index));
-        this.bytes = this.results.reduce((sum, result) => sum + result.line.length, 0);
+        this.bufferedBytes = this.results.reduce((sum, result) => sum + result.line.length, 0);
     }
 
-    /** Forgets sealed segments. */
-    forget(segments: readonly SealedResults[]): void {
+    /** Drops sealed segments from the uncommitted results. */
+    dropSealed(segments: readonly SealedResults[]): void {
         this.sealed = this.sealed.filter(segment => !segments.includes(segment));
     }
 
-    /** The uncommitted results as reports, in groups, for another owner to take. */
+    /** Yields the uncommitted results as reports, in groups, to send to another owner. */
     async *uncommittedResults(jobId: JobId): AsyncIterable<BatchResult[]> {
         for (const { segment } of this.sealed) {
             const text = Buffer.from(await this.store.get(segment.digest)).toString("utf8");
@@ -92,16 +92,16 @@
 
     private async sealAll(): Promise<void> {
         while (this.results.length > 0) {
-            const taken = this.takeOneSegment();
-            const bytes = Buffer.concat(taken.map(result => result.line));
+            const selected = this.selectSegmentResults();
+            const bytes = Buffer.concat(selected.map(result => result.line));
             const digest = await this.store.put(bytes);
-            this.results = this.results.filter(result => !taken.includes(result));
-            this.bytes = this.results.reduce((sum, result) => sum + result.line.length, 0);
-            this.sealed.push(describe(taken, { digest, sizeBytes: bytes.length }));
+            this.results = this.results.filter(result => !selected.includes(result));
+            this.bufferedBytes = this.results.reduce((sum, result) => sum + result.line.length, 0);
+            this.sealed.push(toSealedResults(selected, { digest, sizeBytes: bytes.length }));
         }
     }
 
-    private takeOneSegment(): BufferedResult[] {
+    private selectSegmentResults(): BufferedResult[] {
         let sizeBytes = 0;
         const end = this.results.findIndex(result => {
             sizeBytes += result.line.length;
@@ -111,15 +111,23 @@
     }
 }
 
-function encode(result: ItemResult): Buffer {
+function encodeLine(result: ItemResult): Buffer {
     return Buffer.from(`${JSON.stringify(result)}\n`, "utf8");
 }
 
-function describe(taken: BufferedResult[], stored: Pick<ResultSegment, "digest" | "sizeBytes">): SealedResults {
-    const indexes = taken.map(result => result.index);
+function toSealedResults(
+    selected: BufferedResult[],
+    stored: Pick<ResultSegment, "digest" | "sizeBytes">,
+): SealedResults {
+    const indexes = selected.map(result => result.index);
     return {
-        segment: { ...stored, lineCount: taken.length, firstIndex: indexes[0], lastIndex: indexes[indexes.length - 1] },
+        segment: {
+            ...stored,
+            lineCount: selected.length,
+            firstIndex: indexes[0],
+            lastIndex: indexes[indexes.length - 1],
+        },
         indexes,
-        failedCount: taken.filter(result => result.failed).length,
+        failedCount: selected.filter(result => result.failed).length,
     };
 }
--- a/batch/owner/src/segmentSweep.ts
+++ b/batch/owner/src/segmentScan.ts
@@ -8,13 +8,13 @@
 import type { Logger } from "@knapweedwood/observability.logs/logger";
 import type { Metrics } from "@knapweedwood/observability.metrics/metrics";
 import { readReferences } from "./readReferences.js";
-import type { SweepReport } from "./sweepReport.js";
+import type { SegmentScanReport } from "./segmentScanReport.js";
 
-/** Pause between two segments: re-copying takes a bounded share of the network and the disks. */
-const PACE_MS = 20;
+/** Pause between two segments, to bound the share of network and disks that re-copying takes. */
+const PAUSE_BETWEEN_SEGMENTS_MS = 20;
 
-/** Compares the segments that files and jobs of owned partitions need with the copies there are, and re-copies. */
-export class SegmentSweep {
+/** Checks the copies of segments that files and open jobs of owned partitions need, and re-copies missing ones. */
+export class SegmentScan {
     private readonly opts: {
         keyValue: KeyValueService;
         segmentStore: SegmentStore;
@@ -25,13 +25,14 @@
         metrics: Metrics;
     };
 
-    constructor(opts: SegmentSweep["opts"]) {
+    constructor(opts: SegmentScan["opts"]) {
         this.opts = opts;
     }
 
-    async run(signal?: AbortSignal): Promise<SweepReport> {
+    /** Scans all segments once, until done or aborted. @returns the segments that lack copies */
+    async run(signal?: AbortSignal): Promise<SegmentScanReport> {
         const { keyValue, segmentStore, clock, logger, metrics } = this.opts;
-        const report: SweepReport = { checkedCount: 0, singleCopy: [], lost: [] };
+        const report: SegmentScanReport = { checkedCount: 0, singleCopy: [], lost: [] };
         for (const digest of this.ownedDigests(await readReferences(keyValue))) {
             if (signal?.aborted === true) {
                 break;
@@ -41,12 +42,12 @@
             if (copies < segmentStore.copyCount) {
                 (copies === 0 ? report.lost : report.singleCopy).push(digest);
             }
-            await sleep(clock, PACE_MS, signal);
+            await sleep(clock, PAUSE_BETWEEN_SEGMENTS_MS, signal);
         }
         metrics.gauge("batch.segments_single_copy", report.singleCopy.length);
         metrics.gauge("batch.segments_lost", report.lost.length);
         if (report.singleCopy.length + report.lost.length > 0) {
-            logger.warn("segments short of copies", { singleCopy: report.singleCopy.length, lost: report.lost });
+            logger.warn("segments-under-replicated", { singleCopy: report.singleCopy.length, lost: report.lost });
         }
         return report;
     }
