--- a/daemons/fleet/src/fleetProcess.ts
+++ b/daemons/fleet/src/fleetProcess.ts
@@ -9,8 +9,8 @@
 import type { LoadReport } from "@knapweedwood/fleet.load/loadReport";
 import { PeerEjections } from "@knapweedwood/fleet.load/peerEjections";
 import { UpstreamHealth } from "@knapweedwood/fleet.load/upstreamHealth";
+import { computeWatchWaitMs } from "@knapweedwood/fleet.sync/computeWatchWaitMs";
 import type { MemberRecord } from "@knapweedwood/fleet.sync/memberRecord";
-import { watchWaitOf } from "@knapweedwood/fleet.sync/watchWaitOf";
 import { UpstreamConnections } from "@knapweedwood/fleet.upstreams/upstreamConnections";
 import type { ProcessSettings } from "@knapweedwood/fleet.view/processSettings";
 import { WebSocketLinkEndpoint } from "@knapweedwood/links.endpoint/webSocketLinkEndpoint";
@@ -77,7 +77,7 @@
         this.self = describeSelf(settings, opts.role);
         this.metricsServer = new MetricsServer({ metrics: this.metrics, host: settings.host });
         this.store = new PlatformKeyValueService({ clock, address: settings.keyValueAddress, metrics: this.metrics });
-        const watchWaitMs = () => watchWaitOf(this.peers.count);
+        const watchWaitMs = () => computeWatchWaitMs(this.peers.count);
         const tools = { service: this.store, clock, random, logger, watchWaitMs };
         this.peers = new PeerFollower({
             ...tools,
@@ -131,7 +131,7 @@
 
     /** Whether jobs that were held during an outage of the key-value service have been written by now. */
     get isSettled(): boolean {
-        return this.clock.nowMs() > this.peers.mirror.inTouchSinceMs + HELD_JOBS_SETTLE_MS;
+        return this.clock.nowMs() > this.peers.mirror.reachableSinceMs + HELD_JOBS_SETTLE_MS;
     }
 
     /** Resolves once the process is informed, or after `maxMs`. */
@@ -170,14 +170,14 @@
         this.exchange.close();
         this.metricsServer.close();
         this.connections.close();
-        await this.peers.lease.end().catch((error: unknown) => {
+        await this.peers.lease.revoke().catch((error: unknown) => {
             this.opts.logger.warn("lease-not-ended", { message: (error as Error).message });
         });
         await this.store.close();
     }
 
     private get isInTouch(): boolean {
-        return this.peers.lease.hasAnswered(IN_TOUCH_MS);
+        return this.peers.lease.wasRenewedWithin(IN_TOUCH_MS);
     }
 
     private housekeep(): void {
@@ -221,7 +221,7 @@
         this.peers.meet(report.instanceName);
         this.noteEjections(report);
         if (report.leader !== undefined) {
-            this.peers.leadership.learn(report.leader);
+            this.peers.leadership.recordLeader(report.leader);
         }
         if (report.jobsRevision > 0) {
             this.opts.onJobsWritten(report.jobsRevision);
--- a/daemons/fleet/src/peerFollower.ts
+++ b/daemons/fleet/src/peerFollower.ts
@@ -50,7 +50,7 @@
         this.mirror = new PrefixMirror({
             ...opts,
             prefix: fleetKeys.prefix,
-            gatherMs: GATHER_MS,
+            coalesceMs: GATHER_MS,
             onSnapshot: (entries, revision) => this.onSnapshot(entries, revision),
             onChange: batch => this.onChange(batch),
         });
@@ -142,7 +142,7 @@
     }
 
     private onChange(batch: WatchBatch): void {
-        batch.deletedKeys.forEach(key => this.members.lapse(key, this.opts.clock.nowMs()));
+        batch.deletedKeys.forEach(key => this.members.markExpired(key, this.opts.clock.nowMs()));
         batch.puts
             .filter(entry => entry.key.startsWith(fleetKeys.membersPrefix))
             .forEach(entry => this.members.put(entry));
--- a/daemons/fleet/src/upstreamFollower.ts
+++ b/daemons/fleet/src/upstreamFollower.ts
@@ -36,10 +36,10 @@
         this.mirror = new PrefixMirror({
             ...opts,
             prefix: wireKeys.upstreams,
-            gatherMs: GATHER_MS,
+            coalesceMs: GATHER_MS,
             onSnapshot: entries => this.onSnapshot(entries),
             onChange: batch => this.onChange(batch),
-            onRegained: () => this.directory.onRegained(opts.clock.nowMs()),
+            onRecovered: () => this.directory.onRegained(opts.clock.nowMs()),
         });
     }
 
--- a/fleet/jobs/src/jobRunner.ts
+++ b/fleet/jobs/src/jobRunner.ts
@@ -74,7 +74,7 @@
             ...opts,
             table,
             isCurrent: () => this.isLoaded && lead.isLeading(),
-            inTouchSinceMs: () => this.mirror?.inTouchSinceMs ?? Infinity,
+            inTouchSinceMs: () => this.mirror?.reachableSinceMs ?? Infinity,
             apply: entries => this.apply(entries),
         });
     }
--- a/fleet/jobs/src/jobSweep.ts
+++ b/fleet/jobs/src/jobSweep.ts
@@ -2,7 +2,7 @@
 import { toKnapweedError } from "@knapweedwood/core.errors/toKnapweedError";
 import type { KeyValueCompare } from "@knapweedwood/core.key-value/keyValueCompare";
 import type { SnapshotKeyValueService } from "@knapweedwood/core.key-value/snapshotKeyValueService";
-import type { FencedLead } from "@knapweedwood/fleet.sync/fencedLead";
+import type { FencedLeadership } from "@knapweedwood/fleet.sync/fencedLeadership";
 import type { Logger } from "@knapweedwood/observability.logs/logger";
 import { jobKeys } from "./jobKeys.js";
 import type { JobTable } from "./jobTable.js";
@@ -16,7 +16,7 @@
     clock: Clock;
     service: SnapshotKeyValueService;
     logger: Logger;
-    lead: FencedLead;
+    lead: FencedLeadership;
     table: JobTable;
     /** How long an ended job stays readable. */
     resultRetentionMs: () => number;
--- a/fleet/jobs/src/progressKeeper.ts
+++ b/fleet/jobs/src/progressKeeper.ts
@@ -1,6 +1,6 @@
 import { encodeRecord } from "@knapweedwood/batch.records/encodeRecord";
 import type { KeyValueService } from "@knapweedwood/core.key-value/keyValueService";
-import type { FencedLead } from "@knapweedwood/fleet.sync/fencedLead";
+import type { FencedLeadership } from "@knapweedwood/fleet.sync/fencedLeadership";
 import type { JobItem } from "./jobItem.js";
 import { jobKeys } from "./jobKeys.js";
 import type { OpenJob } from "./openJob.js";
@@ -17,10 +17,10 @@
 /** Stores how far items have come, so that the next leader goes on from there. */
 export class ProgressKeeper {
     private readonly service: KeyValueService;
-    private readonly lead: FencedLead;
+    private readonly lead: FencedLeadership;
     private readonly storedEventIds = new WeakMap<JobItem, number>();
 
-    constructor(opts: { service: KeyValueService; lead: FencedLead; }) {
+    constructor(opts: { service: KeyValueService; lead: FencedLeadership; }) {
         this.service = opts.service;
         this.lead = opts.lead;
     }
--- a/fleet/jobs/src/resultCommitter.ts
+++ b/fleet/jobs/src/resultCommitter.ts
@@ -5,7 +5,7 @@
 import type { KeyValueOperation } from "@knapweedwood/core.key-value/keyValueOperation";
 import type { KeyValueService } from "@knapweedwood/core.key-value/keyValueService";
 import { settleTransaction } from "@knapweedwood/core.key-value/settleTransaction";
-import type { FencedLead } from "@knapweedwood/fleet.sync/fencedLead";
+import type { FencedLeadership } from "@knapweedwood/fleet.sync/fencedLeadership";
 import type { Logger } from "@knapweedwood/observability.logs/logger";
 import type { ItemResult } from "./itemResult.js";
 import { jobKeys } from "./jobKeys.js";
@@ -31,7 +31,7 @@
         service: KeyValueService;
         clock: Clock;
         logger: Logger;
-        leadership: FencedLead;
+        leadership: FencedLeadership;
         onListed: (job: OpenJob) => void;
     };
     private pending: PendingResult[] = [];
@@ -41,7 +41,7 @@
         service: KeyValueService;
         clock: Clock;
         logger: Logger;
-        leadership: FencedLead;
+        leadership: FencedLeadership;
         onListed: (job: OpenJob) => void;
     }) {
         this.opts = opts;
@@ -113,7 +113,7 @@
                     witnessKey,
                 });
                 if (settled.kind === "failed") {
-                    this.opts.leadership.abandon("write-refused");
+                    this.opts.leadership.stepDown("write-refused");
                 }
                 if (settled.kind === "succeeded" && this.opts.leadership.fence()?.modRevision === fence.modRevision) {
                     this.list(batch);
--- a/fleet/jobs/test/jobSweep.test.ts
+++ b/fleet/jobs/test/jobSweep.test.ts
@@ -1,6 +1,6 @@
 import { encodeRecord } from "@knapweedwood/batch.records/encodeRecord";
 import { ManualClock } from "@knapweedwood/core.clock/manualClock";
-import type { FencedLead } from "@knapweedwood/fleet.sync/fencedLead";
+import type { FencedLeadership } from "@knapweedwood/fleet.sync/fencedLeadership";
 import { silentLogger } from "@knapweedwood/observability.logs/silentLogger";
 import { MemoryKeyValueService } from "@knapweedwood/standins.key-value/memoryKeyValueService";
 import assert from "node:assert/strict";
@@ -16,10 +16,10 @@
     const clock = new ManualClock();
     const service = new MemoryKeyValueService({ clock });
     const { revision } = await service.transact([], [{ kind: "put", key: "leader", value: Buffer.from("a") }]);
-    const lead: FencedLead = {
+    const lead: FencedLeadership = {
         isLeading: () => true,
         fence: () => ({ key: "leader", modRevision: revision }),
-        abandon: () => undefined,
+        stepDown: () => undefined,
     };
     const results = record.items.map((item, position) => ({
         kind: "put" as const,
--- a/fleet/jobs/test/progressKeeper.test.ts
+++ b/fleet/jobs/test/progressKeeper.test.ts
@@ -1,6 +1,6 @@
 import { encodeRecord } from "@knapweedwood/batch.records/encodeRecord";
 import { ManualClock } from "@knapweedwood/core.clock/manualClock";
-import type { FencedLead } from "@knapweedwood/fleet.sync/fencedLead";
+import type { FencedLeadership } from "@knapweedwood/fleet.sync/fencedLeadership";
 import { MemoryKeyValueService } from "@knapweedwood/standins.key-value/memoryKeyValueService";
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -13,10 +13,10 @@
 async function setUp() {
     const service = new MemoryKeyValueService({ clock: new ManualClock() });
     const { revision } = await service.transact([], [{ kind: "put", key: "leader", value: Buffer.from("a") }]);
-    const lead: FencedLead = {
+    const lead: FencedLeadership = {
         isLeading: () => true,
         fence: () => ({ key: "leader", modRevision: revision }),
-        abandon: () => undefined,
+        stepDown: () => undefined,
     };
     const job = new OpenJob(jobOf({ id: "j", itemCount: 3 }));
     job.items.forEach((item, index) => {
--- a/fleet/jobs/test/resultCommitter.test.ts
+++ b/fleet/jobs/test/resultCommitter.test.ts
@@ -1,6 +1,6 @@
 import { ManualClock } from "@knapweedwood/core.clock/manualClock";
 import type { KeyValueCompare } from "@knapweedwood/core.key-value/keyValueCompare";
-import type { FencedLead } from "@knapweedwood/fleet.sync/fencedLead";
+import type { FencedLeadership } from "@knapweedwood/fleet.sync/fencedLeadership";
 import { silentLogger } from "@knapweedwood/observability.logs/silentLogger";
 import { MemoryKeyValueService } from "@knapweedwood/standins.key-value/memoryKeyValueService";
 import assert from "node:assert/strict";
@@ -13,7 +13,7 @@
 
 const LEADER_KEY = "leader";
 
-class TestLead implements FencedLead {
+class TestLead implements FencedLeadership {
     held: KeyValueCompare | undefined;
     abandoned = 0;
 
@@ -25,7 +25,7 @@
         return this.held;
     }
 
-    abandon(): void {
+    stepDown(): void {
         this.abandoned += 1;
         this.held = undefined;
     }
--- a/fleet/sync/src/watchWaitOf.ts
+++ b/fleet/sync/src/computeWatchWaitMs.ts
@@ -5,6 +5,6 @@
 const MAX_WAIT_MS = 20_000;
 
 /** How long one watch call may wait: in a large fleet processes tell one another of changes, and calls add up. */
-export function watchWaitOf(processes: number): number {
-    return Math.min(MAX_WAIT_MS, Math.max(MIN_WAIT_MS, processes * WAIT_PER_PROCESS_MS));
+export function computeWatchWaitMs(processCount: number): number {
+    return Math.min(MAX_WAIT_MS, Math.max(MIN_WAIT_MS, processCount * WAIT_PER_PROCESS_MS));
 }
--- a/fleet/sync/src/leadership.ts
+++ b/fleet/sync/src/leadership.ts
@@ -10,7 +10,7 @@
 import { settleTransaction } from "@knapweedwood/core.key-value/settleTransaction";
 import type { Random } from "@knapweedwood/core.random/random";
 import type { Logger } from "@knapweedwood/observability.logs/logger";
-import type { FencedLead } from "./fencedLead.js";
+import type { FencedLeadership } from "./fencedLeadership.js";
 import { fleetKeys } from "./fleetKeys.js";
 import type { KnownLeader } from "./knownLeader.js";
 import type { LeaderRecord } from "./leaderRecord.js";
@@ -37,10 +37,10 @@
  * One process leads at a time: the one that wrote the leader's key, which goes with its lease. The revision of that key
  * is the fencing number: writes that compare it fail once another process has led.
  */
-export class Leadership implements FencedLead {
+export class Leadership implements FencedLeadership {
     private readonly opts: LeadershipOptions;
-    private seen: KeyValueEntry | undefined;
-    private told: KnownLeader | undefined;
+    private observedEntry: KeyValueEntry | undefined;
+    private reportedLeader: KnownLeader | undefined;
     private heldRevision: number | undefined;
     private attemptTimer: Timer | undefined;
     private isResigned = false;
@@ -63,14 +63,14 @@
 
     /** Takes in the leader's key as the service has it at `revision`; undefined where it is absent. */
     observe(entry: KeyValueEntry | undefined, revision: number): void {
-        this.seen = entry;
+        this.observedEntry = entry;
         // What was read before this process wrote the key tells nothing of it.
         const isCurrent = this.heldRevision !== undefined && revision >= this.heldRevision;
         if (isCurrent && entry?.modRevision !== this.heldRevision) {
             this.lose("key-changed");
         }
         if (entry !== undefined) {
-            this.endPredecessor(entry);
+            this.revokePredecessorLease(entry);
         }
         if (entry === undefined && this.heldRevision === undefined && this.opts.isCandidate) {
             this.scheduleAttempt(this.opts.random.next() * ATTEMPT_SPREAD_MS);
@@ -78,7 +78,7 @@
     }
 
     /** A lead of an earlier start of this very process need not be waited out: its lease is ended. */
-    private endPredecessor(entry: KeyValueEntry): void {
+    private revokePredecessorLease(entry: KeyValueEntry): void {
         const { instanceName, startedAtMs } = decodeRecord<LeaderRecord>(entry.value);
         const { self } = this.opts;
         const isPredecessor = instanceName === self.instanceName && startedAtMs < self.startedAtMs;
@@ -104,11 +104,11 @@
     }
 
     /** Gives the lead up after a write was refused; whoever takes it next, this process perhaps, reads all anew. */
-    abandon(reason: string): void {
+    stepDown(reason: string): void {
         const fence = this.fence();
         if (fence !== undefined) {
             this.lose(reason);
-            void this.removeKey(fence);
+            void this.removeLeaderKey(fence);
         }
     }
 
@@ -119,11 +119,11 @@
     }
 
     /** Removes the key that this process wrote, until it is certainly gone. */
-    private async removeKey(fence: KeyValueCompare): Promise<void> {
-        for (let isGone = false; !isGone;) {
+    private async removeLeaderKey(fence: KeyValueCompare): Promise<void> {
+        for (let isRemoved = false; !isRemoved;) {
             try {
                 await this.opts.service.transact([fence], [{ kind: "delete", key: fence.key }]);
-                isGone = true;
+                isRemoved = true;
             }
             catch (thrown) {
                 const error = toKnapweedError(thrown);
@@ -145,7 +145,7 @@
 
     private async attempt(): Promise<void> {
         const leaseId = this.opts.lease.heldId;
-        if (this.seen !== undefined || this.isResigned || this.heldRevision !== undefined) {
+        if (this.observedEntry !== undefined || this.isResigned || this.heldRevision !== undefined) {
             return;
         }
         if (leaseId === undefined) {
@@ -184,17 +184,17 @@
 
     /** The newest leader that this process knows of, itself perhaps; undefined where none is known. */
     get leader(): KnownLeader | undefined {
-        const seen = this.seen === undefined ? undefined : {
-            instanceName: decodeRecord<LeaderRecord>(this.seen.value).instanceName,
-            fencingNumber: this.seen.modRevision,
+        const seen = this.observedEntry === undefined ? undefined : {
+            instanceName: decodeRecord<LeaderRecord>(this.observedEntry.value).instanceName,
+            fencingNumber: this.observedEntry.modRevision,
         };
-        return (this.told?.fencingNumber ?? 0) > (seen?.fencingNumber ?? 0) ? this.told : seen;
+        return (this.reportedLeader?.fencingNumber ?? 0) > (seen?.fencingNumber ?? 0) ? this.reportedLeader : seen;
     }
 
     /** Takes in what another process knows: this one may be cut off from the key-value service. */
-    learn(leader: KnownLeader): void {
-        if (leader.fencingNumber > (this.told?.fencingNumber ?? 0)) {
-            this.told = leader;
+    recordLeader(leader: KnownLeader): void {
+        if (leader.fencingNumber > (this.reportedLeader?.fencingNumber ?? 0)) {
+            this.reportedLeader = leader;
         }
         if (this.heldRevision !== undefined && leader.fencingNumber > this.heldRevision) {
             this.lose("superseded");
--- a/fleet/sync/src/memberTable.ts
+++ b/fleet/sync/src/memberTable.ts
@@ -5,12 +5,12 @@
 import type { MemberRecord } from "./memberRecord.js";
 
 /** Time for which a process whose entry lapsed is still told of loads, in milliseconds. */
-const FORGET_AFTER_MS = 10_000;
+const EXPIRED_MEMBER_RETENTION_MS = 10_000;
 
 interface Member {
     record: MemberRecord;
     /** When its entry lapsed; undefined while it is listed. */
-    lapsedAtMs: number | undefined;
+    expiredAtMs: number | undefined;
 }
 
 /** The processes of the fleet. A lapsed entry is kept for a while: an outage of the service lapses those of the living. */
@@ -19,17 +19,17 @@
 
     put(entry: KeyValueEntry): void {
         const record = decodeRecord<MemberRecord>(entry.value);
-        this.members.set(record.instanceName, { record, lapsedAtMs: undefined });
+        this.members.set(record.instanceName, { record, expiredAtMs: undefined });
     }
 
     get(instanceName: InstanceName): MemberRecord | undefined {
         return this.members.get(instanceName)?.record;
     }
 
-    lapse(key: string, nowMs: number): void {
+    markExpired(key: string, nowMs: number): void {
         const member = this.members.get(key.slice(fleetKeys.membersPrefix.length) as InstanceName);
         if (member !== undefined) {
-            member.lapsedAtMs ??= nowMs;
+            member.expiredAtMs ??= nowMs;
         }
     }
 
@@ -39,14 +39,16 @@
         [...this.members.keys()]
             .map(name => fleetKeys.member(name))
             .filter(key => !listed.has(key))
-            .forEach(key => this.lapse(key, nowMs));
+            .forEach(key => this.markExpired(key, nowMs));
         entries.forEach(entry => this.put(entry));
     }
 
     /** Processes that listen, as far as this one knows, shape [members]. */
     list(nowMs: number): MemberRecord[] {
         [...this.members]
-            .filter(([, member]) => member.lapsedAtMs !== undefined && nowMs > member.lapsedAtMs + FORGET_AFTER_MS)
+            .filter(([, member]) =>
+                member.expiredAtMs !== undefined && nowMs > member.expiredAtMs + EXPIRED_MEMBER_RETENTION_MS
+            )
             .forEach(([name]) => this.members.delete(name));
         return [...this.members.values()].map(member => member.record);
     }
--- a/fleet/sync/src/prefixMirror.ts
+++ b/fleet/sync/src/prefixMirror.ts
@@ -13,9 +13,9 @@
 export class PrefixMirror {
     private readonly opts: PrefixMirrorOptions;
     private currentRevision = 0;
-    private rereadController = new AbortController();
+    private relistController = new AbortController();
     private failures = 0;
-    private regainedAtMs = Infinity;
+    private recoveredAtMs = Infinity;
     private catchUpTimer: Timer | undefined;
 
     constructor(opts: PrefixMirrorOptions) {
@@ -28,8 +28,8 @@
     }
 
     /** Since when the service has answered without a failure; infinity while it doesn't. */
-    get inTouchSinceMs(): number {
-        return this.failures === 0 ? this.regainedAtMs : Infinity;
+    get reachableSinceMs(): number {
+        return this.failures === 0 ? this.recoveredAtMs : Infinity;
     }
 
     /** Lists the prefix again if the watch does not bring `revision` soon. */
@@ -40,7 +40,7 @@
         this.catchUpTimer = this.opts.clock.setTimer(CATCH_UP_DELAY_MS, () => {
             this.catchUpTimer = undefined;
             if (this.currentRevision > 0 && revision > this.currentRevision) {
-                this.listAgain(revision);
+                this.relist(revision);
             }
         });
     }
@@ -49,44 +49,44 @@
     async run(signal: AbortSignal): Promise<void> {
         signal.addEventListener("abort", () => {
             this.catchUpTimer?.cancel();
-            this.rereadController.abort();
+            this.relistController.abort();
         }, { once: true });
         while (!signal.aborted) {
-            this.rereadController = new AbortController();
+            this.relistController = new AbortController();
             try {
-                await this.follow(this.rereadController.signal);
+                await this.listAndWatch(this.relistController.signal);
             }
             catch (error) {
-                if (!signal.aborted && !this.rereadController.signal.aborted) {
+                if (!signal.aborted && !this.relistController.signal.aborted) {
                     await this.onFailure(error, signal);
                 }
             }
         }
     }
 
-    private listAgain(peerRevision: number): void {
+    private relist(peerRevision: number): void {
         this.opts.logger.info("mirror-behind", {
             prefix: this.opts.prefix,
             revision: this.currentRevision,
             peerRevision,
         });
         this.currentRevision = 0;
-        this.rereadController.abort();
+        this.relistController.abort();
     }
 
-    private async follow(signal: AbortSignal): Promise<void> {
+    private async listAndWatch(signal: AbortSignal): Promise<void> {
         // A watch that is sent while the service is silent hangs for its whole wait; a listing shows sooner that it is back.
         if (this.currentRevision === 0 || this.failures > 0) {
             const snapshot = await this.opts.service.snapshot(this.opts.prefix);
-            this.onAnswer();
+            this.onResponse();
             this.currentRevision = snapshot.revision;
             this.opts.onSnapshot(snapshot.entries, snapshot.revision);
         }
-        const { service, clock, prefix, watchWaitMs, gatherMs = 0 } = this.opts;
+        const { service, clock, prefix, watchWaitMs, coalesceMs: gatherMs = 0 } = this.opts;
         const waitMs = watchWaitMs?.();
         const opts = { afterRevision: this.currentRevision, signal, ...waitMs === undefined ? {} : { waitMs } };
         for await (const batch of service.watch(prefix, opts)) {
-            this.onAnswer();
+            this.onResponse();
             this.currentRevision = Math.max(this.currentRevision, batch.revision);
             if (batch.puts.length > 0 || batch.deletedKeys.length > 0) {
                 this.opts.onChange(batch);
@@ -95,15 +95,15 @@
         }
     }
 
-    private onAnswer(): void {
+    private onResponse(): void {
         if (this.failures === 0) {
-            this.regainedAtMs = Math.min(this.regainedAtMs, this.opts.clock.nowMs());
+            this.recoveredAtMs = Math.min(this.recoveredAtMs, this.opts.clock.nowMs());
             return;
         }
-        this.regainedAtMs = this.opts.clock.nowMs();
+        this.recoveredAtMs = this.opts.clock.nowMs();
         this.opts.logger.info("key-value-regained", { prefix: this.opts.prefix, failures: this.failures });
         this.failures = 0;
-        this.opts.onRegained?.();
+        this.opts.onRecovered?.();
     }
 
     private async onFailure(thrown: unknown, signal: AbortSignal): Promise<void> {
--- a/fleet/sync/src/prefixMirrorOptions.ts
+++ b/fleet/sync/src/prefixMirrorOptions.ts
@@ -15,11 +15,11 @@
     /** How long one watch call may wait: the longer, the fewer calls, and the later a silent connection shows. */
     watchWaitMs?: () => number;
     /** How long changes are gathered, so that one call brings several; none where each is urgent. */
-    gatherMs?: number;
+    coalesceMs?: number;
     /** All entries under the prefix; entries known before and not listed are gone. */
     onSnapshot(entries: KeyValueEntry[], revision: number): void;
     /** Changes since the snapshot or the last change. */
     onChange(batch: WatchBatch): void;
     /** Called when the service answers again after a failure. */
-    onRegained?(): void;
+    onRecovered?(): void;
 }
--- a/fleet/sync/src/processLease.ts
+++ b/fleet/sync/src/processLease.ts
@@ -50,7 +50,7 @@
     }
 
     /** Whether the key-value service has answered a renewal within `maxAgeMs`. */
-    hasAnswered(maxAgeMs: number): boolean {
+    wasRenewedWithin(maxAgeMs: number): boolean {
         return this.opts.clock.nowMs() - this.renewedAtMs < maxAgeMs;
     }
 
@@ -62,7 +62,7 @@
     }
 
     /** Ends the lease, so that its keys go at once. */
-    async end(): Promise<void> {
+    async revoke(): Promise<void> {
         const { leaseId } = this;
         this.leaseId = undefined;
         if (leaseId !== undefined) {
--- a/fleet/sync/test/leadership.test.ts
+++ b/fleet/sync/test/leadership.test.ts
@@ -10,11 +10,11 @@
 import { ProcessLease } from "../src/processLease.js";
 
 function candidate(opts: { service: MemoryKeyValueService; clock: ManualClock; name: string; signal: AbortSignal; }) {
-    const tools = { service: opts.service, clock: opts.clock, random: new SeededRandom(1), logger: silentLogger };
-    const lease = new ProcessLease({ ...tools, minLeaseMs: 1000, onGranted: () => Promise.resolve() });
+    const common = { service: opts.service, clock: opts.clock, random: new SeededRandom(1), logger: silentLogger };
+    const lease = new ProcessLease({ ...common, minLeaseMs: 1000, onGranted: () => Promise.resolve() });
     const events: string[] = [];
     const leadership = new Leadership({
-        ...tools,
+        ...common,
         lease,
         self: { instanceName: opts.name as InstanceName, startedAtMs: 1 },
         isCandidate: true,
@@ -25,14 +25,14 @@
     return { leadership, lease, events };
 }
 
-async function leaderOf(service: MemoryKeyValueService) {
+async function readLeaderKey(service: MemoryKeyValueService) {
     return service.get(fleetKeys.jobsLeader);
 }
 
 test("of two candidates one leads", async () => {
     const clock = new ManualClock();
     const service = new MemoryKeyValueService({ clock });
-    const { signal, abort } = abortable();
+    const { signal, abort } = createAbortHandle();
     const candidates = ["a", "b"].map(name => candidate({ service, clock, name, signal }));
     candidates.forEach(({ leadership }) => leadership.observe(undefined, 1));
     await clock.advance(1000);
@@ -43,15 +43,15 @@
 test("a leader whose write was refused removes its key and can be elected again", async () => {
     const clock = new ManualClock();
     const service = new MemoryKeyValueService({ clock });
-    const { signal, abort } = abortable();
+    const { signal, abort } = createAbortHandle();
     const { leadership, events } = candidate({ service, clock, name: "a", signal });
     leadership.observe(undefined, 1);
     await clock.advance(1000);
     const first = leadership.fence();
-    leadership.observe(await leaderOf(service), service.revision);
-    leadership.abandon("test");
+    leadership.observe(await readLeaderKey(service), service.revision);
+    leadership.stepDown("test");
     await clock.advance(100);
-    assert.equal(await leaderOf(service), undefined);
+    assert.equal(await readLeaderKey(service), undefined);
     leadership.observe(undefined, service.revision);
     await clock.advance(1000);
     assert.deepEqual(events, ["gained", "lost", "gained"]);
@@ -62,14 +62,14 @@
 test("a leader that is cut off from the service stops when another process knows a newer one", async () => {
     const clock = new ManualClock();
     const service = new MemoryKeyValueService({ clock });
-    const { signal, abort } = abortable();
+    const { signal, abort } = createAbortHandle();
     const { leadership, events } = candidate({ service, clock, name: "a", signal });
     leadership.observe(undefined, 1);
     await clock.advance(1000);
     const fencingNumber = leadership.fence()!.modRevision;
-    leadership.learn({ instanceName: "a" as InstanceName, fencingNumber });
+    leadership.recordLeader({ instanceName: "a" as InstanceName, fencingNumber });
     assert.deepEqual(events, ["gained"]);
-    leadership.learn({ instanceName: "b" as InstanceName, fencingNumber: fencingNumber + 1 });
+    leadership.recordLeader({ instanceName: "b" as InstanceName, fencingNumber: fencingNumber + 1 });
     assert.deepEqual(events, ["gained", "lost"]);
     assert.equal(leadership.leader?.instanceName, "b");
     abort();
@@ -78,7 +78,7 @@
 test("an old observation does not end a newer lead", async () => {
     const clock = new ManualClock();
     const service = new MemoryKeyValueService({ clock });
-    const { signal, abort } = abortable();
+    const { signal, abort } = createAbortHandle();
     const { leadership, events } = candidate({ service, clock, name: "a", signal });
     leadership.observe(undefined, 1);
     await clock.advance(1000);
@@ -94,18 +94,18 @@
     const record = { instanceName: "a", startedAtMs: 0 };
     const value = Buffer.from(JSON.stringify(record));
     await service.transact([], [{ kind: "put", key: fleetKeys.jobsLeader, value, leaseId: lease }]);
-    const { signal, abort } = abortable();
+    const { signal, abort } = createAbortHandle();
     const { leadership } = candidate({ service, clock, name: "a", signal });
-    leadership.observe(await leaderOf(service), service.revision);
+    leadership.observe(await readLeaderKey(service), service.revision);
     await clock.advance(10);
-    assert.equal(await leaderOf(service), undefined);
+    assert.equal(await readLeaderKey(service), undefined);
     leadership.observe(undefined, service.revision);
     await clock.advance(200);
     assert.equal(leadership.isLeading(), true);
     abort();
 });
 
-function abortable() {
+function createAbortHandle() {
     const controller = new AbortController();
     return { signal: controller.signal, abort: () => controller.abort() };
 }
--- a/fleet/sync/test/prefixMirror.test.ts
+++ b/fleet/sync/test/prefixMirror.test.ts
@@ -6,8 +6,8 @@
 import { MemoryKeyValueService } from "@knapweedwood/standins.key-value/memoryKeyValueService";
 import assert from "node:assert/strict";
 import { test } from "node:test";
+import { computeWatchWaitMs } from "../src/computeWatchWaitMs.js";
 import { PrefixMirror } from "../src/prefixMirror.js";
-import { watchWaitOf } from "../src/watchWaitOf.js";
 
 const LOST_CALL_MS = 600;
 const LOST_WATCH_MS = 4700;
@@ -21,7 +21,7 @@
     const service = new MemoryKeyValueService({ clock });
     const controller = new AbortController();
     const keys = new Set<string>();
-    let regained = 0;
+    let recoveries = 0;
     let snapshots = 0;
     const mirror = new PrefixMirror({
         service,
@@ -38,12 +38,12 @@
             batch.puts.forEach(entry => keys.add(entry.key));
             batch.deletedKeys.forEach(key => keys.delete(key));
         },
-        onRegained: () => {
-            regained += 1;
+        onRecovered: () => {
+            recoveries += 1;
         },
     });
     void mirror.run(controller.signal);
-    return { clock, service, mirror, keys, counts: () => ({ regained, snapshots }), stop: () => controller.abort() };
+    return { clock, service, mirror, keys, counts: () => ({ recoveries, snapshots }), stop: () => controller.abort() };
 }
 
 test("changes during an outage are there when the service is back, and the return is told", async () => {
@@ -56,7 +56,7 @@
     await service.transact([], [put("a/2"), { kind: "delete", key: "a/1" }]);
     await clock.advance(2000);
     assert.deepEqual([...keys], ["a/2"]);
-    assert.equal(counts().regained, 1);
+    assert.equal(counts().recoveries, 1);
     stop();
 });
 
@@ -76,20 +76,20 @@
 test("an outage ends the time in touch", async () => {
     const { clock, service, mirror, stop } = setUp();
     await clock.advance(100);
-    assert.ok(mirror.inTouchSinceMs <= 100);
+    assert.ok(mirror.reachableSinceMs <= 100);
     service.faults.outage = true;
     await clock.advance(1000);
-    assert.equal(mirror.inTouchSinceMs, Infinity);
+    assert.equal(mirror.reachableSinceMs, Infinity);
     service.faults.outage = false;
     await service.transact([], [put("a/1")]);
     await clock.advance(2000);
-    assert.ok(mirror.inTouchSinceMs >= 1100);
+    assert.ok(mirror.reachableSinceMs >= 1100);
     stop();
 });
 
 /** A service that answers nothing for a while: calls that were sent meanwhile are lost, watches hang. */
-class SilentSpell extends MemoryKeyValueService {
-    isSilent = false;
+class UnresponsiveKeyValueService extends MemoryKeyValueService {
+    isUnresponsive = false;
     private readonly testClock: ManualClock;
 
     constructor(clock: ManualClock) {
@@ -98,7 +98,7 @@
     }
 
     override async snapshot(prefix: string) {
-        if (this.isSilent) {
+        if (this.isUnresponsive) {
             await sleep(this.testClock, LOST_CALL_MS);
             throw answerLostError("silent");
         }
@@ -106,7 +106,7 @@
     }
 
     override async *watch(prefix: string, opts: { afterRevision: number; signal: AbortSignal; }) {
-        if (this.isSilent) {
+        if (this.isUnresponsive) {
             await sleep(this.testClock, LOST_WATCH_MS, opts.signal);
             throw answerLostError("silent");
         }
@@ -116,7 +116,7 @@
 
 test("a change made at the end of a silent spell is known within two seconds", async () => {
     const clock = new ManualClock();
-    const service = new SilentSpell(clock);
+    const service = new UnresponsiveKeyValueService(clock);
     const controller = new AbortController();
     const keys = new Set<string>();
     const mirror = new PrefixMirror({
@@ -130,11 +130,11 @@
     });
     void mirror.run(controller.signal);
     await clock.advance(100);
-    service.isSilent = true;
+    service.isUnresponsive = true;
     service.faults.outage = true;
     service.faults.outage = false;
     await clock.advance(1000);
-    service.isSilent = false;
+    service.isUnresponsive = false;
     await service.transact([], [put("a/1")]);
     await clock.advance(2000);
     assert.deepEqual([...keys], ["a/1"]);
@@ -158,8 +158,8 @@
         random: new SeededRandom(1),
         logger: silentLogger,
         prefix: "a/",
-        watchWaitMs: () => watchWaitOf(39),
-        gatherMs: 200,
+        watchWaitMs: () => computeWatchWaitMs(39),
+        coalesceMs: 200,
         onSnapshot: () => undefined,
         onChange: batch => batches.push(batch.puts.length),
     });
@@ -170,5 +170,5 @@
     assert.deepEqual(batches, [1], "the first is known at once");
     await clock.advance(1000);
     controller.abort();
-    assert.deepEqual([waits, watchWaitOf(7), watchWaitOf(500)], [[19_500], 4000, 20_000]);
+    assert.deepEqual([waits, computeWatchWaitMs(7), computeWatchWaitMs(500)], [[19_500], 4000, 20_000]);
 });
