--- a/bench/decisions/src/jobSimulation.ts
+++ b/bench/decisions/src/jobSimulation.ts
@@ -6,11 +6,11 @@
 import type { UpstreamId } from "@knapweedwood/core.ids/upstreamId";
 import type { Random } from "@knapweedwood/core.random/random";
 import { chooseBatchUpstream } from "@knapweedwood/fleet.jobs/chooseBatchUpstream";
-import { chooseRunsToEnd } from "@knapweedwood/fleet.jobs/chooseRunsToEnd";
-import { ItemRunTimes } from "@knapweedwood/fleet.jobs/itemRunTimes";
+import { chooseRunsToPreempt } from "@knapweedwood/fleet.jobs/chooseRunsToPreempt";
+import { ItemRunTimeEstimator } from "@knapweedwood/fleet.jobs/itemRunTimeEstimator";
 import type { JobItem } from "@knapweedwood/fleet.jobs/jobItem";
 import { OpenJob } from "@knapweedwood/fleet.jobs/openJob";
-import { orderOfItems } from "@knapweedwood/fleet.jobs/orderOfItems";
+import { orderStartableItems } from "@knapweedwood/fleet.jobs/orderStartableItems";
 import type { Upstream } from "@knapweedwood/fleet.view/upstream";
 import { BoardReporter } from "./boardReporter.js";
 import type { EngineRun } from "./engineRun.js";
@@ -36,7 +36,7 @@
     readonly reporter = new BoardReporter("runner", () => []);
     private readonly opts: { clock: Clock; random: Random; engines: () => SimulatedEngine[]; service: ServiceName; };
     private readonly jobs: OpenJob[] = [];
-    private readonly times = new ItemRunTimes();
+    private readonly runTimeEstimator = new ItemRunTimeEstimator();
     private readonly endedAtMs = new Map<JobItem, number>();
     private running: RunningItem[] = [];
 
@@ -53,7 +53,10 @@
             return;
         }
         const open = this.jobs.filter(job => job.items.some(item => item.state === "pending"));
-        const order = orderOfItems(open, { nowMs: clock.nowMs(), remainingMs: item => this.times.remainingMs(item) });
+        const order = orderStartableItems(open, {
+            nowMs: clock.nowMs(),
+            remainingMs: item => this.runTimeEstimator.remainingMs(item),
+        });
         order.every(({ job, item }) => this.startWhereThereIsRoom(job, item));
     }
 
@@ -114,8 +117,8 @@
             holdMs: ITEM_MS * (1 - item.lastEventId / ITEM_EVENTS),
             onFirstEvent: () => undefined,
             onEnd: () => {
-                this.times.recordRun(ITEM_EVENTS - item.lastEventId, clock.nowMs() - startedAtMs);
-                this.times.recordOutput(ITEM_EVENTS);
+                this.runTimeEstimator.recordRun(ITEM_EVENTS - item.lastEventId, clock.nowMs() - startedAtMs);
+                this.runTimeEstimator.recordOutput(ITEM_EVENTS);
                 item.state = "listed";
                 this.endedAtMs.set(item, clock.nowMs());
                 this.release(one => one.run === run);
@@ -135,10 +138,10 @@
             upstreamId: one.engine.upstream.id as UpstreamId,
             dueAtMs: one.job.record.dueAtMs,
             startedAtMs: one.startedAtMs,
-            isLate: clock.nowMs() + this.times.remainingMs(one.item) > one.job.record.dueAtMs,
+            isLate: clock.nowMs() + this.runTimeEstimator.remainingMs(one.item) > one.job.record.dueAtMs,
         }));
         [...new Set(this.running.map(one => one.engine.upstream))]
-            .flatMap(upstream => chooseRunsToEnd(this.candidateOf(upstream), runs))
+            .flatMap(upstream => chooseRunsToPreempt(this.candidateOf(upstream), runs))
             .forEach(({ one }) => this.end(one));
     }
 
--- a/daemons/fleet/src/runnerProgram.ts
+++ b/daemons/fleet/src/runnerProgram.ts
@@ -154,10 +154,21 @@
     }
 
     private fleetTools() {
-        const { store: service, clock, random, connections, board, health, metrics } = this.fleet;
+        const { store: service, clock, random, connections, board: loadTracker, health, metrics } = this.fleet;
         const { leadership } = this.fleet.peers;
         const { configuration } = this.fleet.operators;
         const { directory } = this.fleet.upstreams;
-        return { service, clock, random, metrics, leadership, configuration, directory, connections, board, health };
+        return {
+            service,
+            clock,
+            random,
+            metrics,
+            leadership,
+            configuration,
+            directory,
+            connections,
+            loadTracker,
+            health,
+        };
     }
 }
--- a/fleet/jobs/src/settleRun.ts
+++ b/fleet/jobs/src/applyRunOutcome.ts
@@ -10,7 +10,7 @@
  * Notes on the item what came of a run. An item is given up only where an upstream says that it can't be done or has
  * failed it as often as allowed; broken runs don't count against it.
  */
-export function settleRun(
+export function applyRunOutcome(
     item: JobItem,
     outcome: ItemRunOutcome,
     opts: { nowMs: number; maxAttempts: number; },
--- a/fleet/jobs/src/chooseBatchUpstream.ts
+++ b/fleet/jobs/src/chooseBatchUpstream.ts
@@ -1,6 +1,6 @@
 import type { UpstreamId } from "@knapweedwood/core.ids/upstreamId";
 import type { BatchCandidate } from "./batchCandidate.js";
-import { roomForItems } from "./roomForItems.js";
+import { freeBatchSlots } from "./freeBatchSlots.js";
 
 /**
  * The upstream with the most room for one more item; undefined where none has room. Answers upstreams that are ill: one
@@ -8,13 +8,14 @@
  */
 export function chooseBatchUpstream(
     candidates: readonly BatchCandidate[],
-    failedAt: readonly UpstreamId[] = [],
+    failedUpstreamIds: readonly UpstreamId[] = [],
 ): BatchCandidate | undefined {
-    const withRoom = candidates.filter(candidate => roomForItems(candidate) > 0);
-    const untried = withRoom.filter(candidate => !failedAt.includes(candidate.upstream.id));
-    return (untried.length > 0 ? untried : withRoom)
+    const withFreeSlots = candidates.filter(candidate => freeBatchSlots(candidate) > 0);
+    const untried = withFreeSlots.filter(candidate => !failedUpstreamIds.includes(candidate.upstream.id));
+    return (untried.length > 0 ? untried : withFreeSlots)
         .reduce<BatchCandidate | undefined>(
-            (best, candidate) => best === undefined || roomForItems(candidate) > roomForItems(best) ? candidate : best,
+            (best, candidate) =>
+                best === undefined || freeBatchSlots(candidate) > freeBatchSlots(best) ? candidate : best,
             undefined,
         );
 }
--- a/fleet/jobs/src/chooseRunsToEnd.ts
+++ b/fleet/jobs/src/chooseRunsToPreempt.ts
@@ -5,7 +5,7 @@
  * Answers bursts: where online requests and items together want more than the slots, items give way: those that will be
  * late anyway first, then those that are due last, and among these the ones started last.
  */
-export function chooseRunsToEnd<Run extends RunningItem>(candidate: BatchCandidate, runs: readonly Run[]): Run[] {
+export function chooseRunsToPreempt<Run extends RunningItem>(candidate: BatchCandidate, runs: readonly Run[]): Run[] {
     const excess = candidate.online + candidate.batch - candidate.upstream.slots;
     return runs
         .filter(run => run.upstreamId === candidate.upstream.id)
--- a/fleet/jobs/src/roomForItems.ts
+++ b/fleet/jobs/src/freeBatchSlots.ts
@@ -4,6 +4,6 @@
 const RESERVED_SLOTS = 1;
 
 /** Answers lulls: the number of items that an upstream may start without taking the last slot of online requests. */
-export function roomForItems(candidate: BatchCandidate): number {
+export function freeBatchSlots(candidate: BatchCandidate): number {
     return Math.max(0, candidate.upstream.slots - RESERVED_SLOTS - candidate.online - candidate.batch);
 }
--- a/fleet/jobs/src/itemRun.ts
+++ b/fleet/jobs/src/itemRun.ts
@@ -52,7 +52,7 @@
         if (item.lastEventId > 0) {
             list.push(headers.lastEventId, String(item.lastEventId));
         }
-        this.watchForStall();
+        this.restartStallTimer();
         this.exchange = connections.send(this.upstream, {
             method: "POST",
             path: item.record.path,
@@ -86,7 +86,7 @@
         if (this.isEnded || this.head?.statusCode !== HTTP_OK) {
             return;
         }
-        this.watchForStall();
+        this.restartStallTimer();
         this.splitter.push(chunk).forEach(event => {
             if (this.isEnded) {
                 return;
@@ -128,7 +128,7 @@
             : { kind: "completed" };
     }
 
-    private watchForStall(): void {
+    private restartStallTimer(): void {
         this.stallTimer?.cancel();
         this.stallTimer = this.clock.setTimer(STALL_MS, () => {
             this.exchange?.abort();
--- a/fleet/jobs/src/jobItem.ts
+++ b/fleet/jobs/src/jobItem.ts
@@ -13,5 +13,5 @@
     /** Before this time the item is not started again. */
     notBeforeMs: number;
     /** Upstreams that ran the item and failed, as far as this process saw it. */
-    failedAt: UpstreamId[];
+    failedUpstreamIds: UpstreamId[];
 }
--- a/fleet/jobs/src/jobRunner.ts
+++ b/fleet/jobs/src/jobRunner.ts
@@ -5,13 +5,14 @@
 import type { KeyValueEntry } from "@knapweedwood/core.key-value/keyValueEntry";
 import { PrefixMirror } from "@knapweedwood/fleet.sync/prefixMirror";
 import type { Upstream } from "@knapweedwood/fleet.view/upstream";
+import { applyRunOutcome } from "./applyRunOutcome.js";
 import type { BatchCandidate } from "./batchCandidate.js";
 import { chooseBatchUpstream } from "./chooseBatchUpstream.js";
 import type { HeldJob } from "./heldJob.js";
-import { ItemFlights } from "./itemFlights.js";
+import { InFlightItems } from "./inFlightItems.js";
 import type { ItemRun } from "./itemRun.js";
 import type { ItemRunOutcome } from "./itemRunOutcome.js";
-import { ItemRunTimes } from "./itemRunTimes.js";
+import { ItemRunTimeEstimator } from "./itemRunTimeEstimator.js";
 import type { JobItem } from "./jobItem.js";
 import { jobKeys } from "./jobKeys.js";
 import { JobReads } from "./jobReads.js";
@@ -19,10 +20,9 @@
 import { JobSweep } from "./jobSweep.js";
 import { JobTable } from "./jobTable.js";
 import type { OpenJob } from "./openJob.js";
-import { orderOfItems } from "./orderOfItems.js";
+import { orderStartableItems } from "./orderStartableItems.js";
 import { ProgressKeeper } from "./progressKeeper.js";
 import { ResultCommitter } from "./resultCommitter.js";
-import { settleRun } from "./settleRun.js";
 
 /** How often items are placed where nothing else prompts it, in milliseconds. */
 const PUMP_INTERVAL_MS = 50;
@@ -43,8 +43,8 @@
     readonly reads: JobReads;
     private readonly opts: JobRunnerOptions;
     private readonly table = new JobTable();
-    private readonly runTimes = new ItemRunTimes();
-    private readonly flights: ItemFlights;
+    private readonly runTimeEstimator = new ItemRunTimeEstimator();
+    private readonly inFlightItems: InFlightItems;
     private readonly committer: ResultCommitter;
     private readonly progress: ProgressKeeper;
     private readonly sweep: JobSweep;
@@ -61,10 +61,10 @@
         this.opts = opts;
         const { leadership: lead } = opts;
         const { table } = this;
-        const { runTimes } = this;
-        this.flights = new ItemFlights({
+        const { runTimeEstimator } = this;
+        this.inFlightItems = new InFlightItems({
             ...opts,
-            runTimes,
+            runTimeEstimator,
             onEnded: (job, run, outcome) => this.onRunEnded(job, run, outcome),
         });
         this.committer = new ResultCommitter({ ...opts, onListed: job => this.onListed(job) });
@@ -114,7 +114,7 @@
 
     /** Starts items where there is room and ends runs where online requests want the slots. */
     pump(): void {
-        this.flights.endDisplaced();
+        this.inFlightItems.preemptForOnline();
         // A run does no harm where another process leads already; a result counts only once it is written.
         if (this.isLoaded && this.opts.leadership.fence() !== undefined) {
             this.startItems();
@@ -150,7 +150,7 @@
         this.isLoaded = false;
         this.pumpTimer?.cancel();
         this.checkpointTimer?.cancel();
-        this.flights.endAll();
+        this.inFlightItems.endAll();
     }
 
     /** Takes in the stored jobs, then what is stored and known of their results. */
@@ -188,7 +188,7 @@
     private apply(entries: KeyValueEntry[]): void {
         this.table.apply(entries).forEach(job => {
             this.opts.logger.info("job-ended", { jobId: job.record.jobId, reason: "cancelled" });
-            this.flights.endJob(job);
+            this.inFlightItems.endJob(job);
             this.onListed(job);
         });
         // A job that ended while it was held on disks counts as waiting from its late write on.
@@ -228,31 +228,31 @@
     private startItems(): void {
         const nowMs = this.opts.clock.nowMs();
         const full = new Set<ServiceName>();
-        const remainingMs = (item: JobItem) => this.runTimes.remainingMs(item);
-        orderOfItems(this.table.all(), { nowMs, remainingMs }).forEach(({ job, item }) => {
+        const remainingMs = (item: JobItem) => this.runTimeEstimator.remainingMs(item);
+        orderStartableItems(this.table.all(), { nowMs, remainingMs }).forEach(({ job, item }) => {
             const service = this.serviceOf(job, item);
             if (service === undefined || full.has(service)) {
                 return;
             }
             const candidates = this.candidates(service, nowMs);
-            const upstream = chooseBatchUpstream(candidates, item.failedAt)?.upstream;
+            const upstream = chooseBatchUpstream(candidates, item.failedUpstreamIds)?.upstream;
             if (upstream === undefined) {
                 full.add(service);
                 return;
             }
-            this.flights.start(job, item, upstream);
+            this.inFlightItems.start(job, item, upstream);
         });
     }
 
     /** No item starts while an online request of the service waits. */
     private candidates(service: ServiceName, nowMs: number): BatchCandidate[] {
-        if (this.opts.board.waitingElsewhere(service) > 0) {
+        if (this.opts.loadTracker.waitingElsewhere(service) > 0) {
             return [];
         }
         return this.opts.directory
             .ready(service)
-            .filter(upstream => this.opts.health.isUsable(upstream.id, nowMs, this.flights.countAt(upstream)))
-            .map(upstream => this.flights.candidateOf(upstream));
+            .filter(upstream => this.opts.health.isUsable(upstream.id, nowMs, this.inFlightItems.countAt(upstream)))
+            .map(upstream => this.inFlightItems.candidateOf(upstream));
     }
 
     private serviceOf(job: OpenJob, item: JobItem): ServiceName | undefined {
@@ -280,11 +280,11 @@
         });
         this.opts.metrics.increment("item_runs_total", { outcome: outcome.kind });
         this.judge(upstream, outcome, nowMs);
-        this.runTimes.recordRun(run.eventCount, nowMs - run.startedAtMs);
+        this.runTimeEstimator.recordRun(run.eventCount, nowMs - run.startedAtMs);
         if (outcome.kind === "failed") {
-            item.failedAt.push(upstream.id);
+            item.failedUpstreamIds.push(upstream.id);
         }
-        const settled = settleRun(item, outcome, { nowMs, maxAttempts: job.record.maxAttempts });
+        const settled = applyRunOutcome(item, outcome, { nowMs, maxAttempts: job.record.maxAttempts });
         if (settled !== "again") {
             this.finish(job, item, settled);
         }
@@ -316,7 +316,7 @@
         item.state = "finished";
         item.isComplete = state === "completed";
         if (item.isComplete) {
-            this.runTimes.recordOutput(item.lastEventId);
+            this.runTimeEstimator.recordOutput(item.lastEventId);
         }
         const output = state === "completed" ? item.events.join("\n") : "";
         this.committer.add(job, { itemId: item.id, state, output });
--- a/fleet/jobs/src/jobRunnerOptions.ts
+++ b/fleet/jobs/src/jobRunnerOptions.ts
@@ -23,7 +23,7 @@
     configuration: ConfigurationInForce;
     directory: UpstreamDirectory;
     connections: UpstreamConnections;
-    board: LoadBoard;
+    loadTracker: LoadBoard;
     health: UpstreamHealth;
     headers: ItemRunHeaders;
     /** How long an ended job stays readable. */
--- a/fleet/jobs/src/openJob.ts
+++ b/fleet/jobs/src/openJob.ts
@@ -33,7 +33,7 @@
             failedAttempts: 0,
             isComplete: false,
             notBeforeMs: 0,
-            failedAt: [],
+            failedUpstreamIds: [],
         }));
     }
 
--- a/fleet/jobs/src/orderOfItems.ts
+++ b/fleet/jobs/src/orderStartableItems.ts
@@ -1,12 +1,12 @@
 import type { JobItem } from "./jobItem.js";
 import type { OpenJob } from "./openJob.js";
 
-interface WaitingItem {
+interface StartableItem {
     job: OpenJob;
     item: JobItem;
 }
 
-interface RankedItem extends WaitingItem {
+interface RankedItem extends StartableItem {
     /** Whether it would be late even if it started now. */
     isLate: boolean;
 }
@@ -15,10 +15,10 @@
  * Items that may start now: by due time, begun ones first. Answers more jobs than fit: items that can't be in time any
  * more come last, since each of them would make another one late.
  */
-export function orderOfItems(
+export function orderStartableItems(
     jobs: readonly OpenJob[],
     opts: { nowMs: number; remainingMs: (item: JobItem) => number; },
-): WaitingItem[] {
+): StartableItem[] {
     return jobs
         .filter(job => !job.isEnded && job.isLoaded)
         .flatMap(job => job.items.map(item => ({ job, item })))
--- a/fleet/jobs/test/settleRun.test.ts
+++ b/fleet/jobs/test/applyRunOutcome.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
+import { applyRunOutcome } from "../src/applyRunOutcome.js";
 import { OpenJob } from "../src/openJob.js";
-import { settleRun } from "../src/settleRun.js";
 import { jobOf } from "./jobOf.js";
 
 const opts = { nowMs: 1000, maxAttempts: 3 };
@@ -14,20 +14,20 @@
 
 test("an item is given up after as many failures as allowed, and at once where it can't be done", () => {
     const item = begunItem();
-    const outcomes = [1, 2, 3].map(() => settleRun(item, { kind: "failed" }, opts));
+    const outcomes = [1, 2, 3].map(() => applyRunOutcome(item, { kind: "failed" }, opts));
     assert.deepEqual(outcomes, ["again", "again", "given-up"]);
-    assert.equal(settleRun(begunItem(), { kind: "impossible" }, opts), "given-up");
+    assert.equal(applyRunOutcome(begunItem(), { kind: "impossible" }, opts), "given-up");
 });
 
 test("a broken run counts nothing against the item and keeps what had come", () => {
     const item = begunItem();
     const broken = { kind: "broken", code: "ECONNRESET", isUnreachable: false } as const;
-    Array.from({ length: 10 }).forEach(() => assert.equal(settleRun(item, broken, opts), "again"));
+    Array.from({ length: 10 }).forEach(() => assert.equal(applyRunOutcome(item, broken, opts), "again"));
     assert.deepEqual([item.failedAttempts, item.lastEventId], [0, 1]);
 });
 
 test("an item whose events can't be trusted begins anew", () => {
     const item = begunItem();
-    settleRun(item, { kind: "garbled", code: "EVENT_OUT_OF_ORDER" }, opts);
+    applyRunOutcome(item, { kind: "garbled", code: "EVENT_OUT_OF_ORDER" }, opts);
     assert.deepEqual([item.events, item.lastEventId], [[], 0]);
 });
--- a/fleet/jobs/test/batchChoices.test.ts
+++ b/fleet/jobs/test/batchChoices.test.ts
@@ -5,11 +5,11 @@
 import { test } from "node:test";
 import type { BatchCandidate } from "../src/batchCandidate.js";
 import { chooseBatchUpstream } from "../src/chooseBatchUpstream.js";
-import { chooseRunsToEnd } from "../src/chooseRunsToEnd.js";
-import { ItemRunTimes } from "../src/itemRunTimes.js";
+import { chooseRunsToPreempt } from "../src/chooseRunsToPreempt.js";
+import { ItemRunTimeEstimator } from "../src/itemRunTimeEstimator.js";
 import type { JobItem } from "../src/jobItem.js";
 import { OpenJob } from "../src/openJob.js";
-import { orderOfItems } from "../src/orderOfItems.js";
+import { orderStartableItems } from "../src/orderStartableItems.js";
 import { jobOf } from "./jobOf.js";
 
 function candidate(id: string, online: number, batch: number): BatchCandidate {
@@ -46,11 +46,11 @@
         isLate,
     });
     const runs = [run("early", 10, 0), run("old", 20, 1), run("new", 20, 2)];
-    const ended = chooseRunsToEnd(candidate("a", 7, 3), runs).map(({ name }) => name);
+    const ended = chooseRunsToPreempt(candidate("a", 7, 3), runs).map(({ name }) => name);
     assert.deepEqual(ended, ["new", "old"]);
-    assert.deepEqual(chooseRunsToEnd(candidate("a", 5, 3), runs), []);
+    assert.deepEqual(chooseRunsToPreempt(candidate("a", 5, 3), runs), []);
     const withLate = [...runs, run("late", 5, 0, true)];
-    assert.deepEqual(chooseRunsToEnd(candidate("a", 5, 4), withLate).map(({ name }) => name), ["late"]);
+    assert.deepEqual(chooseRunsToPreempt(candidate("a", 5, 4), withLate).map(({ name }) => name), ["late"]);
 });
 
 test("items run by due time, begun ones first, jobs that are late already last", () => {
@@ -60,12 +60,12 @@
         new OpenJob(jobOf({ id: "near", itemCount: 2, dueAtMs: 2000 })),
     ];
     jobs[2]!.items[1]!.lastEventId = 3;
-    const order = orderOfItems(jobs, { nowMs: 1000, remainingMs: () => 0 }).map(({ item }) => item.id);
+    const order = orderStartableItems(jobs, { nowMs: 1000, remainingMs: () => 0 }).map(({ item }) => item.id);
     assert.deepEqual(order, ["near-1", "near-0", "far-0", "late-0"]);
 });
 
 /** Items of 100 events that take 5 s. */
-const remainingOfFiveSeconds = (item: { lastEventId: number; }) => (100 - item.lastEventId) * 50;
+const remainingOfFiveSecondItem = (item: { lastEventId: number; }) => (100 - item.lastEventId) * 50;
 
 test("of more jobs than fit, the items that can still be in time run first", () => {
     const jobs = [
@@ -75,7 +75,7 @@
         new OpenJob(jobOf({ id: "far", itemCount: 1, dueAtMs: 9000 })),
     ];
     jobs[1]!.items[0]!.lastEventId = 60;
-    const order = orderOfItems(jobs, { nowMs: 1000, remainingMs: remainingOfFiveSeconds });
+    const order = orderStartableItems(jobs, { nowMs: 1000, remainingMs: remainingOfFiveSecondItem });
     assert.deepEqual(order.map(({ item }) => item.id), ["begun-0", "near-0", "far-0", "hopeless-0"]);
 });
 
@@ -96,7 +96,7 @@
             inTime += run.endMs <= run.dueAtMs ? 1 : 0;
         });
         const free = slots - running.filter(run => run.item.state === "running").length;
-        orderOfItems(jobs, { nowMs, remainingMs }).slice(0, free).forEach(one => {
+        orderStartableItems(jobs, { nowMs, remainingMs }).slice(0, free).forEach(one => {
             one.item.state = "running";
             running.push({ item: one.item, endMs: nowMs + runMs, dueAtMs: one.job.record.dueAtMs });
         });
@@ -106,21 +106,21 @@
 
 test("jobs at three times the capacity: nearly all that fits is in time, not just late", () => {
     const capacity = 8 * 48 / 5;
-    const inTime = playOverload(remainingOfFiveSeconds);
+    const inTime = playOverload(remainingOfFiveSecondItem);
     assert.ok(inTime >= capacity * 0.9, `${inTime} of ${capacity}`);
     assert.ok(playOverload(() => 0) < capacity * 0.6, "without it, items run although they will be late");
 });
 
 test("the expected time of an item follows what ran, and leaves room for giving way", () => {
-    const times = new ItemRunTimes();
+    const estimator = new ItemRunTimeEstimator();
     const item = new OpenJob(jobOf({ id: "a", itemCount: 1 })).items[0]!;
-    assert.equal(times.remainingMs(item), 0, "nothing is known yet");
-    times.recordRun(2, 9000);
-    times.recordRun(100, 5000);
-    times.recordOutput(100);
-    assert.equal(times.remainingMs(item), 6500);
+    assert.equal(estimator.remainingMs(item), 0, "nothing is known yet");
+    estimator.recordRun(2, 9000);
+    estimator.recordRun(100, 5000);
+    estimator.recordOutput(100);
+    assert.equal(estimator.remainingMs(item), 6500);
     item.lastEventId = 60;
-    assert.equal(times.remainingMs(item), 2600);
+    assert.equal(estimator.remainingMs(item), 2600);
     item.lastEventId = 200;
-    assert.equal(times.remainingMs(item), 0);
+    assert.equal(estimator.remainingMs(item), 0);
 });
