--- a/bench/decisions/src/jobSimulation.ts
+++ b/bench/decisions/src/jobSimulation.ts
@@ -119,7 +119,7 @@
             onEnd: () => {
                 this.runTimeEstimator.recordRun(ITEM_EVENTS - item.lastEventId, clock.nowMs() - startedAtMs);
                 this.runTimeEstimator.recordOutput(ITEM_EVENTS);
-                item.state = "listed";
+                item.state = "stored";
                 this.endedAtMs.set(item, clock.nowMs());
                 this.release(one => one.run === run);
             },
--- a/daemons/fleet/src/runnerProgram.ts
+++ b/daemons/fleet/src/runnerProgram.ts
@@ -39,12 +39,12 @@
             settings,
             role: "runner",
             logger,
-            onLoadChanged: () => this.runner.pump(),
+            onLoadChanged: () => this.runner.dispatch(),
             waiting: () => [],
-            onConfiguration: () => this.runner.pump(),
+            onConfiguration: () => this.runner.dispatch(),
             onJobsWritten: revision => this.runner.catchUp(revision),
             onEmptyingRequested: () => void this.empty(),
-            onLead: isLeading => isLeading ? this.runner.begin() : this.runner.stop(),
+            onLead: isLeading => isLeading ? this.runner.start() : this.runner.stop(),
         });
         this.held = new HeldJobs({
             ...this.fleetTools(),
@@ -123,11 +123,11 @@
     private handleCalls(): void {
         const { runner } = this;
         this.fleet.links.handle(resultsCall, async function*(request, context) {
-            const page = await runner.reads.results({ ...request, signal: context.signal });
+            const page = await runner.reader.results({ ...request, signal: context.signal });
             yield page === undefined ? {} : { page };
         });
         this.fleet.links.handle(itemBodyCall, async function*(request) {
-            const body = await runner.reads.itemBody(request.jobId, request.itemId);
+            const body = await runner.reader.itemBody(request.jobId, request.itemId);
             yield body === undefined ? {} : { body };
         });
         const holdJob = (request: HoldRequest) => this.holdJob(request);
@@ -144,7 +144,7 @@
         if (this.isEmptying) {
             return "not-held";
         }
-        const isAccepted = this.runner.knows(jobId) || this.held.has(jobId);
+        const isAccepted = this.runner.has(jobId) || this.held.has(jobId);
         if (!isAccepted && waitingTokens + tokensOf(record) > maxWaitingTokens) {
             this.logger.info("job-over-limit", { jobId, waitingTokens, maxWaitingTokens });
             return "over-limit";
--- a/fleet/jobs/src/applyRunOutcome.ts
+++ b/fleet/jobs/src/applyRunOutcome.ts
@@ -14,7 +14,7 @@
     item: JobItem,
     outcome: ItemRunOutcome,
     opts: { nowMs: number; maxAttempts: number; },
-): "completed" | "given-up" | "again" {
+): "completed" | "given-up" | "retry" {
     switch (outcome.kind) {
         case "completed":
             return "completed";
@@ -23,15 +23,15 @@
         case "failed":
             item.failedAttempts += 1;
             item.notBeforeMs = opts.nowMs + RETRY_DELAY_MS;
-            return item.failedAttempts >= opts.maxAttempts ? "given-up" : "again";
+            return item.failedAttempts >= opts.maxAttempts ? "given-up" : "retry";
         case "garbled":
             item.events = [];
             item.lastEventId = 0;
             item.notBeforeMs = opts.nowMs + RETRY_DELAY_MS;
-            return "again";
+            return "retry";
         case "broken":
         case "not-run":
             item.notBeforeMs = opts.nowMs + RESUME_DELAY_MS;
-            return "again";
+            return "retry";
     }
 }
--- a/fleet/jobs/src/jobSweep.ts
+++ b/fleet/jobs/src/jobCleanup.ts
@@ -12,24 +12,24 @@
 /** Keys that one write removes; the key-value service takes 32. */
 const MAX_REMOVALS = 32;
 
-interface JobSweepOptions {
+interface JobCleanupOptions {
     clock: Clock;
     service: SnapshotKeyValueService;
     logger: Logger;
-    lead: FencedLeadership;
+    leadership: FencedLeadership;
     table: JobTable;
     /** How long an ended job stays readable. */
     resultRetentionMs: () => number;
 }
 
 /** Clears up after ended jobs: frees the tokens that they kept waiting, and removes them after their retention. */
-export class JobSweep {
-    private readonly opts: JobSweepOptions;
+export class JobCleanup {
+    private readonly opts: JobCleanupOptions;
     /** Ended jobs whose tokens may still count as waiting. */
     private readonly unreleased = new Set<OpenJob>();
     private isRunning = false;
 
-    constructor(opts: JobSweepOptions) {
+    constructor(opts: JobCleanupOptions) {
         this.opts = opts;
     }
 
@@ -45,7 +45,7 @@
 
     /** Does what is due. A step that fails is done at a later run. */
     async run(): Promise<void> {
-        if (this.isRunning || !this.opts.lead.isLeading()) {
+        if (this.isRunning || !this.opts.leadership.isLeading()) {
             return;
         }
         this.isRunning = true;
@@ -73,7 +73,7 @@
     private async removeExpired(): Promise<void> {
         const expiredBeforeMs = this.opts.clock.nowMs() - this.opts.resultRetentionMs();
         const expired = this.opts.table.all().find(job => job.isEnded && job.record.acceptedAtMs < expiredBeforeMs);
-        const fence = this.opts.lead.fence();
+        const fence = this.opts.leadership.fence();
         if (expired !== undefined && fence !== undefined) {
             await this.remove(expired, fence);
         }
--- a/fleet/jobs/src/jobItem.ts
+++ b/fleet/jobs/src/jobItem.ts
@@ -9,7 +9,7 @@
     readonly id: ItemId;
     /** Position among the job's items. */
     readonly index: number;
-    state: "pending" | "running" | "finished" | "listed";
+    state: "pending" | "running" | "finished" | "stored";
     /** Before this time the item is not started again. */
     notBeforeMs: number;
     /** Upstreams that ran the item and failed, as far as this process saw it. */
--- a/fleet/jobs/src/jobReads.ts
+++ b/fleet/jobs/src/jobReader.ts
@@ -10,23 +10,23 @@
 import type { OpenJob } from "./openJob.js";
 import type { ResultsPage } from "./resultsPage.js";
 
-interface JobReadsOptions {
+interface JobReaderOptions {
     clock: Clock;
     service: SnapshotKeyValueService;
     table: JobTable;
     /** Whether the table certainly holds what is stored. */
     isCurrent: () => boolean;
     /** Since when the service has answered without a failure, Unix ms. */
-    inTouchSinceMs: () => number;
+    reachableSinceMs: () => number;
     /** Takes in entries of a job that the watch has not brought yet. */
     apply: (entries: KeyValueEntry[]) => void;
 }
 
 /** Answers reads of jobs. Methods throw `JOBS_NOT_LED` or `JOBS_NOT_SETTLED` where this process can't be sure. */
-export class JobReads {
-    private readonly opts: JobReadsOptions;
+export class JobReader {
+    private readonly opts: JobReaderOptions;
 
-    constructor(opts: JobReadsOptions) {
+    constructor(opts: JobReaderOptions) {
         this.opts = opts;
     }
 
@@ -54,14 +54,14 @@
 
     private async find(jobId: JobId): Promise<OpenJob | undefined> {
         this.assertCurrent();
-        const known = this.opts.table.get(jobId);
-        if (known?.isLoaded === true) {
-            return known;
+        const job = this.opts.table.get(jobId);
+        if (job?.isLoaded === true) {
+            return job;
         }
         // The watch may lag behind an acceptance.
         const record = await this.opts.service.get(jobKeys.record(jobId));
         if (record === undefined) {
-            this.assertSettled();
+            this.assertHeldJobsWritten();
             return undefined;
         }
         const { entries } = await this.opts.service.snapshot(jobKeys.jobPrefix(jobId));
@@ -71,8 +71,8 @@
     }
 
     /** After an outage jobs that were held on disks are written within moments. */
-    private assertSettled(): void {
-        if (this.opts.clock.nowMs() < this.opts.inTouchSinceMs() + HELD_JOBS_SETTLE_MS) {
+    private assertHeldJobsWritten(): void {
+        if (this.opts.clock.nowMs() < this.opts.reachableSinceMs() + HELD_JOBS_SETTLE_MS) {
             throw new KnapweedError("JOBS_NOT_SETTLED", "Jobs held during an outage may not be written yet", {
                 outcome: "not-run",
             });
@@ -89,12 +89,12 @@
         return new Promise(resolve => {
             const finish = () => {
                 timer.cancel();
-                takeBack();
+                unsubscribe();
                 signal.removeEventListener("abort", finish);
                 resolve();
             };
             const timer = this.opts.clock.setTimer(waitMs, finish);
-            const takeBack = job.onResult(finish);
+            const unsubscribe = job.onNextResult(finish);
             signal.addEventListener("abort", finish, { once: true });
         });
     }
--- a/fleet/jobs/src/jobRunner.ts
+++ b/fleet/jobs/src/jobRunner.ts
@@ -13,23 +13,23 @@
 import type { ItemRun } from "./itemRun.js";
 import type { ItemRunOutcome } from "./itemRunOutcome.js";
 import { ItemRunTimeEstimator } from "./itemRunTimeEstimator.js";
+import { JobCleanup } from "./jobCleanup.js";
 import type { JobItem } from "./jobItem.js";
 import { jobKeys } from "./jobKeys.js";
-import { JobReads } from "./jobReads.js";
+import { JobReader } from "./jobReader.js";
 import type { JobRunnerOptions } from "./jobRunnerOptions.js";
-import { JobSweep } from "./jobSweep.js";
 import { JobTable } from "./jobTable.js";
 import type { OpenJob } from "./openJob.js";
 import { orderStartableItems } from "./orderStartableItems.js";
-import { ProgressKeeper } from "./progressKeeper.js";
+import { ProgressWriter } from "./progressWriter.js";
 import { ResultCommitter } from "./resultCommitter.js";
 
 /** How often items are placed where nothing else prompts it, in milliseconds. */
-const PUMP_INTERVAL_MS = 50;
+const DISPATCH_INTERVAL_MS = 50;
 /** Pause before stored jobs are read again after a failure, in milliseconds. */
 const LOAD_RETRY_DELAY_MS = 300;
 /** Time for which a route has to be gone before its items are given up, in milliseconds. */
-const ROUTE_GONE_MS = 3000;
+const ROUTE_MISSING_TIMEOUT_MS = 3000;
 /** How often progress is stored and ended jobs are cleared up, in milliseconds. */
 const CHECKPOINT_INTERVAL_MS = 1500;
 /** Progress below this is cheaper to make again than to store, in events. */
@@ -40,26 +40,26 @@
  * is decided by pure functions; this class carries the decisions out.
  */
 export class JobRunner {
-    readonly reads: JobReads;
+    readonly reader: JobReader;
     private readonly opts: JobRunnerOptions;
     private readonly table = new JobTable();
     private readonly runTimeEstimator = new ItemRunTimeEstimator();
     private readonly inFlightItems: InFlightItems;
     private readonly committer: ResultCommitter;
-    private readonly progress: ProgressKeeper;
-    private readonly sweep: JobSweep;
-    private leading: AbortController | undefined;
+    private readonly progress: ProgressWriter;
+    private readonly cleanup: JobCleanup;
+    private leadershipController: AbortController | undefined;
     private mirror: PrefixMirror | undefined;
     private isLoaded = false;
     /** Open jobs as this process knew them when it last lost the lead. */
-    private earlierJobs: OpenJob[] = [];
-    private pumpTimer: Timer | undefined;
+    private previousJobs: OpenJob[] = [];
+    private dispatchTimer: Timer | undefined;
     private checkpointTimer: Timer | undefined;
-    private readonly routeGoneSinceMs = new Map<JobId, number>();
+    private readonly routeMissingSinceMs = new Map<JobId, number>();
 
     constructor(opts: JobRunnerOptions) {
         this.opts = opts;
-        const { leadership: lead } = opts;
+        const { leadership } = opts;
         const { table } = this;
         const { runTimeEstimator } = this;
         this.inFlightItems = new InFlightItems({
@@ -67,41 +67,41 @@
             runTimeEstimator,
             onEnded: (job, run, outcome) => this.onRunEnded(job, run, outcome),
         });
-        this.committer = new ResultCommitter({ ...opts, onListed: job => this.onListed(job) });
-        this.progress = new ProgressKeeper({ service: opts.service, lead });
-        this.sweep = new JobSweep({ ...opts, lead, table });
-        this.reads = new JobReads({
+        this.committer = new ResultCommitter({ ...opts, onResultsStored: job => this.onResultsStored(job) });
+        this.progress = new ProgressWriter({ service: opts.service, leadership });
+        this.cleanup = new JobCleanup({ ...opts, leadership, table });
+        this.reader = new JobReader({
             ...opts,
             table,
-            isCurrent: () => this.isLoaded && lead.isLeading(),
-            inTouchSinceMs: () => this.mirror?.reachableSinceMs ?? Infinity,
+            isCurrent: () => this.isLoaded && leadership.isLeading(),
+            reachableSinceMs: () => this.mirror?.reachableSinceMs ?? Infinity,
             apply: entries => this.apply(entries),
         });
     }
 
     /** Begins to run jobs: called when this process has gained the lead. */
-    begin(): void {
-        const leading = new AbortController();
-        this.leading = leading;
+    start(): void {
+        const controller = new AbortController();
+        this.leadershipController = controller;
         this.mirror = new PrefixMirror({
             ...this.opts,
             prefix: jobKeys.jobsPrefix,
-            onSnapshot: entries => void this.load(entries, leading.signal),
+            onSnapshot: entries => void this.load(entries, controller.signal),
             onChange: batch => this.apply(batch.puts),
         });
-        void this.mirror.run(leading.signal);
-        this.schedulePump();
+        void this.mirror.run(controller.signal);
+        this.scheduleDispatch();
         this.scheduleCheckpoint();
     }
 
     /** Ends all runs: called when this process has lost the lead. */
     stop(): void {
-        this.leading?.abort();
-        this.leading = undefined;
+        this.leadershipController?.abort();
+        this.leadershipController = undefined;
         this.pause();
         this.committer.reset();
-        this.sweep.reset();
-        this.earlierJobs = this.table.clear();
+        this.cleanup.reset();
+        this.previousJobs = this.table.clear();
     }
 
     /** Stores how far the items have come, so that the next leader goes on from there. */
@@ -113,7 +113,7 @@
     }
 
     /** Starts items where there is room and ends runs where online requests want the slots. */
-    pump(): void {
+    dispatch(): void {
         this.inFlightItems.preemptForOnline();
         // A run does no harm where another process leads already; a result counts only once it is written.
         if (this.isLoaded && this.opts.leadership.fence() !== undefined) {
@@ -128,14 +128,14 @@
 
     /** Runs a job that is held on disk and can't be stored yet. */
     onHeld(job: HeldJob): void {
-        if (this.leading !== undefined) {
+        if (this.leadershipController !== undefined) {
             this.table.applyHeld(job);
-            this.pump();
+            this.dispatch();
         }
     }
 
     /** Whether the job is known to be accepted. */
-    knows(jobId: JobId): boolean {
+    has(jobId: JobId): boolean {
         return this.table.get(jobId) !== undefined;
     }
 
@@ -148,7 +148,7 @@
 
     private pause(): void {
         this.isLoaded = false;
-        this.pumpTimer?.cancel();
+        this.dispatchTimer?.cancel();
         this.checkpointTimer?.cancel();
         this.inFlightItems.endAll();
     }
@@ -169,17 +169,17 @@
                 await new Promise<void>(resolve => this.opts.clock.setTimer(LOAD_RETRY_DELAY_MS, resolve));
             }
         }
-        this.pump();
+        this.dispatch();
     }
 
     private onLoaded(results: KeyValueEntry[]): void {
         this.table.applyResults(results);
         this.opts.heldJobs().forEach(job => this.table.applyHeld(job));
-        this.table.restoreFrom(this.earlierJobs);
-        this.earlierJobs = [];
-        this.finishComplete();
+        this.table.restoreFrom(this.previousJobs);
+        this.previousJobs = [];
+        this.finishCompleteItems();
         const ended = this.table.all().filter(job => job.isEnded);
-        ended.forEach(job => this.sweep.onEnded(job));
+        ended.forEach(job => this.cleanup.onEnded(job));
         this.isLoaded = true;
         const jobs = this.table.all().length;
         this.opts.logger.info("jobs-loaded", { jobs, open: jobs - ended.length });
@@ -189,18 +189,18 @@
         this.table.apply(entries).forEach(job => {
             this.opts.logger.info("job-ended", { jobId: job.record.jobId, reason: "cancelled" });
             this.inFlightItems.endJob(job);
-            this.onListed(job);
+            this.onResultsStored(job);
         });
         // A job that ended while it was held on disks counts as waiting from its late write on.
-        this.table.endedAmong(entries).forEach(job => this.sweep.onEnded(job));
-        this.pump();
+        this.table.findEnded(entries).forEach(job => this.cleanup.onEnded(job));
+        this.dispatch();
     }
 
-    private schedulePump(): void {
-        this.pumpTimer = this.opts.clock.setTimer(PUMP_INTERVAL_MS, () => {
-            this.giveUpExpired();
-            this.pump();
-            this.schedulePump();
+    private scheduleDispatch(): void {
+        this.dispatchTimer = this.opts.clock.setTimer(DISPATCH_INTERVAL_MS, () => {
+            this.abandonExpired();
+            this.dispatch();
+            this.scheduleDispatch();
         });
     }
 
@@ -222,7 +222,7 @@
             const error = toKnapweedError(thrown);
             this.opts.logger.debug("progress-not-stored", { code: error.code, message: error.message });
         }
-        await this.sweep.run();
+        await this.cleanup.run();
     }
 
     private startItems(): void {
@@ -259,11 +259,11 @@
         const path = item.record.path.split("?", 1)[0]!;
         const route = this.opts.configuration.match(job.record.host, path);
         if (route?.kind === "batch") {
-            this.routeGoneSinceMs.delete(job.record.jobId);
+            this.routeMissingSinceMs.delete(job.record.jobId);
             return route.services[0]?.service;
         }
-        if (this.opts.configuration.current !== undefined && !this.routeGoneSinceMs.has(job.record.jobId)) {
-            this.routeGoneSinceMs.set(job.record.jobId, this.opts.clock.nowMs());
+        if (this.opts.configuration.current !== undefined && !this.routeMissingSinceMs.has(job.record.jobId)) {
+            this.routeMissingSinceMs.set(job.record.jobId, this.opts.clock.nowMs());
         }
         return undefined;
     }
@@ -279,19 +279,19 @@
             ...outcome,
         });
         this.opts.metrics.increment("item_runs_total", { outcome: outcome.kind });
-        this.judge(upstream, outcome, nowMs);
+        this.recordUpstreamHealth(upstream, outcome, nowMs);
         this.runTimeEstimator.recordRun(run.eventCount, nowMs - run.startedAtMs);
         if (outcome.kind === "failed") {
             item.failedUpstreamIds.push(upstream.id);
         }
-        const settled = applyRunOutcome(item, outcome, { nowMs, maxAttempts: job.record.maxAttempts });
-        if (settled !== "again") {
-            this.finish(job, item, settled);
+        const decision = applyRunOutcome(item, outcome, { nowMs, maxAttempts: job.record.maxAttempts });
+        if (decision !== "retry") {
+            this.finish(job, item, decision);
         }
-        this.pump();
+        this.dispatch();
     }
 
-    private judge(upstream: Upstream, outcome: ItemRunOutcome, nowMs: number): void {
+    private recordUpstreamHealth(upstream: Upstream, outcome: ItemRunOutcome, nowMs: number): void {
         if (outcome.kind === "broken" || outcome.kind === "garbled") {
             this.opts.health.onFailure(upstream.id, nowMs);
         }
@@ -304,7 +304,7 @@
     }
 
     /** Finishes items whose whole output was carried over. */
-    private finishComplete(): void {
+    private finishCompleteItems(): void {
         this.table.all().filter(job => !job.isEnded).forEach(job =>
             job.items
                 .filter(item => item.state === "pending" && item.isComplete)
@@ -322,20 +322,20 @@
         this.committer.add(job, { itemId: item.id, state, output });
     }
 
-    private giveUpExpired(): void {
+    private abandonExpired(): void {
         const nowMs = this.opts.clock.nowMs();
         this.table.all().filter(job => !job.isEnded).forEach(job => {
-            const goneSinceMs = this.routeGoneSinceMs.get(job.record.jobId) ?? Infinity;
-            if (nowMs > job.record.expiresAtMs || nowMs > goneSinceMs + ROUTE_GONE_MS) {
+            const missingSinceMs = this.routeMissingSinceMs.get(job.record.jobId) ?? Infinity;
+            if (nowMs > job.record.expiresAtMs || nowMs > missingSinceMs + ROUTE_MISSING_TIMEOUT_MS) {
                 job.items.filter(item => item.state === "pending").forEach(item => this.finish(job, item, "given-up"));
             }
         });
     }
 
-    private onListed(job: OpenJob): void {
+    private onResultsStored(job: OpenJob): void {
         if (job.isEnded) {
-            this.routeGoneSinceMs.delete(job.record.jobId);
-            this.sweep.onEnded(job);
+            this.routeMissingSinceMs.delete(job.record.jobId);
+            this.cleanup.onEnded(job);
         }
     }
 }
--- a/fleet/jobs/src/jobTable.ts
+++ b/fleet/jobs/src/jobTable.ts
@@ -13,8 +13,8 @@
 export class JobTable {
     private readonly jobs = new Map<JobId, OpenJob>();
     /** Entries whose job has not arrived yet. */
-    private waiting: KeyValueEntry[] = [];
-    private waitingResults: KeyValueEntry[] = [];
+    private unmatchedEntries: KeyValueEntry[] = [];
+    private unmatchedResults: KeyValueEntry[] = [];
 
     all(): OpenJob[] {
         return [...this.jobs.values()];
@@ -28,8 +28,8 @@
     clear(): OpenJob[] {
         const open = this.all().filter(job => !job.isEnded);
         this.jobs.clear();
-        this.waiting = [];
-        this.waitingResults = [];
+        this.unmatchedEntries = [];
+        this.unmatchedResults = [];
         return open;
     }
 
@@ -37,7 +37,7 @@
     restoreFrom(earlier: readonly OpenJob[]): void {
         earlier.forEach(job => {
             const current = this.jobs.get(job.record.jobId);
-            job.begunItems().forEach(item => current?.restoreProgress(item.index, item));
+            job.itemsWithProgress().forEach(item => current?.restoreProgress(item.index, item));
         });
     }
 
@@ -47,14 +47,14 @@
 
     /** Takes in entries of accepted jobs. @returns jobs that were cancelled by them, shape [jobs] */
     apply(entries: readonly KeyValueEntry[]): OpenJob[] {
-        const keyed = [...this.waiting, ...entries].map(entry => ({ entry, ...parseKey(entry.key) }));
+        const keyed = [...this.unmatchedEntries, ...entries].map(entry => ({ entry, ...parseKey(entry.key) }));
         keyed.filter(({ part }) => part === "record").forEach(({ entry, jobId }) => {
             if (!this.jobs.has(jobId)) {
                 this.jobs.set(jobId, new OpenJob(decodeRecord<JobRecord>(entry.value)));
             }
         });
-        this.retryWaitingResults();
-        this.waiting = keyed.filter(({ jobId }) => !this.jobs.has(jobId)).map(({ entry }) => entry);
+        this.retryUnmatchedResults();
+        this.unmatchedEntries = keyed.filter(({ jobId }) => !this.jobs.has(jobId)).map(({ entry }) => entry);
         return keyed.flatMap(({ entry, jobId, part }) => {
             const job = this.jobs.get(jobId);
             if (job === undefined) {
@@ -77,10 +77,10 @@
             const [jobId, kind, number] = entry.key.slice(jobKeys.resultsPrefix.length).split("/");
             const job = this.jobs.get(jobId as JobId);
             if (job === undefined) {
-                this.waitingResults.push(entry);
+                this.unmatchedResults.push(entry);
             }
             else if (kind === "at") {
-                job.list(Number(number), decodeRecord<ItemResult>(entry.value));
+                job.addResult(Number(number), decodeRecord<ItemResult>(entry.value));
             }
             else {
                 job.restoreProgress(Number(number), decodeRecord<ItemProgress>(entry.value));
@@ -97,7 +97,7 @@
         Array.from({ length: record.partCount }, (_, index) => index)
             .forEach(index => job.setPart(index, bodies.subarray(index * PART_BYTES, (index + 1) * PART_BYTES)));
         this.jobs.set(record.jobId, job);
-        this.retryWaitingResults();
+        this.retryUnmatchedResults();
     }
 
     /** Tokens on a route of the items without a result, but those of one job. */
@@ -110,7 +110,7 @@
     }
 
     /** Jobs whose record is among `entries` and that have ended, shape [jobs]. */
-    endedAmong(entries: readonly KeyValueEntry[]): OpenJob[] {
+    findEnded(entries: readonly KeyValueEntry[]): OpenJob[] {
         return entries
             .map(entry => parseKey(entry.key))
             .filter(({ part }) => part === "record")
@@ -118,8 +118,8 @@
             .filter(job => job.isEnded);
     }
 
-    private retryWaitingResults(): void {
-        this.applyResults(this.waitingResults.splice(0));
+    private retryUnmatchedResults(): void {
+        this.applyResults(this.unmatchedResults.splice(0));
     }
 }
 
--- a/fleet/jobs/src/openJob.ts
+++ b/fleet/jobs/src/openJob.ts
@@ -17,7 +17,7 @@
     private readonly parts: (Buffer | undefined)[];
     /** All parts as one; undefined until a body is wanted. */
     private joinedParts: Buffer | undefined;
-    private readonly listed: ItemResult[] = [];
+    private readonly storedResults: ItemResult[] = [];
     private waiters: (() => void)[] = [];
 
     constructor(record: JobRecord) {
@@ -44,11 +44,11 @@
 
     /** Whether every item has a result or the job was cancelled. */
     get isEnded(): boolean {
-        return this.isCancelled || this.listed.length === this.items.length;
+        return this.isCancelled || this.storedResults.length === this.items.length;
     }
 
     get resultCount(): number {
-        return this.listed.length;
+        return this.storedResults.length;
     }
 
     setPart(index: number, bytes: Uint8Array): void {
@@ -74,21 +74,21 @@
     }
 
     /** Items without a stored result that have come some way, shape [items]. */
-    begunItems(): JobItem[] {
+    itemsWithProgress(): JobItem[] {
         return this.items
-            .filter(item => item.state !== "listed")
+            .filter(item => item.state !== "stored")
             .filter(item => item.lastEventId > 0 || item.failedAttempts > 0);
     }
 
     /** Takes in a result that is stored at `position`. Positions come in order. */
-    list(position: number, result: ItemResult): void {
-        if (position !== this.listed.length) {
+    addResult(position: number, result: ItemResult): void {
+        if (position !== this.storedResults.length) {
             return;
         }
-        this.listed.push(result);
+        this.storedResults.push(result);
         const item = this.item(result.itemId);
         if (item !== undefined) {
-            item.state = "listed";
+            item.state = "stored";
             item.events = [];
         }
         this.waiters.splice(0).forEach(wake => wake());
@@ -96,7 +96,7 @@
 
     page(after: number): ResultsPage {
         let length = 0;
-        const results = this.listed.slice(after).filter((result, index) => {
+        const results = this.storedResults.slice(after).filter((result, index) => {
             length += result.output.length;
             return index === 0 || length <= MAX_PAGE_LENGTH;
         });
@@ -104,7 +104,7 @@
     }
 
     /** Calls `wake` once, at the next result. @returns a function that takes it back */
-    onResult(wake: () => void): () => void {
+    onNextResult(wake: () => void): () => void {
         this.waiters.push(wake);
         return () => {
             this.waiters = this.waiters.filter(other => other !== wake);
--- a/fleet/jobs/src/resultCommitter.ts
+++ b/fleet/jobs/src/resultCommitter.ts
@@ -21,7 +21,7 @@
     result: ItemResult;
 }
 
-interface PlacedResult extends PendingResult {
+interface PositionedResult extends PendingResult {
     position: number;
 }
 
@@ -32,7 +32,7 @@
         clock: Clock;
         logger: Logger;
         leadership: FencedLeadership;
-        onListed: (job: OpenJob) => void;
+        onResultsStored: (job: OpenJob) => void;
     };
     private pending: PendingResult[] = [];
     private isWriting = false;
@@ -42,14 +42,14 @@
         clock: Clock;
         logger: Logger;
         leadership: FencedLeadership;
-        onListed: (job: OpenJob) => void;
+        onResultsStored: (job: OpenJob) => void;
     }) {
         this.opts = opts;
     }
 
     add(job: OpenJob, result: ItemResult): void {
         this.pending.push({ job, result });
-        void this.drain();
+        void this.writePending();
     }
 
     /** Drops what has not been written: another process leads now. */
@@ -60,12 +60,12 @@
     /** Resolves when all results are written, or at once where this process doesn't lead. */
     async flush(): Promise<void> {
         while (this.pending.length > 0 && this.opts.leadership.fence() !== undefined) {
-            await this.drain();
+            await this.writePending();
             await sleep(this.opts.clock, 10);
         }
     }
 
-    private async drain(): Promise<void> {
+    private async writePending(): Promise<void> {
         if (this.isWriting) {
             return;
         }
@@ -80,7 +80,7 @@
         }
     }
 
-    private takeBatch(): PlacedResult[] {
+    private takeBatch(): PositionedResult[] {
         let length = 0;
         const batch = this.pending.slice(0, MAX_RESULTS).filter(({ result }, index) => {
             length += result.output.length;
@@ -95,7 +95,7 @@
     }
 
     /** Repeats the write until its outcome is known or the lead under which its positions were given is lost. */
-    private async writeBatch(batch: PlacedResult[]): Promise<void> {
+    private async writeBatch(batch: PositionedResult[]): Promise<void> {
         const fence = this.opts.leadership.fence();
         const operations: KeyValueOperation[] = batch.map(({ job, result, position }) => ({
             kind: "put",
@@ -116,7 +116,7 @@
                     this.opts.leadership.stepDown("write-refused");
                 }
                 if (settled.kind === "succeeded" && this.opts.leadership.fence()?.modRevision === fence.modRevision) {
-                    this.list(batch);
+                    this.onStored(batch);
                     return;
                 }
             }
@@ -128,9 +128,9 @@
         }
     }
 
-    private list(batch: PlacedResult[]): void {
+    private onStored(batch: PositionedResult[]): void {
         batch.forEach(({ job, result, position }) => {
-            job.list(position, result);
+            job.addResult(position, result);
             this.opts.logger.info("item-listed", {
                 jobId: job.record.jobId,
                 itemId: result.itemId,
@@ -138,6 +138,6 @@
                 position,
             });
         });
-        [...new Set(batch.map(({ job }) => job))].forEach(job => this.opts.onListed(job));
+        [...new Set(batch.map(({ job }) => job))].forEach(job => this.opts.onResultsStored(job));
     }
 }
--- a/fleet/jobs/test/applyRunOutcome.test.ts
+++ b/fleet/jobs/test/applyRunOutcome.test.ts
@@ -15,14 +15,14 @@
 test("an item is given up after as many failures as allowed, and at once where it can't be done", () => {
     const item = begunItem();
     const outcomes = [1, 2, 3].map(() => applyRunOutcome(item, { kind: "failed" }, opts));
-    assert.deepEqual(outcomes, ["again", "again", "given-up"]);
+    assert.deepEqual(outcomes, ["retry", "retry", "given-up"]);
     assert.equal(applyRunOutcome(begunItem(), { kind: "impossible" }, opts), "given-up");
 });
 
 test("a broken run counts nothing against the item and keeps what had come", () => {
     const item = begunItem();
     const broken = { kind: "broken", code: "ECONNRESET", isUnreachable: false } as const;
-    Array.from({ length: 10 }).forEach(() => assert.equal(applyRunOutcome(item, broken, opts), "again"));
+    Array.from({ length: 10 }).forEach(() => assert.equal(applyRunOutcome(item, broken, opts), "retry"));
     assert.deepEqual([item.failedAttempts, item.lastEventId], [0, 1]);
 });
 
--- a/fleet/jobs/test/batchChoices.test.ts
+++ b/fleet/jobs/test/batchChoices.test.ts
@@ -92,7 +92,7 @@
             jobs.push(new OpenJob(jobOf({ id: `j${nowMs}`, itemCount: 10, dueAtMs: nowMs + 18_000 })));
         }
         running.filter(run => run.endMs <= nowMs && run.item.state === "running").forEach(run => {
-            run.item.state = "listed";
+            run.item.state = "stored";
             inTime += run.endMs <= run.dueAtMs ? 1 : 0;
         });
         const free = slots - running.filter(run => run.item.state === "running").length;
--- a/fleet/jobs/test/jobSweep.test.ts
+++ b/fleet/jobs/test/jobCleanup.test.ts
@@ -5,8 +5,8 @@
 import { MemoryKeyValueService } from "@knapweedwood/standins.key-value/memoryKeyValueService";
 import assert from "node:assert/strict";
 import { test } from "node:test";
+import { JobCleanup } from "../src/jobCleanup.js";
 import { jobKeys } from "../src/jobKeys.js";
-import { JobSweep } from "../src/jobSweep.js";
 import { JobTable } from "../src/jobTable.js";
 import { jobOf } from "./jobOf.js";
 
@@ -16,7 +16,7 @@
     const clock = new ManualClock();
     const service = new MemoryKeyValueService({ clock });
     const { revision } = await service.transact([], [{ kind: "put", key: "leader", value: Buffer.from("a") }]);
-    const lead: FencedLeadership = {
+    const leadership: FencedLeadership = {
         isLeading: () => true,
         fence: () => ({ key: "leader", modRevision: revision }),
         stepDown: () => undefined,
@@ -38,28 +38,35 @@
     const table = new JobTable();
     table.apply(await service.list(jobKeys.jobsPrefix));
     table.applyResults(await service.list(jobKeys.resultsPrefix));
-    const sweep = new JobSweep({ clock, service, logger: silentLogger, lead, table, resultRetentionMs: () => 1000 });
-    return { clock, service, table, sweep };
+    const cleanup = new JobCleanup({
+        clock,
+        service,
+        logger: silentLogger,
+        leadership,
+        table,
+        resultRetentionMs: () => 1000,
+    });
+    return { clock, service, table, cleanup };
 }
 
 test("an ended job's tokens no longer wait, whenever the service answers again", async () => {
-    const { service, table, sweep } = await setUp();
-    sweep.onEnded(table.get(record.jobId)!);
+    const { service, table, cleanup } = await setUp();
+    cleanup.onEnded(table.get(record.jobId)!);
     service.faults.outage = true;
-    await sweep.run();
+    await cleanup.run();
     service.faults.outage = false;
-    await sweep.run();
+    await cleanup.run();
     const entry = await service.get(jobKeys.waitingTokens(record.routeName));
     assert.deepEqual(JSON.parse(Buffer.from(entry!.value).toString()), { jobs: [{ jobId: "other", tokens: 7 }] });
 });
 
 test("an ended job is removed after its retention, not before", async () => {
-    const { clock, service, table, sweep } = await setUp();
+    const { clock, service, table, cleanup } = await setUp();
     await clock.advance(900);
-    await sweep.run();
+    await cleanup.run();
     assert.notEqual(await service.get(jobKeys.record(record.jobId)), undefined);
     await clock.advance(200);
-    await sweep.run();
+    await cleanup.run();
     assert.deepEqual(await service.list("knapweed/jobs/"), []);
     assert.deepEqual(await service.list("knapweed/results/"), []);
     assert.equal(table.get(record.jobId), undefined);
--- a/fleet/jobs/test/jobTable.test.ts
+++ b/fleet/jobs/test/jobTable.test.ts
@@ -43,7 +43,7 @@
     const stored = { itemId: record.items[0]!.id, state: "completed", output: "whole" };
     table.applyResults([entryOf(jobKeys.result(record.jobId, 0), stored)]);
     table.restoreFrom(earlier);
-    assert.equal(table.get(record.jobId)!.items[0]!.state, "listed");
+    assert.equal(table.get(record.jobId)!.items[0]!.state, "stored");
     assert.deepEqual(table.get(record.jobId)!.page(0).results, [stored]);
 });
 
@@ -62,7 +62,7 @@
     const table = new JobTable();
     const record = jobOf({ id: "a", itemCount: 1 });
     table.applyHeld({ record, bodies: Buffer.alloc(0), maxWaitingTokens: 1000 });
-    table.get(record.jobId)!.list(0, { itemId: record.items[0]!.id, state: "completed", output: "" });
+    table.get(record.jobId)!.addResult(0, { itemId: record.items[0]!.id, state: "completed", output: "" });
     const entry = {
         key: jobKeys.record(record.jobId),
         value: encodeRecord(record),
@@ -70,5 +70,5 @@
         leaseId: undefined,
     };
     table.apply([entry]);
-    assert.deepEqual(table.endedAmong([entry]).map(job => job.record.jobId), ["a"]);
+    assert.deepEqual(table.findEnded([entry]).map(job => job.record.jobId), ["a"]);
 });
--- a/fleet/jobs/test/progressKeeper.test.ts
+++ b/fleet/jobs/test/progressWriter.test.ts
@@ -7,13 +7,13 @@
 import { jobKeys } from "../src/jobKeys.js";
 import { JobTable } from "../src/jobTable.js";
 import { OpenJob } from "../src/openJob.js";
-import { ProgressKeeper } from "../src/progressKeeper.js";
+import { ProgressWriter } from "../src/progressWriter.js";
 import { jobOf } from "./jobOf.js";
 
 async function setUp() {
     const service = new MemoryKeyValueService({ clock: new ManualClock() });
     const { revision } = await service.transact([], [{ kind: "put", key: "leader", value: Buffer.from("a") }]);
-    const lead: FencedLeadership = {
+    const leadership: FencedLeadership = {
         isLeading: () => true,
         fence: () => ({ key: "leader", modRevision: revision }),
         stepDown: () => undefined,
@@ -24,12 +24,12 @@
         item.lastEventId = index * 10;
         item.events = Array.from({ length: index * 10 }, (_, event) => `e${event}`);
     });
-    return { service, job, keeper: new ProgressKeeper({ service, lead }) };
+    return { service, job, writer: new ProgressWriter({ service, leadership }) };
 }
 
 test("the next leader goes on from what was stored", async () => {
-    const { service, job, keeper } = await setUp();
-    await keeper.saveFurthest([job], 5);
+    const { service, job, writer } = await setUp();
+    await writer.saveFurthest([job], 5);
     const table = new JobTable();
     const record = { key: jobKeys.record(job.record.jobId), value: encodeRecord(job.record) };
     table.apply([{ ...record, modRevision: 1, leaseId: undefined }]);
@@ -39,16 +39,16 @@
 });
 
 test("what was stored is not stored again before it has grown", async () => {
-    const { service, job, keeper } = await setUp();
-    await keeper.saveFurthest([job], 5);
+    const { service, job, writer } = await setUp();
+    await writer.saveFurthest([job], 5);
     const writes = service.counters.writes;
-    await keeper.saveFurthest([job], 5);
+    await writer.saveFurthest([job], 5);
     assert.equal(service.counters.writes, writes);
 });
 
 test("a former leader stores nothing", async () => {
-    const { service, job, keeper } = await setUp();
+    const { service, job, writer } = await setUp();
     await service.transact([], [{ kind: "put", key: "leader", value: Buffer.from("b") }]);
-    await keeper.saveAll([job]);
+    await writer.saveAll([job]);
     assert.deepEqual(await service.list(jobKeys.resultsPrefix), []);
 });
--- a/fleet/jobs/test/resultCommitter.test.ts
+++ b/fleet/jobs/test/resultCommitter.test.ts
@@ -46,7 +46,7 @@
         clock,
         logger: silentLogger,
         leadership: lead,
-        onListed: () => undefined,
+        onResultsStored: () => undefined,
     });
     const job = new OpenJob(jobOf({ id: "j", itemCount: 3 }));
     const result = (index: number): ItemResult => ({ itemId: job.items[index]!.id, state: "completed", output: "x" });
