--- a/daemons/fleet/src/fleetProcess.ts
+++ b/daemons/fleet/src/fleetProcess.ts
@@ -3,7 +3,7 @@
 import type { Incarnation } from "@knapweedwood/core.ids/incarnation";
 import type { InstanceId } from "@knapweedwood/core.ids/instanceId";
 import { SeededRandom } from "@knapweedwood/core.random/seededRandom";
-import { HELD_JOBS_SETTLE_MS } from "@knapweedwood/fleet.jobs/heldJobsSettleMs";
+import { HELD_JOBS_WRITE_MS } from "@knapweedwood/fleet.jobs/heldJobsWriteMs";
 import { LoadBoard } from "@knapweedwood/fleet.load/loadBoard";
 import { LoadExchange } from "@knapweedwood/fleet.load/loadExchange";
 import type { LoadReport } from "@knapweedwood/fleet.load/loadReport";
@@ -131,7 +131,7 @@
 
     /** Whether jobs that were held during an outage of the key-value service have been written by now. */
     get isSettled(): boolean {
-        return this.clock.nowMs() > this.peers.mirror.reachableSinceMs + HELD_JOBS_SETTLE_MS;
+        return this.clock.nowMs() > this.peers.mirror.reachableSinceMs + HELD_JOBS_WRITE_MS;
     }
 
     /** Resolves once the process is informed, or after `maxMs`. */
--- a/daemons/fleet/src/gatewayProgram.ts
+++ b/daemons/fleet/src/gatewayProgram.ts
@@ -96,7 +96,7 @@
                     runners: () => this.fleet.peers.runners(),
                     copies: () => settingsInForce.current.tolerableLosses + 1,
                 }),
-                isSettled: () => this.fleet.isSettled,
+                areHeldJobsWritten: () => this.fleet.isSettled,
             }),
             reader: new LinkJobReader({
                 endpoint: this.fleet.links,
--- a/daemons/fleet/src/runnerProgram.ts
+++ b/daemons/fleet/src/runnerProgram.ts
@@ -2,6 +2,7 @@
 import { sleep } from "@knapweedwood/core.clock/sleep";
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 import { toKnapweedError } from "@knapweedwood/core.errors/toKnapweedError";
+import { countJobTokens } from "@knapweedwood/fleet.jobs/countJobTokens";
 import { HeldJobs } from "@knapweedwood/fleet.jobs/heldJobs";
 import { holdJobCall } from "@knapweedwood/fleet.jobs/holdJobCall";
 import type { HoldOutcome } from "@knapweedwood/fleet.jobs/holdOutcome";
@@ -9,7 +10,6 @@
 import { itemBodyCall } from "@knapweedwood/fleet.jobs/itemBodyCall";
 import { JobRunner } from "@knapweedwood/fleet.jobs/jobRunner";
 import { resultsCall } from "@knapweedwood/fleet.jobs/resultsCall";
-import { tokensOf } from "@knapweedwood/fleet.jobs/tokensOf";
 import type { Logger } from "@knapweedwood/observability.logs/logger";
 import { emptyingProgressOperation } from "@knapweedwood/platform.adapter/emptyingProgressOperation";
 import { wireHeaders } from "@knapweedwood/platform.adapter/wireHeaders";
@@ -145,7 +145,7 @@
             return "not-held";
         }
         const isAccepted = this.runner.has(jobId) || this.held.has(jobId);
-        if (!isAccepted && waitingTokens + tokensOf(record) > maxWaitingTokens) {
+        if (!isAccepted && waitingTokens + countJobTokens(record) > maxWaitingTokens) {
             this.logger.info("job-over-limit", { jobId, waitingTokens, maxWaitingTokens });
             return "over-limit";
         }
--- a/fleet/jobs/src/tokensOf.ts
+++ b/fleet/jobs/src/countJobTokens.ts
@@ -1,6 +1,6 @@
 import type { JobRecord } from "./jobRecord.js";
 
 /** Tokens of all items of a job. */
-export function tokensOf(record: JobRecord): number {
+export function countJobTokens(record: JobRecord): number {
     return record.items.reduce((sum, item) => sum + item.tokens, 0);
 }
--- a/fleet/jobs/src/jobWriteOf.ts
+++ b/fleet/jobs/src/createJobOperations.ts
@@ -5,7 +5,7 @@
 import { PART_BYTES } from "./partBytes.js";
 
 /** The operations that store a job. */
-export function jobWriteOf({ record, bodies }: HeldJob): KeyValueOperation[] {
+export function createJobOperations({ record, bodies }: HeldJob): KeyValueOperation[] {
     const parts = Array.from({ length: record.partCount }, (_, index) => ({
         kind: "put" as const,
         key: jobKeys.part(record.jobId, index),
--- a/fleet/jobs/src/heldJobs.ts
+++ b/fleet/jobs/src/heldJobs.ts
@@ -10,10 +10,10 @@
 import type { Random } from "@knapweedwood/core.random/random";
 import type { Logger } from "@knapweedwood/observability.logs/logger";
 import { Packr } from "msgpackr";
+import { countJobTokens } from "./countJobTokens.js";
 import type { HeldJob } from "./heldJob.js";
 import { jobKeys } from "./jobKeys.js";
 import { planJobWrite } from "./planJobWrite.js";
-import { tokensOf } from "./tokensOf.js";
 
 /** Pause between attempts to write held jobs to the key-value service, in milliseconds. */
 const WRITE_INTERVAL_MS = 250;
@@ -35,7 +35,7 @@
     private readonly opts: HeldJobsOptions;
     private readonly packr = new Packr({ useRecords: false });
     private readonly jobs = new Map<SegmentDigest, HeldJob>();
-    private holding = 0;
+    private pendingHolds = 0;
 
     constructor(opts: HeldJobsOptions) {
         this.opts = opts;
@@ -43,7 +43,7 @@
 
     /** Jobs that are held, those that are being written to disk among them. */
     get count(): number {
-        return this.jobs.size + this.holding;
+        return this.jobs.size + this.pendingHolds;
     }
 
     all(): HeldJob[] {
@@ -58,7 +58,7 @@
     waitingTokens(routeName: string, exceptJobId: JobId): number {
         return this.all()
             .filter(({ record }) => record.routeName === routeName && record.jobId !== exceptJobId)
-            .reduce((sum, { record }) => sum + tokensOf(record), 0);
+            .reduce((sum, { record }) => sum + countJobTokens(record), 0);
     }
 
     /** Reads what an earlier start of the process held, then writes held jobs until `signal` is aborted. */
@@ -72,13 +72,13 @@
 
     /** Resolves once the job is synced to disk. Throws `SEGMENT_NOT_KEPT`. */
     async hold(job: HeldJob): Promise<void> {
-        this.holding += 1;
+        this.pendingHolds += 1;
         try {
             const digest = await this.opts.segments.put(this.packr.pack(job));
             this.jobs.set(digest, job);
         }
         finally {
-            this.holding -= 1;
+            this.pendingHolds -= 1;
         }
         this.opts.logger.info("job-held", { jobId: job.record.jobId });
         this.opts.onHeld(job);
@@ -122,10 +122,10 @@
             if (await service.get(recordKey) !== undefined) {
                 return;
             }
-            const known = await service.get(jobKeys.waitingTokens(job.record.routeName));
-            const { compares, operations } = planJobWrite(job, known);
-            const settled = await settleTransaction({ service, clock, compares, operations, witnessKey: recordKey });
-            if (settled.kind === "succeeded") {
+            const waitingTokensEntry = await service.get(jobKeys.waitingTokens(job.record.routeName));
+            const { compares, operations } = planJobWrite(job, waitingTokensEntry);
+            const result = await settleTransaction({ service, clock, compares, operations, witnessKey: recordKey });
+            if (result.kind === "succeeded") {
                 return;
             }
         }
--- a/fleet/jobs/src/heldJobsSettleMs.ts
+++ b/fleet/jobs/src/heldJobsWriteMs.ts
@@ -1,2 +1,2 @@
 /** Time after an outage in which jobs that were held on disks are written, in milliseconds. */
-export const HELD_JOBS_SETTLE_MS = 4000;
+export const HELD_JOBS_WRITE_MS = 4000;
--- a/fleet/jobs/src/jobAcceptor.ts
+++ b/fleet/jobs/src/jobAcceptor.ts
@@ -35,25 +35,25 @@
     private readonly clock: Clock;
     private readonly logger: Logger;
     private readonly holder: JobHolder;
-    private readonly isSettled: () => boolean;
-    private readonly limits = new Map<string, KeyValueEntry>();
+    private readonly areHeldJobsWritten: () => boolean;
+    private readonly waitingTokensEntries = new Map<string, KeyValueEntry>();
 
     /**
      * @param opts.holder keeps jobs while the service is away
-     * @param opts.isSettled whether jobs that were held during an outage have been written by now
+     * @param opts.areHeldJobsWritten whether jobs that were held during an outage have been written by now
      */
     constructor(opts: {
         service: KeyValueService;
         clock: Clock;
         logger: Logger;
         holder: JobHolder;
-        isSettled: () => boolean;
+        areHeldJobsWritten: () => boolean;
     }) {
         this.service = opts.service;
         this.clock = opts.clock;
         this.logger = opts.logger;
         this.holder = opts.holder;
-        this.isSettled = opts.isSettled;
+        this.areHeldJobsWritten = opts.areHeldJobsWritten;
     }
 
     async accept(route: Route, submission: JobSubmission): Promise<Acceptance> {
@@ -66,7 +66,7 @@
     /** @returns whether the job exists; throws where that isn't known */
     async cancel(jobId: JobId): Promise<boolean> {
         const record = await this.service.get(jobKeys.record(jobId));
-        if (record === undefined && !this.isSettled()) {
+        if (record === undefined && !this.areHeldJobsWritten()) {
             throw new KnapweedError("JOBS_NOT_SETTLED", "Jobs held during an outage may not be written yet");
         }
         if (record === undefined) {
@@ -88,7 +88,7 @@
      * the disks come first then, where the leading runner knows all.
      */
     private async writeOrHold(route: Route, submission: JobSubmission): Promise<Acceptance> {
-        const isCountUncertain = route.maxWaitingTokens !== undefined && !this.isSettled();
+        const isCountUncertain = route.maxWaitingTokens !== undefined && !this.areHeldJobsWritten();
         const held = isCountUncertain ? await this.hold(route, submission) : "not-held";
         switch (held) {
             case "held":
@@ -97,19 +97,19 @@
                 return await this.findAccepted(submission.jobId)
                     ?? { kind: "refused", reason: "over-limit", retryAfterMs: RETRY_AFTER_MS };
             default:
-                return combine(await this.writeThenHold(route, submission), held);
+                return mergeHoldOutcome(await this.writeThenHold(route, submission), held);
         }
     }
 
     /** Writes the job; where that takes long or fails, keeps it on disks until it can be written. */
     private async writeThenHold(route: Route, submission: JobSubmission): Promise<Acceptance> {
-        const writing = this.tryAccept(route, submission);
+        const writing = this.tryWrite(route, submission);
         const written = await Promise.race([writing, sleep(this.clock, HOLD_AFTER_MS)]);
         if (written !== undefined && isFinal(written)) {
             return written;
         }
         const held = await this.hold(route, submission);
-        return held === "held" ? { kind: "accepted", revision: 0 } : combine(await writing, held);
+        return held === "held" ? { kind: "accepted", revision: 0 } : mergeHoldOutcome(await writing, held);
     }
 
     /** A job that was accepted before is accepted again, however many wait. */
@@ -125,15 +125,15 @@
     }
 
     private hold(route: Route, submission: JobSubmission): Promise<HoldOutcome> {
-        const known = this.limits.get(route.name);
-        const stored = known === undefined ? [] : decodeRecord<WaitingTokens>(known.value).jobs;
+        const cachedEntry = this.waitingTokensEntries.get(route.name);
+        const stored = cachedEntry === undefined ? [] : decodeRecord<WaitingTokens>(cachedEntry.value).jobs;
         const storedTokens = stored
             .filter(job => job.jobId !== submission.jobId)
             .reduce((sum, job) => sum + job.tokens, 0);
         return this.holder.hold({ job: this.toJob(route, submission), storedTokens });
     }
 
-    private async tryAccept(route: Route, submission: JobSubmission): Promise<Acceptance> {
+    private async tryWrite(route: Route, submission: JobSubmission): Promise<Acceptance> {
         try {
             for (let conflicts = 0; conflicts < MAX_CONFLICTS; conflicts += 1) {
                 const acceptance = await this.writeOnce(route, submission);
@@ -155,9 +155,9 @@
     /** @returns undefined where another job was accepted meanwhile and the write has to be made anew */
     private async writeOnce(route: Route, submission: JobSubmission): Promise<Acceptance | undefined> {
         const recordKey = jobKeys.record(submission.jobId);
-        const plan = planJobWrite(this.toJob(route, submission), this.limits.get(route.name));
+        const plan = planJobWrite(this.toJob(route, submission), this.waitingTokensEntries.get(route.name));
         if (plan.waitingTokens > (route.maxWaitingTokens ?? Infinity)) {
-            return this.refuseOverLimit(route, submission);
+            return this.rejectOverLimit(route, submission);
         }
         const result = await settleTransaction({
             service: this.service,
@@ -177,12 +177,12 @@
         if (existing !== undefined) {
             return { kind: "accepted", revision: existing.modRevision };
         }
-        this.learnLimit(route, result.current);
+        this.updateWaitingTokensEntry(route, result.current);
         return undefined;
     }
 
     /** The record known here may be old: a refusal is only made on the newest. */
-    private async refuseOverLimit(route: Route, submission: JobSubmission): Promise<Acceptance | undefined> {
+    private async rejectOverLimit(route: Route, submission: JobSubmission): Promise<Acceptance | undefined> {
         const [existing, newest] = await Promise.all([
             this.service.get(jobKeys.record(submission.jobId)),
             this.service.get(jobKeys.waitingTokens(route.name)),
@@ -190,20 +190,20 @@
         if (existing !== undefined) {
             return { kind: "accepted", revision: existing.modRevision };
         }
-        if (newest?.modRevision !== this.limits.get(route.name)?.modRevision) {
-            this.learnLimit(route, newest === undefined ? [] : [newest]);
+        if (newest?.modRevision !== this.waitingTokensEntries.get(route.name)?.modRevision) {
+            this.updateWaitingTokensEntry(route, newest === undefined ? [] : [newest]);
             return undefined;
         }
         return { kind: "refused", reason: "over-limit", retryAfterMs: RETRY_AFTER_MS };
     }
 
-    private learnLimit(route: Route, current: readonly KeyValueEntry[]): void {
+    private updateWaitingTokensEntry(route: Route, current: readonly KeyValueEntry[]): void {
         const entry = current.find(candidate => candidate.key === jobKeys.waitingTokens(route.name));
         if (entry === undefined) {
-            this.limits.delete(route.name);
+            this.waitingTokensEntries.delete(route.name);
             return;
         }
-        this.limits.set(route.name, entry);
+        this.waitingTokensEntries.set(route.name, entry);
     }
 
     private toJob(route: Route, submission: JobSubmission): HeldJob {
@@ -239,7 +239,7 @@
 }
 
 /** What is known of a job that could not be held, from the end of its write. */
-function combine(written: Acceptance, held: HoldOutcome): Acceptance {
+function mergeHoldOutcome(written: Acceptance, held: HoldOutcome): Acceptance {
     if (written.kind !== "refused") {
         return written;
     }
--- a/fleet/jobs/src/jobReader.ts
+++ b/fleet/jobs/src/jobReader.ts
@@ -4,7 +4,7 @@
 import type { JobId } from "@knapweedwood/core.ids/jobId";
 import type { KeyValueEntry } from "@knapweedwood/core.key-value/keyValueEntry";
 import type { SnapshotKeyValueService } from "@knapweedwood/core.key-value/snapshotKeyValueService";
-import { HELD_JOBS_SETTLE_MS } from "./heldJobsSettleMs.js";
+import { HELD_JOBS_WRITE_MS } from "./heldJobsWriteMs.js";
 import { jobKeys } from "./jobKeys.js";
 import type { JobTable } from "./jobTable.js";
 import type { OpenJob } from "./openJob.js";
@@ -72,7 +72,7 @@
 
     /** After an outage jobs that were held on disks are written within moments. */
     private assertHeldJobsWritten(): void {
-        if (this.opts.clock.nowMs() < this.opts.reachableSinceMs() + HELD_JOBS_SETTLE_MS) {
+        if (this.opts.clock.nowMs() < this.opts.reachableSinceMs() + HELD_JOBS_WRITE_MS) {
             throw new KnapweedError("JOBS_NOT_SETTLED", "Jobs held during an outage may not be written yet", {
                 outcome: "not-run",
             });
--- a/fleet/jobs/src/openJob.ts
+++ b/fleet/jobs/src/openJob.ts
@@ -3,7 +3,7 @@
 import type { ItemResult } from "./itemResult.js";
 import type { JobItem } from "./jobItem.js";
 import type { JobRecord } from "./jobRecord.js";
-import { progressOf } from "./progressOf.js";
+import { pickProgress } from "./pickProgress.js";
 import type { ResultsPage } from "./resultsPage.js";
 
 /** Largest output of one page, in characters. */
@@ -69,7 +69,7 @@
     restoreProgress(index: number, progress: ItemProgress): void {
         const item = this.items[index];
         if (item !== undefined && item.state === "pending" && progress.lastEventId >= item.lastEventId) {
-            Object.assign(item, progressOf(progress));
+            Object.assign(item, pickProgress(progress));
         }
     }
 
--- a/fleet/jobs/src/planJobWrite.ts
+++ b/fleet/jobs/src/planJobWrite.ts
@@ -3,10 +3,10 @@
 import type { KeyValueCompare } from "@knapweedwood/core.key-value/keyValueCompare";
 import type { KeyValueEntry } from "@knapweedwood/core.key-value/keyValueEntry";
 import type { KeyValueOperation } from "@knapweedwood/core.key-value/keyValueOperation";
+import { countJobTokens } from "./countJobTokens.js";
+import { createJobOperations } from "./createJobOperations.js";
 import type { HeldJob } from "./heldJob.js";
 import { jobKeys } from "./jobKeys.js";
-import { jobWriteOf } from "./jobWriteOf.js";
-import { tokensOf } from "./tokensOf.js";
 import type { WaitingTokens } from "./waitingTokens.js";
 
 /** The write that stores a job and, where its route has a limit, counts its tokens as waiting. */
@@ -17,19 +17,19 @@
     waitingTokens: number;
 }
 
-/** @param known the route's entry of waiting tokens as last seen; the write fails where it has changed */
-export function planJobWrite(job: HeldJob, known: KeyValueEntry | undefined): JobWrite {
+/** @param waitingTokensEntry the route's entry of waiting tokens as last seen; the write fails where it has changed */
+export function planJobWrite(job: HeldJob, waitingTokensEntry: KeyValueEntry | undefined): JobWrite {
     const { record } = job;
     const compares = [{ key: jobKeys.record(record.jobId), modRevision: 0 }];
-    const operations = jobWriteOf(job);
+    const operations = createJobOperations(job);
     if (job.maxWaitingTokens === undefined) {
         return { compares, operations, waitingTokens: 0 };
     }
     const key = jobKeys.waitingTokens(record.routeName);
-    const others = known === undefined ? [] : decodeRecord<WaitingTokens>(known.value).jobs;
-    const jobs = [...others, { jobId: record.jobId, tokens: tokensOf(record) }];
+    const others = waitingTokensEntry === undefined ? [] : decodeRecord<WaitingTokens>(waitingTokensEntry.value).jobs;
+    const jobs = [...others, { jobId: record.jobId, tokens: countJobTokens(record) }];
     return {
-        compares: [...compares, { key, modRevision: known?.modRevision ?? 0 }],
+        compares: [...compares, { key, modRevision: waitingTokensEntry?.modRevision ?? 0 }],
         operations: [...operations, { kind: "put", key, value: encodeRecord({ jobs } satisfies WaitingTokens) }],
         waitingTokens: jobs.reduce((sum, other) => sum + other.tokens, 0),
     };
--- a/fleet/jobs/src/progressWriter.ts
+++ b/fleet/jobs/src/progressWriter.ts
@@ -4,7 +4,7 @@
 import type { JobItem } from "./jobItem.js";
 import { jobKeys } from "./jobKeys.js";
 import type { OpenJob } from "./openJob.js";
-import { progressOf } from "./progressOf.js";
+import { pickProgress } from "./pickProgress.js";
 
 /** Progress entries that one write carries; the key-value service takes 32 entries. */
 const MAX_ENTRIES = 30;
@@ -66,7 +66,7 @@
             items.map(({ job, item }) => ({
                 kind: "put",
                 key: jobKeys.progress(job.record.jobId, item.index),
-                value: encodeRecord(progressOf(item)),
+                value: encodeRecord(pickProgress(item)),
             })),
         );
         items.forEach(({ item }, index) => this.storedEventIds.set(item, storedIds[index]!));
--- a/fleet/jobs/test/applyRunOutcome.test.ts
+++ b/fleet/jobs/test/applyRunOutcome.test.ts
@@ -2,32 +2,32 @@
 import { test } from "node:test";
 import { applyRunOutcome } from "../src/applyRunOutcome.js";
 import { OpenJob } from "../src/openJob.js";
-import { jobOf } from "./jobOf.js";
+import { createJobRecord } from "./createJobRecord.js";
 
 const opts = { nowMs: 1000, maxAttempts: 3 };
 
-function begunItem() {
-    const item = new OpenJob(jobOf({ id: "j", itemCount: 1 })).items[0]!;
+function createItemWithProgress() {
+    const item = new OpenJob(createJobRecord({ id: "j", itemCount: 1 })).items[0]!;
     Object.assign(item, { events: ["a"], lastEventId: 1 });
     return item;
 }
 
 test("an item is given up after as many failures as allowed, and at once where it can't be done", () => {
-    const item = begunItem();
+    const item = createItemWithProgress();
     const outcomes = [1, 2, 3].map(() => applyRunOutcome(item, { kind: "failed" }, opts));
     assert.deepEqual(outcomes, ["retry", "retry", "given-up"]);
-    assert.equal(applyRunOutcome(begunItem(), { kind: "impossible" }, opts), "given-up");
+    assert.equal(applyRunOutcome(createItemWithProgress(), { kind: "impossible" }, opts), "given-up");
 });
 
 test("a broken run counts nothing against the item and keeps what had come", () => {
-    const item = begunItem();
+    const item = createItemWithProgress();
     const broken = { kind: "broken", code: "ECONNRESET", isUnreachable: false } as const;
     Array.from({ length: 10 }).forEach(() => assert.equal(applyRunOutcome(item, broken, opts), "retry"));
     assert.deepEqual([item.failedAttempts, item.lastEventId], [0, 1]);
 });
 
 test("an item whose events can't be trusted begins anew", () => {
-    const item = begunItem();
+    const item = createItemWithProgress();
     applyRunOutcome(item, { kind: "garbled", code: "EVENT_OUT_OF_ORDER" }, opts);
     assert.deepEqual([item.events, item.lastEventId], [[], 0]);
 });
--- a/fleet/jobs/test/batchChoices.test.ts
+++ b/fleet/jobs/test/batchChoices.test.ts
@@ -10,7 +10,7 @@
 import type { JobItem } from "../src/jobItem.js";
 import { OpenJob } from "../src/openJob.js";
 import { orderStartableItems } from "../src/orderStartableItems.js";
-import { jobOf } from "./jobOf.js";
+import { createJobRecord } from "./createJobRecord.js";
 
 function candidate(id: string, online: number, batch: number): BatchCandidate {
     const upstream = {
@@ -31,10 +31,13 @@
 });
 
 test("an item that an upstream has failed goes to another, and back only where none else has room", () => {
-    const candidates = [candidate("ill", 0, 0), candidate("well", 5, 0)];
-    const failedAt = ["ill" as UpstreamId];
-    assert.equal(chooseBatchUpstream(candidates, failedAt)?.upstream.id, "well");
-    assert.equal(chooseBatchUpstream([candidate("ill", 0, 0), candidate("well", 8, 0)], failedAt)?.upstream.id, "ill");
+    const candidates = [candidate("failing", 0, 0), candidate("healthy", 5, 0)];
+    const failedAt = ["failing" as UpstreamId];
+    assert.equal(chooseBatchUpstream(candidates, failedAt)?.upstream.id, "healthy");
+    assert.equal(
+        chooseBatchUpstream([candidate("failing", 0, 0), candidate("healthy", 8, 0)], failedAt)?.upstream.id,
+        "failing",
+    );
 });
 
 test("a burst ends as many runs as it displaces: those due last, then those started last", () => {
@@ -55,9 +58,9 @@
 
 test("items run by due time, begun ones first, jobs that are late already last", () => {
     const jobs = [
-        new OpenJob(jobOf({ id: "late", itemCount: 1, dueAtMs: 900 })),
-        new OpenJob(jobOf({ id: "far", itemCount: 1, dueAtMs: 9000 })),
-        new OpenJob(jobOf({ id: "near", itemCount: 2, dueAtMs: 2000 })),
+        new OpenJob(createJobRecord({ id: "late", itemCount: 1, dueAtMs: 900 })),
+        new OpenJob(createJobRecord({ id: "far", itemCount: 1, dueAtMs: 9000 })),
+        new OpenJob(createJobRecord({ id: "near", itemCount: 2, dueAtMs: 2000 })),
     ];
     jobs[2]!.items[1]!.lastEventId = 3;
     const order = orderStartableItems(jobs, { nowMs: 1000, remainingMs: () => 0 }).map(({ item }) => item.id);
@@ -69,18 +72,18 @@
 
 test("of more jobs than fit, the items that can still be in time run first", () => {
     const jobs = [
-        new OpenJob(jobOf({ id: "hopeless", itemCount: 1, dueAtMs: 4000 })),
-        new OpenJob(jobOf({ id: "begun", itemCount: 1, dueAtMs: 4000 })),
-        new OpenJob(jobOf({ id: "near", itemCount: 1, dueAtMs: 7000 })),
-        new OpenJob(jobOf({ id: "far", itemCount: 1, dueAtMs: 9000 })),
+        new OpenJob(createJobRecord({ id: "too-late", itemCount: 1, dueAtMs: 4000 })),
+        new OpenJob(createJobRecord({ id: "started", itemCount: 1, dueAtMs: 4000 })),
+        new OpenJob(createJobRecord({ id: "near", itemCount: 1, dueAtMs: 7000 })),
+        new OpenJob(createJobRecord({ id: "far", itemCount: 1, dueAtMs: 9000 })),
     ];
     jobs[1]!.items[0]!.lastEventId = 60;
     const order = orderStartableItems(jobs, { nowMs: 1000, remainingMs: remainingOfFiveSecondItem });
-    assert.deepEqual(order.map(({ item }) => item.id), ["begun-0", "near-0", "far-0", "hopeless-0"]);
+    assert.deepEqual(order.map(({ item }) => item.id), ["started-0", "near-0", "far-0", "too-late-0"]);
 });
 
 /** Plays jobs that come at once before a fixed number of slots. @returns items that were in time */
-function playOverload(remainingMs: (item: JobItem) => number): number {
+function simulateOverload(remainingMs: (item: JobItem) => number): number {
     const slots = 8;
     const runMs = 5000;
     const stepMs = 500;
@@ -89,7 +92,7 @@
     let inTime = 0;
     for (let nowMs = 0; nowMs < 60_000; nowMs += stepMs) {
         if (nowMs < 30_000 && nowMs % 2000 === 0) {
-            jobs.push(new OpenJob(jobOf({ id: `j${nowMs}`, itemCount: 10, dueAtMs: nowMs + 18_000 })));
+            jobs.push(new OpenJob(createJobRecord({ id: `j${nowMs}`, itemCount: 10, dueAtMs: nowMs + 18_000 })));
         }
         running.filter(run => run.endMs <= nowMs && run.item.state === "running").forEach(run => {
             run.item.state = "stored";
@@ -106,14 +109,14 @@
 
 test("jobs at three times the capacity: nearly all that fits is in time, not just late", () => {
     const capacity = 8 * 48 / 5;
-    const inTime = playOverload(remainingOfFiveSecondItem);
+    const inTime = simulateOverload(remainingOfFiveSecondItem);
     assert.ok(inTime >= capacity * 0.9, `${inTime} of ${capacity}`);
-    assert.ok(playOverload(() => 0) < capacity * 0.6, "without it, items run although they will be late");
+    assert.ok(simulateOverload(() => 0) < capacity * 0.6, "without it, items run although they will be late");
 });
 
 test("the expected time of an item follows what ran, and leaves room for giving way", () => {
     const estimator = new ItemRunTimeEstimator();
-    const item = new OpenJob(jobOf({ id: "a", itemCount: 1 })).items[0]!;
+    const item = new OpenJob(createJobRecord({ id: "a", itemCount: 1 })).items[0]!;
     assert.equal(estimator.remainingMs(item), 0, "nothing is known yet");
     estimator.recordRun(2, 9000);
     estimator.recordRun(100, 5000);
--- a/fleet/jobs/test/jobOf.ts
+++ b/fleet/jobs/test/createJobRecord.ts
@@ -3,7 +3,7 @@
 import type { JobRecord } from "../src/jobRecord.js";
 
 /** A job with items `0`, `1`, ... for tests. */
-export function jobOf(opts: { id: string; itemCount: number; dueAtMs?: number; }): JobRecord {
+export function createJobRecord(opts: { id: string; itemCount: number; dueAtMs?: number; }): JobRecord {
     return {
         jobId: opts.id as JobId,
         routeName: "route",
--- a/fleet/jobs/test/heldJobs.test.ts
+++ b/fleet/jobs/test/heldJobs.test.ts
@@ -13,10 +13,10 @@
 import { HeldJobs } from "../src/heldJobs.js";
 import { jobKeys } from "../src/jobKeys.js";
 import type { WaitingTokens } from "../src/waitingTokens.js";
-import { jobOf } from "./jobOf.js";
+import { createJobRecord } from "./createJobRecord.js";
 
 const job: HeldJob = {
-    record: { ...jobOf({ id: "j", itemCount: 1 }), partCount: 1 },
+    record: { ...createJobRecord({ id: "j", itemCount: 1 }), partCount: 1 },
     bodies: Buffer.from("body"),
     maxWaitingTokens: 1000,
 };
--- a/fleet/jobs/test/jobAcceptor.test.ts
+++ b/fleet/jobs/test/jobAcceptor.test.ts
@@ -21,7 +21,7 @@
     };
 }
 
-function setUp(held: HoldOutcome = "not-held", isSettled = true) {
+function setUp(held: HoldOutcome = "not-held", areHeldJobsWritten = true) {
     const clock = new ManualClock();
     const service = new MemoryKeyValueService({ clock });
     const acceptor = () =>
@@ -30,7 +30,7 @@
             clock,
             logger: silentLogger,
             holder: { hold: () => Promise.resolve(held) },
-            isSettled: () => isSettled,
+            areHeldJobsWritten: () => areHeldJobsWritten,
         });
     const settle = async (pending: Promise<Acceptance>): Promise<Acceptance> => {
         await clock.advance(10_000);
@@ -53,8 +53,8 @@
     const [first, second] = [acceptor(), acceptor()];
     assert.equal((await settle(first.accept(route, submissionOf("a")))).kind, "accepted");
     assert.equal((await settle(second.accept(route, submissionOf("b")))).kind, "accepted");
-    const refused = await settle(first.accept(route, submissionOf("c")));
-    assert.deepEqual([refused.kind, refused.kind === "refused" && refused.reason], ["refused", "over-limit"]);
+    const rejected = await settle(first.accept(route, submissionOf("c")));
+    assert.deepEqual([rejected.kind, rejected.kind === "refused" && rejected.reason], ["refused", "over-limit"]);
 });
 
 test("a lost answer is settled: the job is accepted once", async () => {
@@ -69,20 +69,20 @@
     assert.equal((await settle(acceptor().accept(route, submissionOf("j")))).kind, "accepted");
 });
 
-test("a job that no disk can hold is refused, one that a disk may hold is not", async () => {
-    const refusing = setUp("not-held");
-    refusing.service.faults.outage = true;
-    assert.equal((await refusing.settle(refusing.acceptor().accept(route, submissionOf("j")))).kind, "refused");
-    const unsure = setUp("unknown");
-    unsure.service.faults.outage = true;
-    assert.equal((await unsure.settle(unsure.acceptor().accept(route, submissionOf("j")))).kind, "unknown");
+test("a job that no disk can hold is rejected, one that a disk may hold is not", async () => {
+    const rejecting = setUp("not-held");
+    rejecting.service.faults.outage = true;
+    assert.equal((await rejecting.settle(rejecting.acceptor().accept(route, submissionOf("j")))).kind, "refused");
+    const uncertain = setUp("unknown");
+    uncertain.service.faults.outage = true;
+    assert.equal((await uncertain.settle(uncertain.acceptor().accept(route, submissionOf("j")))).kind, "unknown");
 });
 
-test("during an outage a job over the limit is refused as such", async () => {
+test("during an outage a job over the limit is rejected as such", async () => {
     const { service, acceptor, settle } = setUp("over-limit");
     service.faults.outage = true;
-    const refused = await settle(acceptor().accept(route, submissionOf("j")));
-    assert.deepEqual([refused.kind, refused.kind === "refused" && refused.reason], ["refused", "over-limit"]);
+    const rejected = await settle(acceptor().accept(route, submissionOf("j")));
+    assert.deepEqual([rejected.kind, rejected.kind === "refused" && rejected.reason], ["refused", "over-limit"]);
 });
 
 test("cancelling is acknowledged each time, and denied only for jobs that certainly don't exist", async () => {
@@ -96,11 +96,14 @@
 
 test("while held jobs are still being written, the leading runner decides on the limit", async () => {
     const full = setUp("over-limit", false);
-    const refused = await full.settle(full.acceptor().accept(route, submissionOf("j")));
-    assert.deepEqual([refused.kind, refused.kind === "refused" && refused.reason], ["refused", "over-limit"]);
+    const rejected = await full.settle(full.acceptor().accept(route, submissionOf("j")));
+    assert.deepEqual([rejected.kind, rejected.kind === "refused" && rejected.reason], ["refused", "over-limit"]);
     assert.deepEqual(await full.service.list(jobKeys.jobsPrefix), [], "nothing was written past it");
-    const withRoom = setUp("held", false);
-    assert.equal((await withRoom.settle(withRoom.acceptor().accept(route, submissionOf("j")))).kind, "accepted");
+    const withCapacity = setUp("held", false);
+    assert.equal(
+        (await withCapacity.settle(withCapacity.acceptor().accept(route, submissionOf("j")))).kind,
+        "accepted",
+    );
     const without = setUp("not-held", false);
     assert.equal((await without.settle(without.acceptor().accept(route, submissionOf("j")))).kind, "accepted");
 });
@@ -111,7 +114,7 @@
     assert.equal((await settle(acceptor().accept(route, submissionOf("j")))).kind, "accepted");
 });
 
-test("a job that one disk may hold is not said to be refused, whatever the write says then", async () => {
+test("a job that one disk may hold is not said to be rejected, whatever the write says then", async () => {
     const { acceptor, settle } = setUp("unknown", false);
     const tooLarge = submissionOf("j", 1000);
     assert.equal((await settle(acceptor().accept(route, tooLarge))).kind, "unknown");
--- a/fleet/jobs/test/jobCleanup.test.ts
+++ b/fleet/jobs/test/jobCleanup.test.ts
@@ -8,9 +8,9 @@
 import { JobCleanup } from "../src/jobCleanup.js";
 import { jobKeys } from "../src/jobKeys.js";
 import { JobTable } from "../src/jobTable.js";
-import { jobOf } from "./jobOf.js";
+import { createJobRecord } from "./createJobRecord.js";
 
-const record = jobOf({ id: "j", itemCount: 40 });
+const record = createJobRecord({ id: "j", itemCount: 40 });
 
 async function setUp() {
     const clock = new ManualClock();
--- a/fleet/jobs/test/jobTable.test.ts
+++ b/fleet/jobs/test/jobTable.test.ts
@@ -5,9 +5,9 @@
 import { test } from "node:test";
 import { jobKeys } from "../src/jobKeys.js";
 import { JobTable } from "../src/jobTable.js";
-import { jobOf } from "./jobOf.js";
+import { createJobRecord } from "./createJobRecord.js";
 
-const record = jobOf({ id: "j", itemCount: 2 });
+const record = createJobRecord({ id: "j", itemCount: 2 });
 
 function entryOf(key: string, value: object): KeyValueEntry {
     return { key, value: encodeRecord(value), modRevision: 1, leaseId: undefined };
@@ -49,8 +49,16 @@
 
 test("tokens wait while their items have no result, those of held jobs too", () => {
     const table = new JobTable();
-    table.applyHeld({ record: jobOf({ id: "a", itemCount: 2 }), bodies: Buffer.alloc(0), maxWaitingTokens: 1000 });
-    table.applyHeld({ record: jobOf({ id: "b", itemCount: 3 }), bodies: Buffer.alloc(0), maxWaitingTokens: 1000 });
+    table.applyHeld({
+        record: createJobRecord({ id: "a", itemCount: 2 }),
+        bodies: Buffer.alloc(0),
+        maxWaitingTokens: 1000,
+    });
+    table.applyHeld({
+        record: createJobRecord({ id: "b", itemCount: 3 }),
+        bodies: Buffer.alloc(0),
+        maxWaitingTokens: 1000,
+    });
     const [first] = table.all();
     first!.items[0]!.state = "finished";
     assert.equal(table.waitingTokens("route", "b" as JobId), 100);
@@ -60,7 +68,7 @@
 
 test("a job that ended before its record was stored is told once the record comes", () => {
     const table = new JobTable();
-    const record = jobOf({ id: "a", itemCount: 1 });
+    const record = createJobRecord({ id: "a", itemCount: 1 });
     table.applyHeld({ record, bodies: Buffer.alloc(0), maxWaitingTokens: 1000 });
     table.get(record.jobId)!.addResult(0, { itemId: record.items[0]!.id, state: "completed", output: "" });
     const entry = {
--- a/fleet/jobs/test/progressWriter.test.ts
+++ b/fleet/jobs/test/progressWriter.test.ts
@@ -8,7 +8,7 @@
 import { JobTable } from "../src/jobTable.js";
 import { OpenJob } from "../src/openJob.js";
 import { ProgressWriter } from "../src/progressWriter.js";
-import { jobOf } from "./jobOf.js";
+import { createJobRecord } from "./createJobRecord.js";
 
 async function setUp() {
     const service = new MemoryKeyValueService({ clock: new ManualClock() });
@@ -18,7 +18,7 @@
         fence: () => ({ key: "leader", modRevision: revision }),
         stepDown: () => undefined,
     };
-    const job = new OpenJob(jobOf({ id: "j", itemCount: 3 }));
+    const job = new OpenJob(createJobRecord({ id: "j", itemCount: 3 }));
     job.items.forEach((item, index) => {
         item.state = "running";
         item.lastEventId = index * 10;
--- a/fleet/jobs/test/resultCommitter.test.ts
+++ b/fleet/jobs/test/resultCommitter.test.ts
@@ -9,48 +9,48 @@
 import { jobKeys } from "../src/jobKeys.js";
 import { OpenJob } from "../src/openJob.js";
 import { ResultCommitter } from "../src/resultCommitter.js";
-import { jobOf } from "./jobOf.js";
+import { createJobRecord } from "./createJobRecord.js";
 
 const LEADER_KEY = "leader";
 
-class TestLead implements FencedLeadership {
-    held: KeyValueCompare | undefined;
-    abandoned = 0;
+class TestLeadership implements FencedLeadership {
+    currentFence: KeyValueCompare | undefined;
+    stepDownCount = 0;
 
     isLeading(): boolean {
-        return this.held !== undefined;
+        return this.currentFence !== undefined;
     }
 
     fence(): KeyValueCompare | undefined {
-        return this.held;
+        return this.currentFence;
     }
 
     stepDown(): void {
-        this.abandoned += 1;
-        this.held = undefined;
+        this.stepDownCount += 1;
+        this.currentFence = undefined;
     }
 }
 
 async function setUp() {
     const clock = new ManualClock();
     const service = new MemoryKeyValueService({ clock });
-    const lead = new TestLead();
-    const takeLead = async () => {
+    const leadership = new TestLeadership();
+    const gainLeadership = async () => {
         const put = { kind: "put", key: LEADER_KEY, value: Buffer.from(String(Math.random())) } as const;
         const { revision } = await service.transact([], [put]);
-        lead.held = { key: LEADER_KEY, modRevision: revision };
+        leadership.currentFence = { key: LEADER_KEY, modRevision: revision };
     };
-    await takeLead();
+    await gainLeadership();
     const committer = new ResultCommitter({
         service,
         clock,
         logger: silentLogger,
-        leadership: lead,
+        leadership,
         onResultsStored: () => undefined,
     });
-    const job = new OpenJob(jobOf({ id: "j", itemCount: 3 }));
+    const job = new OpenJob(createJobRecord({ id: "j", itemCount: 3 }));
     const result = (index: number): ItemResult => ({ itemId: job.items[index]!.id, state: "completed", output: "x" });
-    return { clock, service, lead, takeLead, committer, job, result };
+    return { clock, service, leadership, gainLeadership, committer, job, result };
 }
 
 test("results get positions in the order in which they are added", async () => {
@@ -62,23 +62,23 @@
 });
 
 test("a write that was under way when the lead was lost is not repeated under the next lead", async () => {
-    const { clock, service, committer, job, result, lead, takeLead } = await setUp();
+    const { clock, service, committer, job, result, leadership, gainLeadership } = await setUp();
     service.faults.outage = true;
     committer.add(job, result(0));
     await clock.advance(300);
     committer.reset();
-    lead.held = undefined;
+    leadership.currentFence = undefined;
     service.faults.outage = false;
-    await takeLead();
+    await gainLeadership();
     await clock.advance(3000);
     assert.equal((await service.list(jobKeys.resultsPrefix)).length, 0);
 });
 
 test("a position that is taken gives the lead up, so that the results are read anew", async () => {
-    const { clock, service, committer, job, result, lead } = await setUp();
+    const { clock, service, committer, job, result, leadership } = await setUp();
     await service.transact([], [{ kind: "put", key: jobKeys.result(job.record.jobId, 0), value: Buffer.from("{}") }]);
     committer.add(job, result(0));
     await clock.advance(1000);
-    assert.equal(lead.abandoned, 1);
+    assert.equal(leadership.stepDownCount, 1);
     assert.equal(job.resultCount, 0);
 });
