--- a/fleet/sync/src/fencedLeadership.ts
+++ b/fleet/sync/src/fencedLeadership.ts
@@ -1,11 +1,11 @@
 import type { KeyValueCompare } from "@knapweedwood/core.key-value/keyValueCompare";
 
-/** The lead over something, as those who write under it see it. */
+/** Leadership as seen by the code that writes to the key-value service on behalf of the leader. */
 export interface FencedLeadership {
-    /** Whether this process certainly leads now. */
+    /** Returns true only while this process is certain to be the leader. */
     isLeading(): boolean;
-    /** The condition that every write of the leader carries; undefined where this process doesn't lead. */
+    /** Returns the compare that guards every write of the leader; undefined while this process is not the leader. */
     fence(): KeyValueCompare | undefined;
-    /** Gives the lead up because a write was refused. */
+    /** Gives up leadership after a guarded write was rejected. */
     stepDown(reason: string): void;
 }
--- a/fleet/sync/src/knownLeader.ts
+++ b/fleet/sync/src/knownLeader.ts
@@ -1,8 +1,8 @@
 import type { InstanceName } from "@knapweedwood/core.ids/instanceName";
 
-/** A process that leads, or led. */
+/** A current or former leader. */
 export interface KnownLeader {
     instanceName: InstanceName;
-    /** Grows with each new leader. */
+    /** Increases with each new leader. */
     fencingNumber: number;
 }
--- a/fleet/sync/src/leaderRecord.ts
+++ b/fleet/sync/src/leaderRecord.ts
@@ -1,6 +1,6 @@
 import type { InstanceName } from "@knapweedwood/core.ids/instanceName";
 
-/** Who runs batch jobs. */
+/** Stored value of the leader key: the process that runs batch jobs. */
 export interface LeaderRecord {
     instanceName: InstanceName;
     /** Start of the process, Unix ms. */
--- a/fleet/sync/src/leadership.ts
+++ b/fleet/sync/src/leadership.ts
@@ -16,7 +16,7 @@
 import type { LeaderRecord } from "./leaderRecord.js";
 import type { ProcessLease } from "./processLease.js";
 
-/** Spread of the candidates' attempts, so that one of them mostly is alone, in milliseconds. */
+/** Upper bound of the random delay before an attempt, in milliseconds. It makes concurrent attempts unlikely. */
 const ATTEMPT_SPREAD_MS = 60;
 const RETRY_DELAY_MS = 300;
 
@@ -27,15 +27,16 @@
     logger: Logger;
     lease: ProcessLease;
     self: LeaderRecord;
-    /** Whether this process takes the lead where nobody has it. */
+    /** Whether this process tries to become leader when there is none. */
     isCandidate: boolean;
     onGained(): void;
     onLost(): void;
 }
 
 /**
- * One process leads at a time: the one that wrote the leader's key, which goes with its lease. The revision of that key
- * is the fencing number: writes that compare it fail once another process has led.
+ * Elects one leader at a time: the process that wrote the leader key. The key is bound to the lease of that process and
+ * is removed with it. The key's revision is the fencing number: writes that compare it fail once another process has
+ * become leader.
  */
 export class Leadership implements FencedLeadership {
     private readonly opts: LeadershipOptions;
@@ -49,22 +50,22 @@
         this.opts = opts;
     }
 
-    /** Whether this process certainly leads now. */
+    /** Returns true only while this process is certain to be the leader. */
     isLeading(): boolean {
         return this.heldRevision !== undefined && this.opts.lease.isHeld();
     }
 
-    /** The condition that every write of the leader carries; undefined where this process doesn't lead. */
+    /** Returns the compare that guards every write of the leader; undefined while this process is not the leader. */
     fence(): KeyValueCompare | undefined {
         return this.heldRevision === undefined
             ? undefined
             : { key: fleetKeys.jobsLeader, modRevision: this.heldRevision };
     }
 
-    /** Takes in the leader's key as the service has it at `revision`; undefined where it is absent. */
+    /** Applies the state of the leader key at `revision`; `entry` is undefined if the key is absent. */
     observe(entry: KeyValueEntry | undefined, revision: number): void {
         this.observedEntry = entry;
-        // What was read before this process wrote the key tells nothing of it.
+        // A state from before this process wrote the key says nothing about its own leadership.
         const isCurrent = this.heldRevision !== undefined && revision >= this.heldRevision;
         if (isCurrent && entry?.modRevision !== this.heldRevision) {
             this.lose("key-changed");
@@ -77,7 +78,7 @@
         }
     }
 
-    /** A lead of an earlier start of this very process need not be waited out: its lease is ended. */
+    /** Revokes the lease of an earlier start of this process, so that its expiry need not be awaited. */
     private revokePredecessorLease(entry: KeyValueEntry): void {
         const { instanceName, startedAtMs } = decodeRecord<LeaderRecord>(entry.value);
         const { self } = this.opts;
@@ -91,7 +92,7 @@
         });
     }
 
-    /** Gives the lead up and takes no part any more. */
+    /** Gives up leadership and makes no further attempts. Rejects if the key-value service fails. */
     async resign(): Promise<void> {
         this.isResigned = true;
         this.attemptTimer?.cancel();
@@ -103,7 +104,7 @@
         await this.opts.service.transact([fence], [{ kind: "delete", key: fleetKeys.jobsLeader }]);
     }
 
-    /** Gives the lead up after a write was refused; whoever takes it next, this process perhaps, reads all anew. */
+    /** Gives up leadership after a rejected write. The next leader, possibly this process, reloads all state. */
     stepDown(reason: string): void {
         const fence = this.fence();
         if (fence !== undefined) {
@@ -118,7 +119,7 @@
         this.opts.onLost();
     }
 
-    /** Removes the key that this process wrote, until it is certainly gone. */
+    /** Removes the key that this process wrote. Retries until the removal is confirmed. */
     private async removeLeaderKey(fence: KeyValueCompare): Promise<void> {
         for (let isRemoved = false; !isRemoved;) {
             try {
@@ -182,7 +183,7 @@
         }
     }
 
-    /** The newest leader that this process knows of, itself perhaps; undefined where none is known. */
+    /** The newest leader known to this process, possibly itself; undefined if none is known. */
     get leader(): KnownLeader | undefined {
         const seen = this.observedEntry === undefined ? undefined : {
             instanceName: decodeRecord<LeaderRecord>(this.observedEntry.value).instanceName,
@@ -191,7 +192,10 @@
         return (this.reportedLeader?.fencingNumber ?? 0) > (seen?.fencingNumber ?? 0) ? this.reportedLeader : seen;
     }
 
-    /** Takes in what another process knows: this one may be cut off from the key-value service. */
+    /**
+     * Records a leader reported by another process; this one may be disconnected from the key-value service. Gives up
+     * leadership if the reported leader is newer.
+     */
     recordLeader(leader: KnownLeader): void {
         if (leader.fencingNumber > (this.reportedLeader?.fencingNumber ?? 0)) {
             this.reportedLeader = leader;
--- a/fleet/sync/src/memberRecord.ts
+++ b/fleet/sync/src/memberRecord.ts
@@ -1,7 +1,7 @@
 import type { InstanceName } from "@knapweedwood/core.ids/instanceName";
 import type { ZoneName } from "@knapweedwood/core.ids/zoneName";
 
-/** A process of the fleet, as it announces itself. */
+/** Stored description of a process of the fleet. Each process writes its own. */
 export interface MemberRecord {
     instanceName: InstanceName;
     role: "gateway" | "runner";
--- a/fleet/sync/src/memberTable.ts
+++ b/fleet/sync/src/memberTable.ts
@@ -4,16 +4,19 @@
 import { fleetKeys } from "./fleetKeys.js";
 import type { MemberRecord } from "./memberRecord.js";
 
-/** Time for which a process whose entry lapsed is still told of loads, in milliseconds. */
+/** Time for which a process with an expired entry still receives load reports, in milliseconds. */
 const EXPIRED_MEMBER_RETENTION_MS = 10_000;
 
 interface Member {
     record: MemberRecord;
-    /** When its entry lapsed; undefined while it is listed. */
+    /** Time at which the entry expired; undefined while it is listed. */
     expiredAtMs: number | undefined;
 }
 
-/** The processes of the fleet. A lapsed entry is kept for a while: an outage of the service lapses those of the living. */
+/**
+ * The processes of the fleet. Expired entries are kept for a while because an outage of the key-value service also
+ * expires the entries of running processes.
+ */
 export class MemberTable {
     private readonly members = new Map<InstanceName, Member>();
 
@@ -33,7 +36,7 @@
         }
     }
 
-    /** Lapses all members whose keys are not among `entries`, and puts those that are. */
+    /** Stores the members in `entries` and marks all others as expired. */
     replace(entries: readonly KeyValueEntry[], nowMs: number): void {
         const listed = new Set(entries.map(entry => entry.key));
         [...this.members.keys()]
@@ -43,7 +46,7 @@
         entries.forEach(entry => this.put(entry));
     }
 
-    /** Processes that listen, as far as this one knows, shape [members]. */
+    /** Returns listed members and recently expired ones, shape [members]. Removes the others from the table. */
     list(nowMs: number): MemberRecord[] {
         [...this.members]
             .filter(([, member]) =>
--- a/fleet/sync/src/prefixMirror.ts
+++ b/fleet/sync/src/prefixMirror.ts
@@ -5,11 +5,14 @@
 
 const MIN_RETRY_DELAY_MS = 100;
 const MAX_RETRY_DELAY_MS = 800;
-/** How long the watch may take to bring a change that another process tells of, in milliseconds. */
+/** Time that the watch has to deliver a change reported by another process, in milliseconds. */
 const CATCH_UP_DELAY_MS = 300;
 const COMPACTED_CODE = "ERR_KNAPWEED_KEY_VALUE_COMPACTED";
 
-/** Keeps the keys under a prefix in step: one listing, then watches, and a new listing where history was dropped. */
+/**
+ * Mirrors the keys under a prefix: lists them once, then watches for changes. Lists them again if the service has
+ * compacted the history that the watch needs.
+ */
 export class PrefixMirror {
     private readonly opts: PrefixMirrorOptions;
     private currentRevision = 0;
@@ -22,17 +25,17 @@
         this.opts = opts;
     }
 
-    /** Revision of the service up to which this process knows the prefix; 0 before the first listing. */
+    /** Revision of the service up to which the mirror is current; 0 before the first listing. */
     get revision(): number {
         return this.currentRevision;
     }
 
-    /** Since when the service has answered without a failure; infinity while it doesn't. */
+    /** Clock time in ms since which all calls succeed; infinity before the first response and while calls fail. */
     get reachableSinceMs(): number {
         return this.failures === 0 ? this.recoveredAtMs : Infinity;
     }
 
-    /** Lists the prefix again if the watch does not bring `revision` soon. */
+    /** Lists the prefix again if the watch does not deliver `revision` within `CATCH_UP_DELAY_MS`. */
     catchUp(revision: number): void {
         if (revision <= this.currentRevision || this.catchUpTimer !== undefined) {
             return;
@@ -45,7 +48,7 @@
         });
     }
 
-    /** Runs until `signal` is aborted. */
+    /** Mirrors the prefix until `signal` is aborted. Retries after failures. */
     async run(signal: AbortSignal): Promise<void> {
         signal.addEventListener("abort", () => {
             this.catchUpTimer?.cancel();
@@ -75,7 +78,7 @@
     }
 
     private async listAndWatch(signal: AbortSignal): Promise<void> {
-        // A watch that is sent while the service is silent hangs for its whole wait; a listing shows sooner that it is back.
+        // A watch sent while the service is unresponsive hangs for its whole wait. A listing detects recovery sooner.
         if (this.currentRevision === 0 || this.failures > 0) {
             const snapshot = await this.opts.service.snapshot(this.opts.prefix);
             this.onResponse();
@@ -125,7 +128,7 @@
         await sleep(this.opts.clock, this.retryDelayMs(), signal);
     }
 
-    /** Grows with the failures and is spread, so that processes don't return in a wave. */
+    /** Returns an exponential delay with jitter, so that processes don't all reconnect at the same time. */
     private retryDelayMs(): number {
         const ceilingMs = Math.min(MAX_RETRY_DELAY_MS, MIN_RETRY_DELAY_MS * 2 ** this.failures);
         return ceilingMs * (0.5 + this.opts.random.next() / 2);
--- a/fleet/sync/src/prefixMirrorOptions.ts
+++ b/fleet/sync/src/prefixMirrorOptions.ts
@@ -12,14 +12,14 @@
     random: Random;
     logger: Logger;
     prefix: string;
-    /** How long one watch call may wait: the longer, the fewer calls, and the later a silent connection shows. */
+    /** Longest wait of one watch call, in milliseconds. Longer waits mean fewer calls but detect a dead watch later. */
     watchWaitMs?: () => number;
-    /** How long changes are gathered, so that one call brings several; none where each is urgent. */
+    /** Pause after a change, in milliseconds, so that one call delivers several. Default 0, for urgent changes. */
     coalesceMs?: number;
-    /** All entries under the prefix; entries known before and not listed are gone. */
+    /** Called with all entries under the prefix. Earlier entries that are not among them were deleted. */
     onSnapshot(entries: KeyValueEntry[], revision: number): void;
-    /** Changes since the snapshot or the last change. */
+    /** Called with the changes since the snapshot or the previous call. */
     onChange(batch: WatchBatch): void;
-    /** Called when the service answers again after a failure. */
+    /** Called when the service responds again after a failure. */
     onRecovered?(): void;
 }
--- a/fleet/sync/src/processLease.ts
+++ b/fleet/sync/src/processLease.ts
@@ -9,7 +9,7 @@
 const RENEWAL_INTERVAL_MS = 800;
 const RETRY_DELAY_MS = 250;
 
-/** The one lease of a process, to which its keys are bound. */
+/** The single lease of a process. All keys of the process are bound to it. */
 export class ProcessLease {
     private readonly opts: {
         service: KeyValueService;
@@ -24,7 +24,7 @@
     private renewedAtWallMs = -Infinity;
     private ttlMs = 0;
 
-    /** @param opts.onGranted writes the keys bound to the lease; called again for each new lease */
+    /** @param opts.onGranted called with the id of each new lease; writes the keys bound to it */
     constructor(opts: {
         service: KeyValueService;
         clock: Clock;
@@ -37,23 +37,24 @@
         this.onGranted = opts.onGranted;
     }
 
-    /** The lease held; undefined once it may have lapsed. */
+    /** Id of the held lease; undefined once the lease may have expired. */
     get heldId(): string | undefined {
         return this.isHeld() ? this.leaseId : undefined;
     }
 
-    /** Whether the lease certainly has not lapsed. */
+    /** Returns true only while the lease certainly has not expired. */
     isHeld(): boolean {
-        // The steady clock stands still while the instance is suspended, the time of day doesn't.
+        // The monotonic clock stops while the instance is suspended; the wall clock doesn't.
         const elapsedMs = Math.max(this.opts.clock.nowMs() - this.renewedAtMs, Date.now() - this.renewedAtWallMs);
         return this.leaseId !== undefined && elapsedMs < this.ttlMs;
     }
 
-    /** Whether the key-value service has answered a renewal within `maxAgeMs`. */
+    /** Returns whether a grant or renewal sent within the last `maxAgeMs` succeeded. */
     wasRenewedWithin(maxAgeMs: number): boolean {
         return this.opts.clock.nowMs() - this.renewedAtMs < maxAgeMs;
     }
 
+    /** Keeps the lease alive until `signal` is aborted. Requests a new lease when it has expired. */
     async run(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
             const delayMs = await this.renewOnce();
@@ -61,7 +62,7 @@
         }
     }
 
-    /** Ends the lease, so that its keys go at once. */
+    /** Revokes the lease, which removes its keys at once. Rejects if the service fails. */
     async revoke(): Promise<void> {
         const { leaseId } = this;
         this.leaseId = undefined;
@@ -70,6 +71,7 @@
         }
     }
 
+    /** @returns delay before the next call, in milliseconds */
     private async renewOnce(): Promise<number> {
         try {
             if (this.leaseId === undefined) {
--- a/fleet/sync/test/leadership.test.ts
+++ b/fleet/sync/test/leadership.test.ts
@@ -29,7 +29,7 @@
     return service.get(fleetKeys.jobsLeader);
 }
 
-test("of two candidates one leads", async () => {
+test("one of two candidates becomes leader", async () => {
     const clock = new ManualClock();
     const service = new MemoryKeyValueService({ clock });
     const { signal, abort } = createAbortHandle();
@@ -40,7 +40,7 @@
     abort();
 });
 
-test("a leader whose write was refused removes its key and can be elected again", async () => {
+test("a leader whose write was rejected removes its key and can be elected again", async () => {
     const clock = new ManualClock();
     const service = new MemoryKeyValueService({ clock });
     const { signal, abort } = createAbortHandle();
@@ -59,7 +59,7 @@
     abort();
 });
 
-test("a leader that is cut off from the service stops when another process knows a newer one", async () => {
+test("a leader disconnected from the service stops when another process reports a newer leader", async () => {
     const clock = new ManualClock();
     const service = new MemoryKeyValueService({ clock });
     const { signal, abort } = createAbortHandle();
@@ -75,7 +75,7 @@
     abort();
 });
 
-test("an old observation does not end a newer lead", async () => {
+test("an outdated observation does not end a newer leadership", async () => {
     const clock = new ManualClock();
     const service = new MemoryKeyValueService({ clock });
     const { signal, abort } = createAbortHandle();
@@ -87,7 +87,7 @@
     abort();
 });
 
-test("a restarted leader does not wait for the lease of its earlier start", async () => {
+test("a restarted leader does not wait for the lease of its earlier start to expire", async () => {
     const clock = new ManualClock();
     const service = new MemoryKeyValueService({ clock });
     const lease = await service.grantLease(60_000);
--- a/fleet/sync/test/prefixMirror.test.ts
+++ b/fleet/sync/test/prefixMirror.test.ts
@@ -46,7 +46,7 @@
     return { clock, service, mirror, keys, counts: () => ({ recoveries, snapshots }), stop: () => controller.abort() };
 }
 
-test("changes during an outage are there when the service is back, and the return is told", async () => {
+test("changes made during an outage are mirrored after recovery, and the recovery is reported", async () => {
     const { clock, service, keys, counts, stop } = setUp();
     await service.transact([], [put("a/1")]);
     await clock.advance(100);
@@ -60,7 +60,7 @@
     stop();
 });
 
-test("a mirror that a peer is ahead of lists again, but not where the watch brings the change", async () => {
+test("a mirror behind a peer lists again, but not if the watch delivers the change", async () => {
     const { clock, service, mirror, counts, stop } = setUp();
     await clock.advance(100);
     await service.transact([], [put("a/1")]);
@@ -73,7 +73,7 @@
     stop();
 });
 
-test("an outage ends the time in touch", async () => {
+test("an outage resets the time since which the service is reachable", async () => {
     const { clock, service, mirror, stop } = setUp();
     await clock.advance(100);
     assert.ok(mirror.reachableSinceMs <= 100);
@@ -87,7 +87,7 @@
     stop();
 });
 
-/** A service that answers nothing for a while: calls that were sent meanwhile are lost, watches hang. */
+/** Key-value service with a period without responses: calls sent during it fail and watches hang. */
 class UnresponsiveKeyValueService extends MemoryKeyValueService {
     isUnresponsive = false;
     private readonly testClock: ManualClock;
@@ -100,7 +100,7 @@
     override async snapshot(prefix: string) {
         if (this.isUnresponsive) {
             await sleep(this.testClock, LOST_CALL_MS);
-            throw answerLostError("silent");
+            throw answerLostError("unresponsive");
         }
         return super.snapshot(prefix);
     }
@@ -108,13 +108,13 @@
     override async *watch(prefix: string, opts: { afterRevision: number; signal: AbortSignal; }) {
         if (this.isUnresponsive) {
             await sleep(this.testClock, LOST_WATCH_MS, opts.signal);
-            throw answerLostError("silent");
+            throw answerLostError("unresponsive");
         }
         yield* super.watch(prefix, opts);
     }
 }
 
-test("a change made at the end of a silent spell is known within two seconds", async () => {
+test("a change made at the end of an unresponsive period is mirrored within two seconds", async () => {
     const clock = new ManualClock();
     const service = new UnresponsiveKeyValueService(clock);
     const controller = new AbortController();
@@ -141,7 +141,7 @@
     controller.abort();
 });
 
-test("changes that come together take one more call, and calls wait longer in a large fleet", async () => {
+test("changes made close together take one more call, and calls wait longer in a large fleet", async () => {
     const clock = new ManualClock();
     const service = new MemoryKeyValueService({ clock });
     const controller = new AbortController();
@@ -167,7 +167,7 @@
     await clock.advance(100);
     await service.transact([], [put("a/1")]);
     await clock.advance(50);
-    assert.deepEqual(batches, [1], "the first is known at once");
+    assert.deepEqual(batches, [1], "the first change is delivered at once");
     await clock.advance(1000);
     controller.abort();
     assert.deepEqual([waits, computeWatchWaitMs(7), computeWatchWaitMs(500)], [[19_500], 4000, 20_000]);
