--- a/fleet/jobs/src/acceptance.ts
+++ b/fleet/jobs/src/acceptance.ts
@@ -1,7 +1,7 @@
-/** What became of a submission. */
+/** Outcome of a job submission. */
 export type Acceptance =
     | { kind: "accepted"; revision: number; }
-    /** Nothing of the job was kept. */
+    /** No copy of the job was stored. */
     | { kind: "refused"; reason: "over-limit" | "store-away"; retryAfterMs: number; }
-    /** It may have been kept. */
+    /** The job may have been stored. */
     | { kind: "unknown"; };
--- a/fleet/jobs/src/applyRunOutcome.ts
+++ b/fleet/jobs/src/applyRunOutcome.ts
@@ -1,14 +1,14 @@
 import type { ItemRunOutcome } from "./itemRunOutcome.js";
 import type { JobItem } from "./jobItem.js";
 
-/** Pause before an item that failed runs again, in milliseconds. */
+/** Pause before a failed item or one with untrusted output runs again, in milliseconds. */
 const RETRY_DELAY_MS = 300;
-/** Pause before an item that did not fail by itself runs again, in milliseconds. */
+/** Pause before an item whose run broke off or never started runs again, in milliseconds. */
 const RESUME_DELAY_MS = 50;
 
 /**
- * Notes on the item what came of a run. An item is given up only where an upstream says that it can't be done or has
- * failed it as often as allowed; broken runs don't count against it.
+ * Updates an item after a run and returns the next step. An item fails permanently only if an upstream reports that it
+ * can't be processed, or after `maxAttempts` failures. Interrupted runs don't count as failures.
  */
 export function applyRunOutcome(
     item: JobItem,
--- a/fleet/jobs/src/chooseBatchUpstream.ts
+++ b/fleet/jobs/src/chooseBatchUpstream.ts
@@ -3,8 +3,8 @@
 import { freeBatchSlots } from "./freeBatchSlots.js";
 
 /**
- * The upstream with the most room for one more item; undefined where none has room. Answers upstreams that are ill: one
- * that has failed the item is chosen only where no other has room, so that an item isn't given up for an upstream's sake.
+ * Returns the upstream with the most free slots for batch items; undefined if none has any. An upstream that has failed
+ * the item is chosen only if no other has a free slot, so that one faulty upstream doesn't make the item fail for good.
  */
 export function chooseBatchUpstream(
     candidates: readonly BatchCandidate[],
--- a/fleet/jobs/src/chooseRunsToPreempt.ts
+++ b/fleet/jobs/src/chooseRunsToPreempt.ts
@@ -2,8 +2,8 @@
 import type { RunningItem } from "./runningItem.js";
 
 /**
- * Answers bursts: where online requests and items together want more than the slots, items give way: those that will be
- * late anyway first, then those that are due last, and among these the ones started last.
+ * Returns the runs to end at an upstream when a burst of online requests takes its load above its slots. Items that
+ * will be late anyway go first, then those due last, then those started last.
  */
 export function chooseRunsToPreempt<Run extends RunningItem>(candidate: BatchCandidate, runs: readonly Run[]): Run[] {
     const excess = candidate.online + candidate.batch - candidate.upstream.slots;
--- a/fleet/jobs/src/createJobOperations.ts
+++ b/fleet/jobs/src/createJobOperations.ts
@@ -4,7 +4,7 @@
 import { jobKeys } from "./jobKeys.js";
 import { PART_BYTES } from "./partBytes.js";
 
-/** The operations that store a job. */
+/** Returns the operations that store a job: its record and the parts of its bodies. */
 export function createJobOperations({ record, bodies }: HeldJob): KeyValueOperation[] {
     const parts = Array.from({ length: record.partCount }, (_, index) => ({
         kind: "put" as const,
--- a/fleet/jobs/src/heldJob.ts
+++ b/fleet/jobs/src/heldJob.ts
@@ -1,10 +1,10 @@
 import type { JobRecord } from "./jobRecord.js";
 
-/** A job that was accepted while the key-value service was away, with the bodies of its items. */
+/** A job accepted while the key-value service was unavailable, with the bodies of its items. */
 export interface HeldJob {
     record: JobRecord;
-    /** All bodies, one after the other. */
+    /** All bodies, concatenated. */
     bodies: Uint8Array;
-    /** Most tokens that may wait on the job's route; undefined for no limit. */
+    /** Maximum of waiting tokens on the job's route; undefined for no limit. */
     maxWaitingTokens: number | undefined;
 }
--- a/fleet/jobs/src/heldJobs.ts
+++ b/fleet/jobs/src/heldJobs.ts
@@ -17,7 +17,7 @@
 
 /** Pause between attempts to write held jobs to the key-value service, in milliseconds. */
 const WRITE_INTERVAL_MS = 250;
-/** Attempts to write one job beside others that change the waiting tokens of its route. */
+/** Attempts to write one job while other writes change the waiting tokens of its route. */
 const MAX_CONFLICTS = 8;
 
 interface HeldJobsOptions {
@@ -26,11 +26,11 @@
     clock: Clock;
     random: Random;
     logger: Logger;
-    /** Called with each job that is held, so that it can run before it is written. */
+    /** Called with each held job, so that it can run before it is written. */
     onHeld: (job: HeldJob) => void;
 }
 
-/** The jobs on this instance's disk that have yet to be written to the key-value service. */
+/** The jobs held on this instance's disk until they are written to the key-value service. */
 export class HeldJobs {
     private readonly opts: HeldJobsOptions;
     private readonly packr = new Packr({ useRecords: false });
@@ -41,7 +41,7 @@
         this.opts = opts;
     }
 
-    /** Jobs that are held, those that are being written to disk among them. */
+    /** Number of held jobs, including those still being written to disk. */
     get count(): number {
         return this.jobs.size + this.pendingHolds;
     }
@@ -54,14 +54,17 @@
         return this.all().some(job => job.record.jobId === jobId);
     }
 
-    /** Tokens of the jobs of a route that are held here, but those of one job. */
+    /** Returns the tokens of all jobs of a route held here, without those of `exceptJobId`. */
     waitingTokens(routeName: string, exceptJobId: JobId): number {
         return this.all()
             .filter(({ record }) => record.routeName === routeName && record.jobId !== exceptJobId)
             .reduce((sum, { record }) => sum + countJobTokens(record), 0);
     }
 
-    /** Reads what an earlier start of the process held, then writes held jobs until `signal` is aborted. */
+    /**
+     * Loads jobs held by an earlier start of the process, then writes held jobs until `signal` is aborted. Rejects if the
+     * disk can't be read.
+     */
     async run(signal: AbortSignal): Promise<void> {
         await this.load();
         while (!signal.aborted) {
@@ -70,7 +73,7 @@
         }
     }
 
-    /** Resolves once the job is synced to disk. Throws `SEGMENT_NOT_KEPT`. */
+    /** Resolves once the job is synced to disk. Rejects with `SEGMENT_NOT_KEPT`. */
     async hold(job: HeldJob): Promise<void> {
         this.pendingHolds += 1;
         try {
@@ -114,7 +117,7 @@
         }
     }
 
-    /** Writes the job unless it is stored already. Throws where that isn't certain. */
+    /** Writes the job unless it is already stored. Rejects if the outcome is uncertain. */
     private async write(job: HeldJob): Promise<void> {
         const { service, clock } = this.opts;
         const recordKey = jobKeys.record(job.record.jobId);
@@ -129,6 +132,8 @@
                 return;
             }
         }
-        throw new KnapweedError("JOB_UNSETTLED", "Other writes came between each attempt", { outcome: "unknown" });
+        throw new KnapweedError("JOB_UNSETTLED", "Every attempt to store the job conflicted with another write", {
+            outcome: "unknown",
+        });
     }
 }
--- a/fleet/jobs/src/heldJobsWriteMs.ts
+++ b/fleet/jobs/src/heldJobsWriteMs.ts
@@ -1,2 +1,2 @@
-/** Time after an outage in which jobs that were held on disks are written, in milliseconds. */
+/** Time after an outage within which held jobs are written to the key-value service, in milliseconds. */
 export const HELD_JOBS_WRITE_MS = 4000;
--- a/fleet/jobs/src/holdOutcome.ts
+++ b/fleet/jobs/src/holdOutcome.ts
@@ -1,5 +1,5 @@
 /**
- * What came of holding a job on a disk: `over-limit` and `not-held` say that no copy was made, `unknown` that one may
- * have been.
+ * Outcome of holding a job on disk. With `over-limit` and `not-held` no copy was made; with `unknown` a copy may have
+ * been made.
  */
 export type HoldOutcome = "held" | "over-limit" | "not-held" | "unknown";
--- a/fleet/jobs/src/holdRequest.ts
+++ b/fleet/jobs/src/holdRequest.ts
@@ -1,8 +1,8 @@
 import type { HeldJob } from "./heldJob.js";
 
-/** Asks a runner to hold a job. */
+/** Request to a runner to hold a job. */
 export interface HoldRequest {
     job: HeldJob;
-    /** Tokens that wait on the job's route in the key-value service, as the asking process last saw them. */
+    /** Waiting tokens on the job's route in the key-value service, as last seen by the requesting process. */
     storedTokens: number;
 }
--- a/fleet/jobs/src/inFlightItems.ts
+++ b/fleet/jobs/src/inFlightItems.ts
@@ -20,13 +20,13 @@
     >
     & { runTimeEstimator: ItemRunTimeEstimator; };
 
-/** The items that run at upstreams now. An ended run leaves its item waiting to be resumed. */
+/** The items that are running at upstreams. When a run is ended early, its item becomes pending and can be resumed. */
 export class InFlightItems {
     private readonly opts: InFlightItemsOptions;
     private readonly onEnded: (job: OpenJob, run: ItemRun, outcome: ItemRunOutcome) => void;
     private inFlight: InFlightItem[] = [];
 
-    /** @param opts.onEnded called when a run ends other than by this class */
+    /** @param opts.onEnded called when a run ends by itself, not when this class ends it */
     constructor(
         opts: InFlightItemsOptions & { onEnded: (job: OpenJob, run: ItemRun, outcome: ItemRunOutcome) => void; },
     ) {
@@ -61,7 +61,7 @@
         run.start(this.opts.connections, { host: job.record.host, body: job.bodyOf(item) });
     }
 
-    /** Ends runs where online requests want their slots. */
+    /** Ends runs whose slots online requests need. */
     preemptForOnline(): void {
         const nowMs = this.opts.clock.nowMs();
         const runs = this.inFlight.map(inFlightItem => ({
@@ -95,7 +95,7 @@
         this.inFlight.forEach(inFlightItem => this.end(inFlightItem));
     }
 
-    /** Items of this process that run at an upstream. */
+    /** Returns how many items this process runs at an upstream. */
     countAt(upstream: Upstream): number {
         return this.inFlight.filter(inFlightItem => inFlightItem.run.upstream.id === upstream.id).length;
     }
--- a/fleet/jobs/src/itemRun.ts
+++ b/fleet/jobs/src/itemRun.ts
@@ -12,10 +12,10 @@
 const HTTP_OK = 200;
 const HTTP_MISDIRECTED = 421;
 const HTTP_UNPROCESSABLE = 422;
-/** Time without an event after which a run counts as broken, in milliseconds. */
+/** Time without data after which a run counts as broken, in milliseconds. */
 const STALL_MS = 1500;
 
-/** One run of an item at an upstream. Its events are added to the item as they arrive. */
+/** One run of an item at an upstream. Appends the events to the item as they arrive. */
 export class ItemRun {
     readonly item: JobItem;
     readonly upstream: Upstream;
@@ -70,12 +70,12 @@
         });
     }
 
-    /** Events of this run so far. */
+    /** Number of events that this run has produced so far. */
     get eventCount(): number {
         return this.producedEvents;
     }
 
-    /** Ends the run at the upstream; the item keeps what has come. */
+    /** Ends the run at the upstream. The item keeps the events received so far. */
     abort(): void {
         this.isEnded = true;
         this.stallTimer?.cancel();
--- a/fleet/jobs/src/itemRunHeaders.ts
+++ b/fleet/jobs/src/itemRunHeaders.ts
@@ -1,6 +1,6 @@
 import type { CallHeaders } from "@knapweedwood/fleet.view/callHeaders";
 
-/** The headers that a run of an item uses. */
+/** Names of the headers used by a run of an item. */
 export type ItemRunHeaders = Pick<
     CallHeaders,
     "requestId" | "expectedUpstream" | "lastEventId" | "notRun" | "upstreamProof"
--- a/fleet/jobs/src/itemRunOutcome.ts
+++ b/fleet/jobs/src/itemRunOutcome.ts
@@ -1,13 +1,13 @@
 /** How a run of an item ended. */
 export type ItemRunOutcome =
     | { kind: "completed"; }
-    /** The upstream says that the item can never be done. */
+    /** The upstream reports that the item can never be processed. */
     | { kind: "impossible"; }
-    /** The upstream ran it and failed. */
+    /** The upstream ran the item and failed. */
     | { kind: "failed"; }
-    /** The upstream did not run it; where it is misdirected, another process answers at its address. */
+    /** The upstream did not run the item. If misdirected, another process responds at its address. */
     | { kind: "not-run"; isMisdirected: boolean; }
-    /** The run broke off; what has come is kept. */
+    /** The run was interrupted. The events received so far are kept. */
     | { kind: "broken"; code: string; isUnreachable: boolean; }
-    /** What came can't be trusted; the item begins anew. */
+    /** The output can't be trusted. The item starts over. */
     | { kind: "garbled"; code: string; };
--- a/fleet/jobs/src/jobAcceptor.ts
+++ b/fleet/jobs/src/jobAcceptor.ts
@@ -26,10 +26,10 @@
 const DEFAULT_DUE_MS = 60_000;
 const DEFAULT_RETENTION_MS = 600_000;
 const RETRY_AFTER_MS = 700;
-/** Time that a write may take before the job is kept on disks as well, in milliseconds. */
+/** Time after which a job whose write is still pending is also held on disks, in milliseconds. */
 const HOLD_AFTER_MS = 200;
 
-/** Accepts and cancels jobs: each is one conditional write, so that a job sent to many instances is kept once. */
+/** Accepts and cancels jobs with one conditional write each, so that a job sent to many instances is stored once. */
 export class JobAcceptor {
     private readonly service: KeyValueService;
     private readonly clock: Clock;
@@ -39,8 +39,8 @@
     private readonly waitingTokensEntries = new Map<string, KeyValueEntry>();
 
     /**
-     * @param opts.holder keeps jobs while the service is away
-     * @param opts.areHeldJobsWritten whether jobs that were held during an outage have been written by now
+     * @param opts.holder holds jobs while the key-value service is unavailable
+     * @param opts.areHeldJobsWritten whether jobs held during an outage have been written
      */
     constructor(opts: {
         service: KeyValueService;
@@ -56,6 +56,7 @@
         this.areHeldJobsWritten = opts.areHeldJobsWritten;
     }
 
+    /** Stores the job, or holds it on disks. A job that was accepted before is accepted again. */
     async accept(route: Route, submission: JobSubmission): Promise<Acceptance> {
         const { jobId } = submission;
         const acceptance = await this.writeOrHold(route, submission);
@@ -63,7 +64,7 @@
         return acceptance;
     }
 
-    /** @returns whether the job exists; throws where that isn't known */
+    /** Cancels a job. @returns whether the job exists; rejects if that is uncertain */
     async cancel(jobId: JobId): Promise<boolean> {
         const record = await this.service.get(jobKeys.record(jobId));
         if (record === undefined && !this.areHeldJobsWritten()) {
@@ -84,8 +85,8 @@
     }
 
     /**
-     * While jobs that were held during an outage are still being written, the stored count of waiting tokens is too low:
-     * the disks come first then, where the leading runner knows all.
+     * While jobs held during an outage are still being written, the stored count of waiting tokens is too low. Then the
+     * job is held first, because the leading runner has the complete count.
      */
     private async writeOrHold(route: Route, submission: JobSubmission): Promise<Acceptance> {
         const isCountUncertain = route.maxWaitingTokens !== undefined && !this.areHeldJobsWritten();
@@ -101,7 +102,7 @@
         }
     }
 
-    /** Writes the job; where that takes long or fails, keeps it on disks until it can be written. */
+    /** Writes the job. If that takes long or fails, holds it on disks until it can be written. */
     private async writeThenHold(route: Route, submission: JobSubmission): Promise<Acceptance> {
         const writing = this.tryWrite(route, submission);
         const written = await Promise.race([writing, sleep(this.clock, HOLD_AFTER_MS)]);
@@ -112,7 +113,7 @@
         return held === "held" ? { kind: "accepted", revision: 0 } : mergeHoldOutcome(await writing, held);
     }
 
-    /** A job that was accepted before is accepted again, however many wait. */
+    /** Returns an acceptance if the job was accepted before, regardless of the limit; otherwise undefined. */
     private async findAccepted(jobId: JobId): Promise<Acceptance | undefined> {
         try {
             const existing = await this.service.get(jobKeys.record(jobId));
@@ -152,7 +153,7 @@
         }
     }
 
-    /** @returns undefined where another job was accepted meanwhile and the write has to be made anew */
+    /** @returns undefined if another job was accepted in the meantime and the write has to be repeated */
     private async writeOnce(route: Route, submission: JobSubmission): Promise<Acceptance | undefined> {
         const recordKey = jobKeys.record(submission.jobId);
         const plan = planJobWrite(this.toJob(route, submission), this.waitingTokensEntries.get(route.name));
@@ -181,7 +182,11 @@
         return undefined;
     }
 
-    /** The record known here may be old: a refusal is only made on the newest. */
+    /**
+     * Rejects the job only if the cached entry of waiting tokens is the newest one.
+     *
+     * @returns undefined if the entry was outdated and the write has to be repeated
+     */
     private async rejectOverLimit(route: Route, submission: JobSubmission): Promise<Acceptance | undefined> {
         const [existing, newest] = await Promise.all([
             this.service.get(jobKeys.record(submission.jobId)),
@@ -238,14 +243,14 @@
     return acceptance.kind === "accepted" || (acceptance.kind === "refused" && acceptance.reason === "over-limit");
 }
 
-/** What is known of a job that could not be held, from the end of its write. */
+/** Combines the outcome of the write with that of a failed hold. */
 function mergeHoldOutcome(written: Acceptance, held: HoldOutcome): Acceptance {
     if (written.kind !== "refused") {
         return written;
     }
     switch (held) {
         case "unknown":
-            // A copy on one disk may be written later on.
+            // A copy held on one disk may be written later.
             return { kind: "unknown" };
         case "over-limit":
             return { ...written, reason: "over-limit" };
--- a/fleet/jobs/src/jobCleanup.ts
+++ b/fleet/jobs/src/jobCleanup.ts
@@ -9,7 +9,7 @@
 import type { OpenJob } from "./openJob.js";
 import { releaseWaitingTokens } from "./releaseWaitingTokens.js";
 
-/** Keys that one write removes; the key-value service takes 32. */
+/** Keys removed by one write; the key-value service accepts 32. */
 const MAX_REMOVALS = 32;
 
 interface JobCleanupOptions {
@@ -18,11 +18,11 @@
     logger: Logger;
     leadership: FencedLeadership;
     table: JobTable;
-    /** How long an ended job stays readable. */
+    /** Returns how long an ended job stays readable after its acceptance, in milliseconds. */
     resultRetentionMs: () => number;
 }
 
-/** Clears up after ended jobs: frees the tokens that they kept waiting, and removes them after their retention. */
+/** Cleans up ended jobs: releases their waiting tokens, and removes the jobs after their retention time. */
 export class JobCleanup {
     private readonly opts: JobCleanupOptions;
     /** Ended jobs whose tokens may still count as waiting. */
@@ -33,17 +33,17 @@
         this.opts = opts;
     }
 
-    /** Notes that a job has ended. */
+    /** Records that a job has ended. */
     onEnded(job: OpenJob): void {
         this.unreleased.add(job);
     }
 
-    /** Forgets what a lost lead left to do: the next leader finds it anew. */
+    /** Drops the pending work after leadership was lost. The next leader finds it again. */
     reset(): void {
         this.unreleased.clear();
     }
 
-    /** Does what is due. A step that fails is done at a later run. */
+    /** Performs the pending cleanup. A failed step is repeated by a later run. */
     async run(): Promise<void> {
         if (this.isRunning || !this.opts.leadership.isLeading()) {
             return;
@@ -83,7 +83,7 @@
         const { jobId } = job.record;
         const results = await this.opts.service.snapshot(jobKeys.jobResultsPrefix(jobId));
         const parts = await this.opts.service.snapshot(jobKeys.jobPrefix(jobId));
-        // The record goes last: while it is there, a removal that breaks off is begun again.
+        // The record is deleted last: an interrupted removal starts again while the record exists.
         const keys = [...results.entries, ...parts.entries].map(entry => entry.key);
         keys.sort((left, right) => Number(left === jobKeys.record(jobId)) - Number(right === jobKeys.record(jobId)));
         for (let start = 0; start < keys.length; start += MAX_REMOVALS) {
--- a/fleet/jobs/src/jobItem.ts
+++ b/fleet/jobs/src/jobItem.ts
@@ -3,15 +3,16 @@
 import type { ItemProgress } from "./itemProgress.js";
 import type { JobItemRecord } from "./jobItemRecord.js";
 
-/** An item of an open job, as the runner knows it. */
+/** An item of an open job with the state that the runner keeps for it. */
 export interface JobItem extends ItemProgress {
     readonly record: JobItemRecord;
     readonly id: ItemId;
     /** Position among the job's items. */
     readonly index: number;
+    /** `finished` items have a result that is not stored yet. */
     state: "pending" | "running" | "finished" | "stored";
-    /** Before this time the item is not started again. */
+    /** Time before which the item is not started again, Unix ms. */
     notBeforeMs: number;
-    /** Upstreams that ran the item and failed, as far as this process saw it. */
+    /** Upstreams that ran the item and failed, as observed by this process. */
     failedUpstreamIds: UpstreamId[];
 }
--- a/fleet/jobs/src/jobKeys.ts
+++ b/fleet/jobs/src/jobKeys.ts
@@ -4,11 +4,11 @@
 const RESULTS_PREFIX = "knapweed/results/";
 const POSITION_DIGITS = 6;
 
-/** Keys of batch jobs. */
+/** Keys of batch jobs in the key-value service. */
 export const jobKeys = {
-    /** Accepted jobs: what gateways write and the runner follows. */
+    /** Accepted jobs, written by gateways and watched by the runner. */
     jobsPrefix: JOBS_PREFIX,
-    /** What the runner writes. */
+    /** Results and progress, written by the runner. */
     resultsPrefix: RESULTS_PREFIX,
     /** All entries of one job. */
     jobPrefix: (jobId: JobId) => `${JOBS_PREFIX}${jobId}/`,
@@ -20,6 +20,6 @@
     result: (jobId: JobId, position: number) =>
         `${RESULTS_PREFIX}${jobId}/at/${String(position).padStart(POSITION_DIGITS, "0")}`,
     progress: (jobId: JobId, itemIndex: number) => `${RESULTS_PREFIX}${jobId}/progress/${itemIndex}`,
-    /** Tokens that wait on a route. */
+    /** Waiting tokens of a route. */
     waitingTokens: (routeName: string) => `knapweed/waiting-tokens/${routeName}`,
 } as const;
--- a/fleet/jobs/src/jobReader.ts
+++ b/fleet/jobs/src/jobReader.ts
@@ -14,15 +14,15 @@
     clock: Clock;
     service: SnapshotKeyValueService;
     table: JobTable;
-    /** Whether the table certainly holds what is stored. */
+    /** Whether the table is certain to match the stored jobs. */
     isCurrent: () => boolean;
-    /** Since when the service has answered without a failure, Unix ms. */
+    /** Time since which the key-value service has responded without a failure, Unix ms. */
     reachableSinceMs: () => number;
-    /** Takes in entries of a job that the watch has not brought yet. */
+    /** Applies entries of a job that the watch has not delivered yet. */
     apply: (entries: KeyValueEntry[]) => void;
 }
 
-/** Answers reads of jobs. Methods throw `JOBS_NOT_LED` or `JOBS_NOT_SETTLED` where this process can't be sure. */
+/** Serves reads of jobs. Methods reject with `JOBS_NOT_LED` or `JOBS_NOT_SETTLED` if the result would be uncertain. */
 export class JobReader {
     private readonly opts: JobReaderOptions;
 
@@ -30,7 +30,7 @@
         this.opts = opts;
     }
 
-    /** Reads results, waiting up to `waitMs` for the first. @returns undefined where there certainly is no such job */
+    /** Reads results; waits up to `waitMs` for the first. @returns undefined if the job certainly does not exist */
     async results(
         opts: { jobId: JobId; after: number; waitMs: number; signal: AbortSignal; },
     ): Promise<ResultsPage | undefined> {
@@ -45,7 +45,7 @@
         return job.page(opts.after);
     }
 
-    /** @returns undefined where there certainly is no such item */
+    /** Reads the body of an item. @returns undefined if the item certainly does not exist */
     async itemBody(jobId: JobId, itemId: ItemId): Promise<Buffer | undefined> {
         const job = await this.find(jobId);
         const item = job?.item(itemId);
@@ -70,7 +70,7 @@
         return this.opts.table.get(jobId);
     }
 
-    /** After an outage jobs that were held on disks are written within moments. */
+    /** Rejects reads for a short time after an outage, while held jobs are still being written. */
     private assertHeldJobsWritten(): void {
         if (this.opts.clock.nowMs() < this.opts.reachableSinceMs() + HELD_JOBS_WRITE_MS) {
             throw new KnapweedError("JOBS_NOT_SETTLED", "Jobs held during an outage may not be written yet", {
@@ -81,7 +81,11 @@
 
     private assertCurrent(): void {
         if (!this.opts.isCurrent()) {
-            throw new KnapweedError("JOBS_NOT_LED", "This process does not run jobs now", { outcome: "not-run" });
+            throw new KnapweedError(
+                "JOBS_NOT_LED",
+                "This process is not the jobs leader or has not loaded the jobs yet",
+                { outcome: "not-run" },
+            );
         }
     }
 
--- a/fleet/jobs/src/jobRecord.ts
+++ b/fleet/jobs/src/jobRecord.ts
@@ -1,20 +1,20 @@
 import type { JobId } from "@knapweedwood/core.ids/jobId";
 import type { JobItemRecord } from "./jobItemRecord.js";
 
-/** An accepted job as it is stored; the bodies of its items lie in parts beside it. */
+/** An accepted job as it is stored. The bodies of its items are stored in separate parts. */
 export interface JobRecord {
     jobId: JobId;
     routeName: string;
     host: string;
     acceptedAtMs: number;
-    /** When all results are due. */
+    /** Time at which all results are due, Unix ms. */
     dueAtMs: number;
-    /** When items may be given up. */
+    /** Time after which items may be abandoned, Unix ms. */
     expiresAtMs: number;
-    /** Failed attempts after which an item is given up. */
+    /** Number of failed attempts after which an item fails permanently. */
     maxAttempts: number;
     partCount: number;
     items: JobItemRecord[];
-    /** Tells this write from that of another process that accepts the same job. */
+    /** Distinguishes this write from that of another process that accepts the same job. */
     nonce: string;
 }
--- a/fleet/jobs/src/jobRunner.ts
+++ b/fleet/jobs/src/jobRunner.ts
@@ -24,20 +24,20 @@
 import { ProgressWriter } from "./progressWriter.js";
 import { ResultCommitter } from "./resultCommitter.js";
 
-/** How often items are placed where nothing else prompts it, in milliseconds. */
+/** Interval at which items are dispatched when no event triggers it, in milliseconds. */
 const DISPATCH_INTERVAL_MS = 50;
-/** Pause before stored jobs are read again after a failure, in milliseconds. */
+/** Pause before stored results are read again after a failure, in milliseconds. */
 const LOAD_RETRY_DELAY_MS = 300;
-/** Time for which a route has to be gone before its items are given up, in milliseconds. */
+/** Time for which a route has to be missing before its items are abandoned, in milliseconds. */
 const ROUTE_MISSING_TIMEOUT_MS = 3000;
-/** How often progress is stored and ended jobs are cleared up, in milliseconds. */
+/** Interval at which progress is stored and ended jobs are cleaned up, in milliseconds. */
 const CHECKPOINT_INTERVAL_MS = 1500;
-/** Progress below this is cheaper to make again than to store, in events. */
+/** Minimum progress to store, in events. Less is cheaper to reproduce than to store. */
 const MIN_CHECKPOINT_EVENTS = 25;
 
 /**
- * Runs the items of all accepted jobs while this process leads. Which items start and which give way to online requests
- * is decided by pure functions; this class carries the decisions out.
+ * Runs the items of all accepted jobs while this process is the leader. Pure functions decide which items start and
+ * which are preempted by online requests; this class carries out the decisions.
  */
 export class JobRunner {
     readonly reader: JobReader;
@@ -51,7 +51,7 @@
     private leadershipController: AbortController | undefined;
     private mirror: PrefixMirror | undefined;
     private isLoaded = false;
-    /** Open jobs as this process knew them when it last lost the lead. */
+    /** The open jobs of this process at the time when it last lost leadership. */
     private previousJobs: OpenJob[] = [];
     private dispatchTimer: Timer | undefined;
     private checkpointTimer: Timer | undefined;
@@ -79,7 +79,7 @@
         });
     }
 
-    /** Begins to run jobs: called when this process has gained the lead. */
+    /** Starts running jobs. Called when this process has become leader. */
     start(): void {
         const controller = new AbortController();
         this.leadershipController = controller;
@@ -94,7 +94,7 @@
         this.scheduleCheckpoint();
     }
 
-    /** Ends all runs: called when this process has lost the lead. */
+    /** Ends all runs. Called when this process has lost leadership. */
     stop(): void {
         this.leadershipController?.abort();
         this.leadershipController = undefined;
@@ -104,7 +104,7 @@
         this.previousJobs = this.table.clear();
     }
 
-    /** Stores how far the items have come, so that the next leader goes on from there. */
+    /** Ends all runs and stores results and progress for the next leader. Rejects if the progress can't be stored. */
     async handOver(): Promise<void> {
         this.pause();
         await this.committer.flush();
@@ -112,21 +112,21 @@
         this.opts.logger.info("jobs-handed-over", { items });
     }
 
-    /** Starts items where there is room and ends runs where online requests want the slots. */
+    /** Ends runs whose slots online requests need, and starts items in free slots. */
     dispatch(): void {
         this.inFlightItems.preemptForOnline();
-        // A run does no harm where another process leads already; a result counts only once it is written.
+        // A run is harmless even if another process already is the leader: a result counts only once it is written.
         if (this.isLoaded && this.opts.leadership.fence() !== undefined) {
             this.startItems();
         }
     }
 
-    /** Makes sure that jobs written up to `revision` are known. */
+    /** Makes sure that jobs written up to `revision` are loaded. */
     catchUp(revision: number): void {
         this.mirror?.catchUp(revision);
     }
 
-    /** Runs a job that is held on disk and can't be stored yet. */
+    /** Runs a job that is held on disk and is not stored yet. */
     onHeld(job: HeldJob): void {
         if (this.leadershipController !== undefined) {
             this.table.applyHeld(job);
@@ -134,12 +134,12 @@
         }
     }
 
-    /** Whether the job is known to be accepted. */
+    /** Returns whether this process has loaded the job. */
     has(jobId: JobId): boolean {
         return this.table.get(jobId) !== undefined;
     }
 
-    /** Tokens that wait on a route beside those of one job; undefined where this process doesn't know. */
+    /** Returns the waiting tokens of a route, without those of `exceptJobId`; undefined if they aren't loaded here. */
     waitingTokens(routeName: string, exceptJobId: JobId): number | undefined {
         return this.isLoaded && this.opts.leadership.fence() !== undefined
             ? this.table.waitingTokens(routeName, exceptJobId)
@@ -153,7 +153,7 @@
         this.inFlightItems.endAll();
     }
 
-    /** Takes in the stored jobs, then what is stored and known of their results. */
+    /** Applies the stored jobs, then their stored results and the progress that this process has kept. */
     private async load(entries: KeyValueEntry[], signal: AbortSignal): Promise<void> {
         this.apply(entries);
         while (!this.isLoaded && !signal.aborted) {
@@ -191,7 +191,7 @@
             this.inFlightItems.endJob(job);
             this.onResultsStored(job);
         });
-        // A job that ended while it was held on disks counts as waiting from its late write on.
+        // The tokens of a job that ended while it was held count as waiting once its delayed write arrives.
         this.table.findEnded(entries).forEach(job => this.cleanup.onEnded(job));
         this.dispatch();
     }
@@ -244,7 +244,7 @@
         });
     }
 
-    /** No item starts while an online request of the service waits. */
+    /** Returns the upstreams that may take items. There are none while an online request of the service waits. */
     private candidates(service: ServiceName, nowMs: number): BatchCandidate[] {
         if (this.opts.loadTracker.waitingElsewhere(service) > 0) {
             return [];
@@ -303,7 +303,7 @@
         }
     }
 
-    /** Finishes items whose whole output was carried over. */
+    /** Finishes items whose restored output is already complete. */
     private finishCompleteItems(): void {
         this.table.all().filter(job => !job.isEnded).forEach(job =>
             job.items
--- a/fleet/jobs/src/jobRunnerOptions.ts
+++ b/fleet/jobs/src/jobRunnerOptions.ts
@@ -12,7 +12,7 @@
 import type { HeldJob } from "./heldJob.js";
 import type { ItemRunHeaders } from "./itemRunHeaders.js";
 
-/** What a {@link JobRunner} works with. */
+/** Options of a {@link JobRunner}. */
 export interface JobRunnerOptions {
     service: SnapshotKeyValueService;
     clock: Clock;
@@ -26,7 +26,7 @@
     loadTracker: LoadBoard;
     health: UpstreamHealth;
     headers: ItemRunHeaders;
-    /** How long an ended job stays readable. */
+    /** Returns how long an ended job stays readable after its acceptance, in milliseconds. */
     resultRetentionMs: () => number;
     onLoadChanged: () => void;
     /** Jobs on this instance's disk that are not stored yet. */
--- a/fleet/jobs/src/jobTable.ts
+++ b/fleet/jobs/src/jobTable.ts
@@ -9,10 +9,10 @@
 import { OpenJob } from "./openJob.js";
 import { PART_BYTES } from "./partBytes.js";
 
-/** The jobs that the key-value service holds, put together from their entries. */
+/** In-memory table of the stored jobs, assembled from their key-value entries. */
 export class JobTable {
     private readonly jobs = new Map<JobId, OpenJob>();
-    /** Entries whose job has not arrived yet. */
+    /** Entries whose job record has not arrived yet. */
     private unmatchedEntries: KeyValueEntry[] = [];
     private unmatchedResults: KeyValueEntry[] = [];
 
@@ -24,7 +24,7 @@
         return this.jobs.get(jobId);
     }
 
-    /** Forgets all. @returns the jobs that were open, shape [jobs] */
+    /** Removes all jobs. @returns the jobs that were open, shape [jobs] */
     clear(): OpenJob[] {
         const open = this.all().filter(job => !job.isEnded);
         this.jobs.clear();
@@ -33,7 +33,7 @@
         return open;
     }
 
-    /** Takes over how far items have come from what this process knew before. */
+    /** Restores the progress of items from jobs that this process had loaded before. */
     restoreFrom(earlier: readonly OpenJob[]): void {
         earlier.forEach(job => {
             const current = this.jobs.get(job.record.jobId);
@@ -45,7 +45,7 @@
         this.jobs.delete(jobId);
     }
 
-    /** Takes in entries of accepted jobs. @returns jobs that were cancelled by them, shape [jobs] */
+    /** Applies entries of accepted jobs. @returns jobs cancelled by these entries, shape [jobs] */
     apply(entries: readonly KeyValueEntry[]): OpenJob[] {
         const keyed = [...this.unmatchedEntries, ...entries].map(entry => ({ entry, ...parseKey(entry.key) }));
         keyed.filter(({ part }) => part === "record").forEach(({ entry, jobId }) => {
@@ -71,7 +71,7 @@
         });
     }
 
-    /** Takes in stored results and progress; results come in the order of their keys. */
+    /** Applies stored results and progress. Results have to be in the order of their keys. */
     applyResults(entries: readonly KeyValueEntry[]): void {
         entries.forEach(entry => {
             const [jobId, kind, number] = entry.key.slice(jobKeys.resultsPrefix.length).split("/");
@@ -88,7 +88,7 @@
         });
     }
 
-    /** Takes in a job that is held on disk and may not be stored yet. */
+    /** Adds a job that is held on disk and may not be stored yet. */
     applyHeld({ record, bodies }: HeldJob): void {
         if (this.jobs.has(record.jobId)) {
             return;
@@ -100,7 +100,7 @@
         this.retryUnmatchedResults();
     }
 
-    /** Tokens on a route of the items without a result, but those of one job. */
+    /** Returns the tokens of all items of a route without a result, except those of `exceptJobId`. */
     waitingTokens(routeName: string, exceptJobId: JobId): number {
         return this.all()
             .filter(({ record, isEnded }) => record.routeName === routeName && record.jobId !== exceptJobId && !isEnded)
@@ -109,7 +109,7 @@
             .reduce((sum, item) => sum + item.record.tokens, 0);
     }
 
-    /** Jobs whose record is among `entries` and that have ended, shape [jobs]. */
+    /** Returns the ended jobs whose record is among `entries`, shape [jobs]. */
     findEnded(entries: readonly KeyValueEntry[]): OpenJob[] {
         return entries
             .map(entry => parseKey(entry.key))
--- a/fleet/jobs/src/openJob.ts
+++ b/fleet/jobs/src/openJob.ts
@@ -6,16 +6,16 @@
 import { pickProgress } from "./pickProgress.js";
 import type { ResultsPage } from "./resultsPage.js";
 
-/** Largest output of one page, in characters. */
+/** Maximum total output of one page, in characters. A single larger result still gets a page. */
 const MAX_PAGE_LENGTH = 600_000;
 
-/** A job that this process runs or whose results it serves. */
+/** A job that this process runs or whose results it serves. Keeps the state of its items. */
 export class OpenJob {
     readonly record: JobRecord;
     readonly items: JobItem[];
     isCancelled = false;
     private readonly parts: (Buffer | undefined)[];
-    /** All parts as one; undefined until a body is wanted. */
+    /** All parts concatenated; undefined until a body is requested. */
     private joinedParts: Buffer | undefined;
     private readonly storedResults: ItemResult[] = [];
     private waiters: (() => void)[] = [];
@@ -37,7 +37,7 @@
         }));
     }
 
-    /** Whether all bodies have arrived. */
+    /** Whether all parts of the bodies have arrived. */
     get isLoaded(): boolean {
         return this.parts.every(part => part !== undefined);
     }
@@ -73,14 +73,14 @@
         }
     }
 
-    /** Items without a stored result that have come some way, shape [items]. */
+    /** Returns items without a stored result that have events or failed attempts, shape [items]. */
     itemsWithProgress(): JobItem[] {
         return this.items
             .filter(item => item.state !== "stored")
             .filter(item => item.lastEventId > 0 || item.failedAttempts > 0);
     }
 
-    /** Takes in a result that is stored at `position`. Positions come in order. */
+    /** Adds the result stored at `position`. Ignores positions that are out of order. */
     addResult(position: number, result: ItemResult): void {
         if (position !== this.storedResults.length) {
             return;
@@ -94,6 +94,7 @@
         this.waiters.splice(0).forEach(wake => wake());
     }
 
+    /** Returns the results from position `after` on, as many as fit in a page. */
     page(after: number): ResultsPage {
         let length = 0;
         const results = this.storedResults.slice(after).filter((result, index) => {
@@ -103,7 +104,7 @@
         return { total: this.items.length, results, next: after + results.length };
     }
 
-    /** Calls `wake` once, at the next result. @returns a function that takes it back */
+    /** Calls `wake` once, at the next result. @returns a function that removes the subscription */
     onNextResult(wake: () => void): () => void {
         this.waiters.push(wake);
         return () => {
--- a/fleet/jobs/src/orderStartableItems.ts
+++ b/fleet/jobs/src/orderStartableItems.ts
@@ -7,13 +7,13 @@
 }
 
 interface RankedItem extends StartableItem {
-    /** Whether it would be late even if it started now. */
+    /** Whether the item would be late even if it started now. */
     isLate: boolean;
 }
 
 /**
- * Items that may start now: by due time, begun ones first. Answers more jobs than fit: items that can't be in time any
- * more come last, since each of them would make another one late.
+ * Returns the items that may start now, ordered by due time; items with more progress go first. Under overload, items
+ * that can no longer finish in time come last, since each of them would make another one late.
  */
 export function orderStartableItems(
     jobs: readonly OpenJob[],
--- a/fleet/jobs/src/pickProgress.ts
+++ b/fleet/jobs/src/pickProgress.ts
@@ -1,6 +1,6 @@
 import type { ItemProgress } from "./itemProgress.js";
 
-/** The progress of an item without what else is known of it. */
+/** Returns only the progress fields of an item. */
 export function pickProgress({ events, lastEventId, failedAttempts, isComplete }: ItemProgress): ItemProgress {
     return { events, lastEventId, failedAttempts, isComplete };
 }
--- a/fleet/jobs/src/planJobWrite.ts
+++ b/fleet/jobs/src/planJobWrite.ts
@@ -9,15 +9,19 @@
 import { jobKeys } from "./jobKeys.js";
 import type { WaitingTokens } from "./waitingTokens.js";
 
-/** The write that stores a job and, where its route has a limit, counts its tokens as waiting. */
+/** The write that stores a job and, if its route has a limit, adds its tokens to the waiting ones. */
 interface JobWrite {
     compares: KeyValueCompare[];
     operations: KeyValueOperation[];
-    /** Tokens that wait on the route with this job; 0 where the route has no limit. */
+    /** Waiting tokens of the route including this job; 0 if the route has no limit. */
     waitingTokens: number;
 }
 
-/** @param waitingTokensEntry the route's entry of waiting tokens as last seen; the write fails where it has changed */
+/**
+ * Returns the conditional write that stores a job.
+ *
+ * @param waitingTokensEntry the route's entry of waiting tokens as last seen; the write fails if it has changed since
+ */
 export function planJobWrite(job: HeldJob, waitingTokensEntry: KeyValueEntry | undefined): JobWrite {
     const { record } = job;
     const compares = [{ key: jobKeys.record(record.jobId), modRevision: 0 }];
--- a/fleet/jobs/src/progressWriter.ts
+++ b/fleet/jobs/src/progressWriter.ts
@@ -6,7 +6,7 @@
 import type { OpenJob } from "./openJob.js";
 import { pickProgress } from "./pickProgress.js";
 
-/** Progress entries that one write carries; the key-value service takes 32 entries. */
+/** Progress entries per write; the key-value service accepts 32 entries. */
 const MAX_ENTRIES = 30;
 
 interface ItemWithProgress {
@@ -14,7 +14,7 @@
     item: JobItem;
 }
 
-/** Stores how far items have come, so that the next leader goes on from there. */
+/** Stores the progress of items, so that the next leader can continue from there. */
 export class ProgressWriter {
     private readonly service: KeyValueService;
     private readonly leadership: FencedLeadership;
@@ -25,7 +25,7 @@
         this.leadership = opts.leadership;
     }
 
-    /** Stores all items items. @returns how many there were */
+    /** Stores all items that have progress. @returns the number of these items */
     async saveAll(jobs: readonly OpenJob[]): Promise<number> {
         const items = this.itemsWithProgress(jobs);
         for (let start = 0; start < items.length; start += MAX_ENTRIES) {
@@ -34,7 +34,7 @@
         return items.length;
     }
 
-    /** Stores the items that have come furthest since they were last stored, in one write at most. */
+    /** Stores the items with the most unstored events, in at most one write. */
     async saveFurthest(jobs: readonly OpenJob[], minEvents: number): Promise<void> {
         const furthest = this.itemsWithProgress(jobs)
             .filter(({ item }) => item.state === "running" && this.unstoredEvents(item) >= minEvents)
--- a/fleet/jobs/src/releaseWaitingTokens.ts
+++ b/fleet/jobs/src/releaseWaitingTokens.ts
@@ -5,7 +5,7 @@
 import { jobKeys } from "./jobKeys.js";
 import type { WaitingTokens } from "./waitingTokens.js";
 
-/** Takes ended jobs out of the tokens that wait on a route. Throws where the service fails. */
+/** Removes ended jobs from the waiting tokens of a route. Rejects if the key-value service fails. */
 export async function releaseWaitingTokens(
     service: KeyValueService,
     routeName: string,
@@ -23,7 +23,7 @@
             [{ key, modRevision: entry.modRevision }],
             [{ kind: "put", key, value: encodeRecord({ jobs: left }) }],
         );
-        // Another process changed the record meanwhile.
+        // The write fails if another process changed the record in the meantime; then it is repeated.
         isDone = result.succeeded;
     }
 }
--- a/fleet/jobs/src/resultCommitter.ts
+++ b/fleet/jobs/src/resultCommitter.ts
@@ -11,8 +11,9 @@
 import { jobKeys } from "./jobKeys.js";
 import type { OpenJob } from "./openJob.js";
 
-/** Results that one write carries; the key-value service takes 32 entries. */
+/** Results per write; the key-value service accepts 32 entries. */
 const MAX_RESULTS = 30;
+/** Maximum total output per write, in characters. */
 const MAX_WRITE_LENGTH = 500_000;
 const RETRY_DELAY_MS = 250;
 
@@ -25,7 +26,7 @@
     position: number;
 }
 
-/** Writes results one batch at a time under the leader's fencing number; a result counts once it is written. */
+/** Writes results one batch at a time, guarded by the leader's fencing number. A result counts once it is written. */
 export class ResultCommitter {
     private readonly opts: {
         service: KeyValueService;
@@ -52,12 +53,12 @@
         void this.writePending();
     }
 
-    /** Drops what has not been written: another process leads now. */
+    /** Drops unwritten results, because this process has lost leadership. */
     reset(): void {
         this.pending = [];
     }
 
-    /** Resolves when all results are written, or at once where this process doesn't lead. */
+    /** Resolves when all results are written, or at once if this process is not the leader. */
     async flush(): Promise<void> {
         while (this.pending.length > 0 && this.opts.leadership.fence() !== undefined) {
             await this.writePending();
@@ -94,7 +95,7 @@
         }));
     }
 
-    /** Repeats the write until its outcome is known or the lead under which its positions were given is lost. */
+    /** Repeats the write until it succeeds or the leadership under which its positions were assigned is lost. */
     private async writeBatch(batch: PositionedResult[]): Promise<void> {
         const fence = this.opts.leadership.fence();
         const operations: KeyValueOperation[] = batch.map(({ job, result, position }) => ({
--- a/fleet/jobs/src/resultsPage.ts
+++ b/fleet/jobs/src/resultsPage.ts
@@ -1,6 +1,6 @@
 import type { ItemResult } from "./itemResult.js";
 
-/** Results of a job from a position on. */
+/** A page of the results of a job. */
 export interface ResultsPage {
     /** Number of items of the job. */
     total: number;
--- a/fleet/jobs/src/runningItem.ts
+++ b/fleet/jobs/src/runningItem.ts
@@ -1,10 +1,10 @@
 import type { UpstreamId } from "@knapweedwood/core.ids/upstreamId";
 
-/** What the choice of runs to end is made from. */
+/** Properties of a running item that decide whether it is preempted. */
 export interface RunningItem {
     upstreamId: UpstreamId;
     dueAtMs: number;
     startedAtMs: number;
-    /** Whether it will be late even if it goes on. */
+    /** Whether the item will be late even if it keeps running. */
     isLate: boolean;
 }
--- a/fleet/jobs/src/submittedItem.ts
+++ b/fleet/jobs/src/submittedItem.ts
@@ -1,12 +1,12 @@
 import type { ItemId } from "@knapweedwood/core.ids/itemId";
 
-/** An item as a caller submits it. */
+/** An item as submitted by a caller. */
 export interface SubmittedItem {
     id: ItemId;
-    /** With the query. */
+    /** Path including the query string. */
     path: string;
     headers: { name: string; value: string; }[];
     body: Buffer;
-    /** Tokens of the prompt and most tokens of the answer, summed. */
+    /** Sum of the prompt tokens and the maximum output tokens. */
     tokens: number;
 }
--- a/fleet/jobs/test/applyRunOutcome.test.ts
+++ b/fleet/jobs/test/applyRunOutcome.test.ts
@@ -12,21 +12,21 @@
     return item;
 }
 
-test("an item is given up after as many failures as allowed, and at once where it can't be done", () => {
+test("an item fails permanently after the allowed number of failures, or at once if it can't be processed", () => {
     const item = createItemWithProgress();
     const outcomes = [1, 2, 3].map(() => applyRunOutcome(item, { kind: "failed" }, opts));
     assert.deepEqual(outcomes, ["retry", "retry", "given-up"]);
     assert.equal(applyRunOutcome(createItemWithProgress(), { kind: "impossible" }, opts), "given-up");
 });
 
-test("a broken run counts nothing against the item and keeps what had come", () => {
+test("a broken run is not a failure of the item and keeps the events received", () => {
     const item = createItemWithProgress();
     const broken = { kind: "broken", code: "ECONNRESET", isUnreachable: false } as const;
     Array.from({ length: 10 }).forEach(() => assert.equal(applyRunOutcome(item, broken, opts), "retry"));
     assert.deepEqual([item.failedAttempts, item.lastEventId], [0, 1]);
 });
 
-test("an item whose events can't be trusted begins anew", () => {
+test("an item whose events can't be trusted starts over", () => {
     const item = createItemWithProgress();
     applyRunOutcome(item, { kind: "garbled", code: "EVENT_OUT_OF_ORDER" }, opts);
     assert.deepEqual([item.events, item.lastEventId], [[], 0]);
--- a/fleet/jobs/test/batchChoices.test.ts
+++ b/fleet/jobs/test/batchChoices.test.ts
@@ -25,12 +25,12 @@
     return { upstream, online, batch };
 }
 
-test("an item goes where most slots are free and leaves one for an online request", () => {
+test("an item goes to the upstream with the most free slots and leaves one for an online request", () => {
     assert.equal(chooseBatchUpstream([candidate("a", 4, 0), candidate("b", 1, 2)])?.upstream.id, "b");
     assert.equal(chooseBatchUpstream([candidate("a", 4, 3), candidate("b", 8, 0)]), undefined);
 });
 
-test("an item that an upstream has failed goes to another, and back only where none else has room", () => {
+test("an item goes to an upstream that has failed it only if no other has a free slot", () => {
     const candidates = [candidate("failing", 0, 0), candidate("healthy", 5, 0)];
     const failedAt = ["failing" as UpstreamId];
     assert.equal(chooseBatchUpstream(candidates, failedAt)?.upstream.id, "healthy");
@@ -40,7 +40,7 @@
     );
 });
 
-test("a burst ends as many runs as it displaces: those due last, then those started last", () => {
+test("a burst preempts as many runs as exceed the slots: those due last first, then those started last", () => {
     const run = (name: string, dueAtMs: number, startedAtMs: number, isLate = false) => ({
         name,
         upstreamId: "a" as UpstreamId,
@@ -56,7 +56,7 @@
     assert.deepEqual(chooseRunsToPreempt(candidate("a", 5, 4), withLate).map(({ name }) => name), ["late"]);
 });
 
-test("items run by due time, begun ones first, jobs that are late already last", () => {
+test("items run by due time, those with progress first, and jobs that are already late last", () => {
     const jobs = [
         new OpenJob(createJobRecord({ id: "late", itemCount: 1, dueAtMs: 900 })),
         new OpenJob(createJobRecord({ id: "far", itemCount: 1, dueAtMs: 9000 })),
@@ -70,7 +70,7 @@
 /** Items of 100 events that take 5 s. */
 const remainingOfFiveSecondItem = (item: { lastEventId: number; }) => (100 - item.lastEventId) * 50;
 
-test("of more jobs than fit, the items that can still be in time run first", () => {
+test("under overload, the items that can still finish in time run first", () => {
     const jobs = [
         new OpenJob(createJobRecord({ id: "too-late", itemCount: 1, dueAtMs: 4000 })),
         new OpenJob(createJobRecord({ id: "started", itemCount: 1, dueAtMs: 4000 })),
@@ -82,7 +82,7 @@
     assert.deepEqual(order.map(({ item }) => item.id), ["started-0", "near-0", "far-0", "too-late-0"]);
 });
 
-/** Plays jobs that come at once before a fixed number of slots. @returns items that were in time */
+/** Simulates bursts of jobs on a fixed number of slots. @returns the number of items that finished in time */
 function simulateOverload(remainingMs: (item: JobItem) => number): number {
     const slots = 8;
     const runMs = 5000;
@@ -107,17 +107,17 @@
     return inTime;
 }
 
-test("jobs at three times the capacity: nearly all that fits is in time, not just late", () => {
+test("at three times the capacity, nearly as many items as fit finish in time", () => {
     const capacity = 8 * 48 / 5;
     const inTime = simulateOverload(remainingOfFiveSecondItem);
     assert.ok(inTime >= capacity * 0.9, `${inTime} of ${capacity}`);
-    assert.ok(simulateOverload(() => 0) < capacity * 0.6, "without it, items run although they will be late");
+    assert.ok(simulateOverload(() => 0) < capacity * 0.6, "without an estimate, items run although they will be late");
 });
 
-test("the expected time of an item follows what ran, and leaves room for giving way", () => {
+test("the remaining time of an item follows earlier runs and allows for preemption", () => {
     const estimator = new ItemRunTimeEstimator();
     const item = new OpenJob(createJobRecord({ id: "a", itemCount: 1 })).items[0]!;
-    assert.equal(estimator.remainingMs(item), 0, "nothing is known yet");
+    assert.equal(estimator.remainingMs(item), 0, "there are no samples yet");
     estimator.recordRun(2, 9000);
     estimator.recordRun(100, 5000);
     estimator.recordOutput(100);
--- a/fleet/jobs/test/createJobRecord.ts
+++ b/fleet/jobs/test/createJobRecord.ts
@@ -2,7 +2,7 @@
 import type { JobId } from "@knapweedwood/core.ids/jobId";
 import type { JobRecord } from "../src/jobRecord.js";
 
-/** A job with items `0`, `1`, ... for tests. */
+/** Returns a job record for tests. Item ids are the job id with `-0`, `-1`, ... appended. */
 export function createJobRecord(opts: { id: string; itemCount: number; dueAtMs?: number; }): JobRecord {
     return {
         jobId: opts.id as JobId,
--- a/fleet/jobs/test/heldJobs.test.ts
+++ b/fleet/jobs/test/heldJobs.test.ts
@@ -45,7 +45,7 @@
     return { held, seen };
 }
 
-/** Lets work on real files end between steps of the manual clock. */
+/** Gives real file operations time to finish between steps of the manual clock. */
 async function settle(clock: ManualClock): Promise<void> {
     for (let step = 0; step < 20; step += 1) {
         await new Promise(resolve => setTimeout(resolve, 10));
@@ -53,7 +53,7 @@
     }
 }
 
-test("a job held during an outage is written when the service is back, also by a later start", async () => {
+test("a job held during an outage is written after recovery, even by a restarted process", async () => {
     await withFolder(async folder => {
         const clock = new ManualClock();
         const service = new MemoryKeyValueService({ clock });
@@ -74,12 +74,16 @@
         assert.equal(Buffer.from((await service.get(jobKeys.part(job.record.jobId, 0)))!.value).toString(), "body");
         assert.equal(restarted.held.count, 0);
         const waiting = decodeRecord<WaitingTokens>((await service.get(jobKeys.waitingTokens("route")))!.value);
-        assert.deepEqual(waiting, { jobs: [{ jobId: "j", tokens: 100 }] }, "its tokens count as waiting from then on");
+        assert.deepEqual(
+            waiting,
+            { jobs: [{ jobId: "j", tokens: 100 }] },
+            "its tokens count as waiting once it is written",
+        );
         second.abort();
     });
 });
 
-test("a job that is stored already is not written again", async () => {
+test("a job that is already stored is not written again", async () => {
     await withFolder(async folder => {
         const clock = new ManualClock();
         const service = new MemoryKeyValueService({ clock });
--- a/fleet/jobs/test/jobAcceptor.test.ts
+++ b/fleet/jobs/test/jobAcceptor.test.ts
@@ -39,7 +39,7 @@
     return { clock, service, acceptor, settle };
 }
 
-test("a job that is sent again, to any instance, is kept once and accepted each time", async () => {
+test("a job that is resent, to any instance, is stored once and accepted each time", async () => {
     const { service, acceptor, settle } = setUp();
     const first = acceptor();
     assert.equal((await settle(first.accept(route, submissionOf("j")))).kind, "accepted");
@@ -48,7 +48,7 @@
     assert.equal((await service.list(jobKeys.jobsPrefix)).filter(entry => entry.key.endsWith("/record")).length, 1);
 });
 
-test("the tokens that wait stay under the limit over all instances", async () => {
+test("waiting tokens stay under the limit across all instances", async () => {
     const { acceptor, settle } = setUp();
     const [first, second] = [acceptor(), acceptor()];
     assert.equal((await settle(first.accept(route, submissionOf("a")))).kind, "accepted");
@@ -57,19 +57,19 @@
     assert.deepEqual([rejected.kind, rejected.kind === "refused" && rejected.reason], ["refused", "over-limit"]);
 });
 
-test("a lost answer is settled: the job is accepted once", async () => {
+test("after a lost response, the outcome is determined and the job is accepted once", async () => {
     const { service, acceptor, settle } = setUp();
     service.faults.loseNextAnswers(1);
     assert.equal((await settle(acceptor().accept(route, submissionOf("j")))).kind, "accepted");
 });
 
-test("during an outage a job is accepted where enough disks hold it", async () => {
+test("during an outage, a job is accepted if enough disks hold it", async () => {
     const { service, acceptor, settle } = setUp("held");
     service.faults.outage = true;
     assert.equal((await settle(acceptor().accept(route, submissionOf("j")))).kind, "accepted");
 });
 
-test("a job that no disk can hold is rejected, one that a disk may hold is not", async () => {
+test("a job that no disk holds is rejected; the outcome is unknown if a disk may hold it", async () => {
     const rejecting = setUp("not-held");
     rejecting.service.faults.outage = true;
     assert.equal((await rejecting.settle(rejecting.acceptor().accept(route, submissionOf("j")))).kind, "refused");
@@ -78,14 +78,14 @@
     assert.equal((await uncertain.settle(uncertain.acceptor().accept(route, submissionOf("j")))).kind, "unknown");
 });
 
-test("during an outage a job over the limit is rejected as such", async () => {
+test("during an outage, a job over the limit is rejected for that reason", async () => {
     const { service, acceptor, settle } = setUp("over-limit");
     service.faults.outage = true;
     const rejected = await settle(acceptor().accept(route, submissionOf("j")));
     assert.deepEqual([rejected.kind, rejected.kind === "refused" && rejected.reason], ["refused", "over-limit"]);
 });
 
-test("cancelling is acknowledged each time, and denied only for jobs that certainly don't exist", async () => {
+test("cancelling is acknowledged each time, except for jobs that certainly don't exist", async () => {
     const { acceptor, settle } = setUp();
     const one = acceptor();
     await settle(one.accept(route, submissionOf("j")));
@@ -94,11 +94,11 @@
     assert.equal(await one.cancel("none" as JobId), false);
 });
 
-test("while held jobs are still being written, the leading runner decides on the limit", async () => {
+test("while held jobs are still being written, the leader decides on the limit", async () => {
     const full = setUp("over-limit", false);
     const rejected = await full.settle(full.acceptor().accept(route, submissionOf("j")));
     assert.deepEqual([rejected.kind, rejected.kind === "refused" && rejected.reason], ["refused", "over-limit"]);
-    assert.deepEqual(await full.service.list(jobKeys.jobsPrefix), [], "nothing was written past it");
+    assert.deepEqual(await full.service.list(jobKeys.jobsPrefix), [], "nothing was written over the limit");
     const withCapacity = setUp("held", false);
     assert.equal(
         (await withCapacity.settle(withCapacity.acceptor().accept(route, submissionOf("j")))).kind,
@@ -108,13 +108,13 @@
     assert.equal((await without.settle(without.acceptor().accept(route, submissionOf("j")))).kind, "accepted");
 });
 
-test("a job that was accepted is accepted again, also when the route is full by then", async () => {
+test("a job that was accepted is accepted again, even if the route is full", async () => {
     const { service, acceptor, settle } = setUp("over-limit", false);
     await service.transact([], [{ kind: "put", key: jobKeys.record("j" as JobId), value: Buffer.from("{}") }]);
     assert.equal((await settle(acceptor().accept(route, submissionOf("j")))).kind, "accepted");
 });
 
-test("a job that one disk may hold is not said to be rejected, whatever the write says then", async () => {
+test("a job that one disk may hold is not reported as rejected, even if its write is rejected", async () => {
     const { acceptor, settle } = setUp("unknown", false);
     const tooLarge = submissionOf("j", 1000);
     assert.equal((await settle(acceptor().accept(route, tooLarge))).kind, "unknown");
--- a/fleet/jobs/test/jobCleanup.test.ts
+++ b/fleet/jobs/test/jobCleanup.test.ts
@@ -49,7 +49,7 @@
     return { clock, service, table, cleanup };
 }
 
-test("an ended job's tokens no longer wait, whenever the service answers again", async () => {
+test("the tokens of an ended job are released once the service responds again", async () => {
     const { service, table, cleanup } = await setUp();
     cleanup.onEnded(table.get(record.jobId)!);
     service.faults.outage = true;
@@ -60,7 +60,7 @@
     assert.deepEqual(JSON.parse(Buffer.from(entry!.value).toString()), { jobs: [{ jobId: "other", tokens: 7 }] });
 });
 
-test("an ended job is removed after its retention, not before", async () => {
+test("an ended job is removed after its retention time, not before", async () => {
     const { clock, service, table, cleanup } = await setUp();
     await clock.advance(900);
     await cleanup.run();
--- a/fleet/jobs/test/jobTable.test.ts
+++ b/fleet/jobs/test/jobTable.test.ts
@@ -13,14 +13,14 @@
     return { key, value: encodeRecord(value), modRevision: 1, leaseId: undefined };
 }
 
-test("a cancellation that arrives before its job takes effect with it", () => {
+test("a cancellation that arrives before its job takes effect when the job arrives", () => {
     const table = new JobTable();
     assert.deepEqual(table.apply([entryOf(jobKeys.cancellation(record.jobId), {})]), []);
     const cancelled = table.apply([entryOf(jobKeys.record(record.jobId), record)]);
     assert.deepEqual(cancelled.map(job => job.record.jobId), ["j"]);
 });
 
-test("what items had produced is carried over a lost and regained lead", () => {
+test("the progress of items is kept when leadership is lost and regained", () => {
     const table = new JobTable();
     const entry = entryOf(jobKeys.record(record.jobId), record);
     table.apply([entry]);
@@ -33,7 +33,7 @@
     assert.deepEqual([second!.events, second!.state], [["a", "b"], "pending"]);
 });
 
-test("a result that another process stored is not undone by what was carried over", () => {
+test("restored progress does not undo a result that another process stored", () => {
     const table = new JobTable();
     const entry = entryOf(jobKeys.record(record.jobId), record);
     table.apply([entry]);
@@ -47,7 +47,7 @@
     assert.deepEqual(table.get(record.jobId)!.page(0).results, [stored]);
 });
 
-test("tokens wait while their items have no result, those of held jobs too", () => {
+test("tokens count as waiting while their items have no result, also for held jobs", () => {
     const table = new JobTable();
     table.applyHeld({
         record: createJobRecord({ id: "a", itemCount: 2 }),
@@ -66,7 +66,7 @@
     assert.equal(table.waitingTokens("other", "none" as JobId), 0);
 });
 
-test("a job that ended before its record was stored is told once the record comes", () => {
+test("a job that ended before its record was stored is found when the record arrives", () => {
     const table = new JobTable();
     const record = createJobRecord({ id: "a", itemCount: 1 });
     table.applyHeld({ record, bodies: Buffer.alloc(0), maxWaitingTokens: 1000 });
--- a/fleet/jobs/test/progressWriter.test.ts
+++ b/fleet/jobs/test/progressWriter.test.ts
@@ -27,7 +27,7 @@
     return { service, job, writer: new ProgressWriter({ service, leadership }) };
 }
 
-test("the next leader goes on from what was stored", async () => {
+test("the next leader continues from the stored progress", async () => {
     const { service, job, writer } = await setUp();
     await writer.saveFurthest([job], 5);
     const table = new JobTable();
@@ -38,7 +38,7 @@
     assert.equal(table.get(job.record.jobId)!.items[2]!.events.at(-1), "e19");
 });
 
-test("what was stored is not stored again before it has grown", async () => {
+test("stored progress is not stored again until it has grown", async () => {
     const { service, job, writer } = await setUp();
     await writer.saveFurthest([job], 5);
     const writes = service.counters.writes;
--- a/fleet/jobs/test/resultCommitter.test.ts
+++ b/fleet/jobs/test/resultCommitter.test.ts
@@ -61,7 +61,7 @@
     assert.equal((await service.list(jobKeys.resultsPrefix)).length, 3);
 });
 
-test("a write that was under way when the lead was lost is not repeated under the next lead", async () => {
+test("a write in progress when leadership is lost is not repeated under the next leadership", async () => {
     const { clock, service, committer, job, result, leadership, gainLeadership } = await setUp();
     service.faults.outage = true;
     committer.add(job, result(0));
@@ -74,7 +74,7 @@
     assert.equal((await service.list(jobKeys.resultsPrefix)).length, 0);
 });
 
-test("a position that is taken gives the lead up, so that the results are read anew", async () => {
+test("a position that is already taken makes the leader step down, so that the results are reloaded", async () => {
     const { clock, service, committer, job, result, leadership } = await setUp();
     await service.transact([], [{ kind: "put", key: jobKeys.result(job.record.jobId, 0), value: Buffer.from("{}") }]);
     committer.add(job, result(0));
--- a/fleet/sync/src/prefixMirror.ts
+++ b/fleet/sync/src/prefixMirror.ts
@@ -30,7 +30,7 @@
         return this.currentRevision;
     }
 
-    /** Clock time in ms since which all calls succeed; infinity before the first response and while calls fail. */
+    /** Unix ms since which all calls succeed; infinity before the first response and while calls fail. */
     get reachableSinceMs(): number {
         return this.failures === 0 ? this.recoveredAtMs : Infinity;
     }
