--- a/fleet/jobs/src/jobAcceptor.ts
+++ b/fleet/jobs/src/jobAcceptor.ts
@@ -183,7 +183,7 @@
     }
 
     /**
-     * Rejects the job only if the cached entry of waiting tokens is the newest one.
+     * Rejects the job only on the basis of the newest entry of waiting tokens, since the cached one may be outdated.
      *
      * @returns undefined if the entry was outdated and the write has to be repeated
      */
--- a/fleet/jobs/src/jobReader.ts
+++ b/fleet/jobs/src/jobReader.ts
@@ -70,7 +70,7 @@
         return this.opts.table.get(jobId);
     }
 
-    /** Rejects reads for a short time after an outage, while held jobs are still being written. */
+    /** Throws `JOBS_NOT_SETTLED` for a short time after an outage, while held jobs are still being written. */
     private assertHeldJobsWritten(): void {
         if (this.opts.clock.nowMs() < this.opts.reachableSinceMs() + HELD_JOBS_WRITE_MS) {
             throw new KnapweedError("JOBS_NOT_SETTLED", "Jobs held during an outage may not be written yet", {
--- a/fleet/jobs/src/jobRunner.ts
+++ b/fleet/jobs/src/jobRunner.ts
@@ -134,7 +134,7 @@
         }
     }
 
-    /** Returns whether this process has loaded the job. */
+    /** Returns whether the job is in the table of this process, and so is certain to be accepted. */
     has(jobId: JobId): boolean {
         return this.table.get(jobId) !== undefined;
     }
