--- a/fleet/jobs/src/heldJobs.ts
+++ b/fleet/jobs/src/heldJobs.ts
@@ -62,8 +62,8 @@
     }
 
     /**
-     * Loads jobs held by an earlier start of the process, then writes held jobs until `signal` is aborted. Rejects if the
-     * disk can't be read.
+     * Loads jobs held by an earlier start of the process, then writes held jobs until `signal` is aborted. Rejects if
+     * the disk can't be read.
      */
     async run(signal: AbortSignal): Promise<void> {
         await this.load();
