--- a/daemons/fleet/src/runnerProgram.ts
+++ b/daemons/fleet/src/runnerProgram.ts
@@ -2,6 +2,7 @@
 import { sleep } from "@knapweedwood/core.clock/sleep";
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 import { toKnapweedError } from "@knapweedwood/core.errors/toKnapweedError";
+import { countJobTokens } from "@knapweedwood/fleet.jobs/countJobTokens";
 import { HeldJobs } from "@knapweedwood/fleet.jobs/heldJobs";
 import { holdJobCall } from "@knapweedwood/fleet.jobs/holdJobCall";
 import type { HoldOutcome } from "@knapweedwood/fleet.jobs/holdOutcome";
@@ -9,7 +10,6 @@
 import { itemBodyCall } from "@knapweedwood/fleet.jobs/itemBodyCall";
 import { JobRunner } from "@knapweedwood/fleet.jobs/jobRunner";
 import { resultsCall } from "@knapweedwood/fleet.jobs/resultsCall";
-import { tokensOf } from "@knapweedwood/fleet.jobs/tokensOf";
 import type { Logger } from "@knapweedwood/observability.logs/logger";
 import { emptyingProgressOperation } from "@knapweedwood/platform.adapter/emptyingProgressOperation";
 import { wireHeaders } from "@knapweedwood/platform.adapter/wireHeaders";
@@ -39,12 +39,12 @@
             settings,
             role: "runner",
             logger,
-            onLoadChanged: () => this.runner.pump(),
+            onLoadChanged: () => this.runner.dispatch(),
             waiting: () => [],
-            onConfiguration: () => this.runner.pump(),
+            onConfiguration: () => this.runner.dispatch(),
             onJobsWritten: revision => this.runner.catchUp(revision),
             onEmptyingRequested: () => void this.empty(),
-            onLead: isLeading => isLeading ? this.runner.begin() : this.runner.stop(),
+            onLead: isLeading => isLeading ? this.runner.start() : this.runner.stop(),
         });
         this.held = new HeldJobs({
             ...this.fleetTools(),
@@ -123,11 +123,11 @@
     private handleCalls(): void {
         const { runner } = this;
         this.fleet.links.handle(resultsCall, async function*(request, context) {
-            const page = await runner.reads.results({ ...request, signal: context.signal });
+            const page = await runner.reader.results({ ...request, signal: context.signal });
             yield page === undefined ? {} : { page };
         });
         this.fleet.links.handle(itemBodyCall, async function*(request) {
-            const body = await runner.reads.itemBody(request.jobId, request.itemId);
+            const body = await runner.reader.itemBody(request.jobId, request.itemId);
             yield body === undefined ? {} : { body };
         });
         const holdJob = (request: HoldRequest) => this.holdJob(request);
@@ -144,8 +144,8 @@
         if (this.isEmptying) {
             return "not-held";
         }
-        const isAccepted = this.runner.knows(jobId) || this.held.has(jobId);
-        if (!isAccepted && waitingTokens + tokensOf(record) > maxWaitingTokens) {
+        const isAccepted = this.runner.has(jobId) || this.held.has(jobId);
+        if (!isAccepted && waitingTokens + countJobTokens(record) > maxWaitingTokens) {
             this.logger.info("job-over-limit", { jobId, waitingTokens, maxWaitingTokens });
             return "over-limit";
         }
@@ -154,10 +154,21 @@
     }
 
     private fleetTools() {
-        const { store: service, clock, random, connections, board, health, metrics } = this.fleet;
+        const { store: service, clock, random, connections, board: loadTracker, health, metrics } = this.fleet;
         const { leadership } = this.fleet.peers;
         const { configuration } = this.fleet.operators;
         const { directory } = this.fleet.upstreams;
-        return { service, clock, random, metrics, leadership, configuration, directory, connections, board, health };
+        return {
+            service,
+            clock,
+            random,
+            metrics,
+            leadership,
+            configuration,
+            directory,
+            connections,
+            loadTracker,
+            health,
+        };
     }
 }
--- a/fleet/jobs/src/chooseBatchUpstream.ts
+++ b/fleet/jobs/src/chooseBatchUpstream.ts
@@ -1,20 +1,21 @@
 import type { UpstreamId } from "@knapweedwood/core.ids/upstreamId";
 import type { BatchCandidate } from "./batchCandidate.js";
-import { roomForItems } from "./roomForItems.js";
+import { freeBatchSlots } from "./freeBatchSlots.js";
 
 /**
- * The upstream with the most room for one more item; undefined where none has room. Answers upstreams that are ill: one
- * that has failed the item is chosen only where no other has room, so that an item isn't given up for an upstream's sake.
+ * Returns the upstream with the most free slots for batch items; undefined if none has any. An upstream that has failed
+ * the item is chosen only if no other has a free slot, so that one faulty upstream doesn't make the item fail for good.
  */
 export function chooseBatchUpstream(
     candidates: readonly BatchCandidate[],
-    failedAt: readonly UpstreamId[] = [],
+    failedUpstreamIds: readonly UpstreamId[] = [],
 ): BatchCandidate | undefined {
-    const withRoom = candidates.filter(candidate => roomForItems(candidate) > 0);
-    const untried = withRoom.filter(candidate => !failedAt.includes(candidate.upstream.id));
-    return (untried.length > 0 ? untried : withRoom)
+    const withFreeSlots = candidates.filter(candidate => freeBatchSlots(candidate) > 0);
+    const untried = withFreeSlots.filter(candidate => !failedUpstreamIds.includes(candidate.upstream.id));
+    return (untried.length > 0 ? untried : withFreeSlots)
         .reduce<BatchCandidate | undefined>(
-            (best, candidate) => best === undefined || roomForItems(candidate) > roomForItems(best) ? candidate : best,
+            (best, candidate) =>
+                best === undefined || freeBatchSlots(candidate) > freeBatchSlots(best) ? candidate : best,
             undefined,
         );
 }
--- a/fleet/jobs/src/itemRun.ts
+++ b/fleet/jobs/src/itemRun.ts
@@ -12,10 +12,10 @@
 const HTTP_OK = 200;
 const HTTP_MISDIRECTED = 421;
 const HTTP_UNPROCESSABLE = 422;
-/** Time without an event after which a run counts as broken, in milliseconds. */
+/** Time without data after which a run counts as broken, in milliseconds. */
 const STALL_MS = 1500;
 
-/** One run of an item at an upstream. Its events are added to the item as they arrive. */
+/** One run of an item at an upstream. Appends the events to the item as they arrive. */
 export class ItemRun {
     readonly item: JobItem;
     readonly upstream: Upstream;
@@ -52,7 +52,7 @@
         if (item.lastEventId > 0) {
             list.push(headers.lastEventId, String(item.lastEventId));
         }
-        this.watchForStall();
+        this.restartStallTimer();
         this.exchange = connections.send(this.upstream, {
             method: "POST",
             path: item.record.path,
@@ -70,12 +70,12 @@
         });
     }
 
-    /** Events of this run so far. */
+    /** Number of events that this run has produced so far. */
     get eventCount(): number {
         return this.producedEvents;
     }
 
-    /** Ends the run at the upstream; the item keeps what has come. */
+    /** Ends the run at the upstream. The item keeps the events received so far. */
     abort(): void {
         this.isEnded = true;
         this.stallTimer?.cancel();
@@ -86,7 +86,7 @@
         if (this.isEnded || this.head?.statusCode !== HTTP_OK) {
             return;
         }
-        this.watchForStall();
+        this.restartStallTimer();
         this.splitter.push(chunk).forEach(event => {
             if (this.isEnded) {
                 return;
@@ -128,7 +128,7 @@
             : { kind: "completed" };
     }
 
-    private watchForStall(): void {
+    private restartStallTimer(): void {
         this.stallTimer?.cancel();
         this.stallTimer = this.clock.setTimer(STALL_MS, () => {
             this.exchange?.abort();
--- /dev/null
+++ b/fleet/jobs/src/itemRunTimeEstimator.ts
@@ -0,0 +1,35 @@
+import type { ItemProgress } from "./itemProgress.js";
+
+/** Weight of the newest sample in the moving averages. */
+const NEWEST_WEIGHT = 0.05;
+/** Minimum number of events of a run for a meaningful time per event. */
+const MIN_EVENTS = 5;
+/** Ratio of total time to run time: items are preempted by online requests and resumed later. */
+const PREEMPTION_FACTOR = 1.3;
+
+/** Estimates remaining run times of items from earlier runs, to find the items that can still finish in time. */
+export class ItemRunTimeEstimator {
+    private meanEventCount = 0;
+    private meanEventMs = 0;
+
+    /** Records a run that produced `eventCount` events. */
+    recordRun(eventCount: number, durationMs: number): void {
+        if (eventCount >= MIN_EVENTS) {
+            this.meanEventMs = updateMean(this.meanEventMs, durationMs / eventCount);
+        }
+    }
+
+    /** Records the number of events in the complete output of an item. */
+    recordOutput(eventCount: number): void {
+        this.meanEventCount = updateMean(this.meanEventCount, eventCount);
+    }
+
+    /** Returns the expected time until the item is done if it runs from now on, in milliseconds; 0 without samples. */
+    remainingMs(item: ItemProgress): number {
+        return Math.max(0, this.meanEventCount - item.lastEventId) * this.meanEventMs * PREEMPTION_FACTOR;
+    }
+}
+
+function updateMean(mean: number, newest: number): number {
+    return mean === 0 ? newest : mean + (newest - mean) * NEWEST_WEIGHT;
+}
--- a/fleet/jobs/src/jobAcceptor.ts
+++ b/fleet/jobs/src/jobAcceptor.ts
@@ -26,36 +26,37 @@
 const DEFAULT_DUE_MS = 60_000;
 const DEFAULT_RETENTION_MS = 600_000;
 const RETRY_AFTER_MS = 700;
-/** Time that a write may take before the job is kept on disks as well, in milliseconds. */
+/** Time after which a job whose write is still pending is also held on disks, in milliseconds. */
 const HOLD_AFTER_MS = 200;
 
-/** Accepts and cancels jobs: each is one conditional write, so that a job sent to many instances is kept once. */
+/** Accepts and cancels jobs with one conditional write each, so that a job sent to many instances is stored once. */
 export class JobAcceptor {
     private readonly service: KeyValueService;
     private readonly clock: Clock;
     private readonly logger: Logger;
     private readonly holder: JobHolder;
-    private readonly isSettled: () => boolean;
-    private readonly limits = new Map<string, KeyValueEntry>();
+    private readonly areHeldJobsWritten: () => boolean;
+    private readonly waitingTokensEntries = new Map<string, KeyValueEntry>();
 
     /**
-     * @param opts.holder keeps jobs while the service is away
-     * @param opts.isSettled whether jobs that were held during an outage have been written by now
+     * @param opts.holder holds jobs while the key-value service is unavailable
+     * @param opts.areHeldJobsWritten whether jobs held during an outage have been written
      */
     constructor(opts: {
         service: KeyValueService;
         clock: Clock;
         logger: Logger;
         holder: JobHolder;
-        isSettled: () => boolean;
+        areHeldJobsWritten: () => boolean;
     }) {
         this.service = opts.service;
         this.clock = opts.clock;
         this.logger = opts.logger;
         this.holder = opts.holder;
-        this.isSettled = opts.isSettled;
+        this.areHeldJobsWritten = opts.areHeldJobsWritten;
     }
 
+    /** Stores the job, or holds it on disks. A job that was accepted before is accepted again. */
     async accept(route: Route, submission: JobSubmission): Promise<Acceptance> {
         const { jobId } = submission;
         const acceptance = await this.writeOrHold(route, submission);
@@ -63,10 +64,10 @@
         return acceptance;
     }
 
-    /** @returns whether the job exists; throws where that isn't known */
+    /** Cancels a job. @returns whether the job exists; rejects if that is uncertain */
     async cancel(jobId: JobId): Promise<boolean> {
         const record = await this.service.get(jobKeys.record(jobId));
-        if (record === undefined && !this.isSettled()) {
+        if (record === undefined && !this.areHeldJobsWritten()) {
             throw new KnapweedError("JOBS_NOT_SETTLED", "Jobs held during an outage may not be written yet");
         }
         if (record === undefined) {
@@ -84,11 +85,11 @@
     }
 
     /**
-     * While jobs that were held during an outage are still being written, the stored count of waiting tokens is too low:
-     * the disks come first then, where the leading runner knows all.
+     * While jobs held during an outage are still being written, the stored count of waiting tokens is too low. Then the
+     * job is held first, because the leading runner has the complete count.
      */
     private async writeOrHold(route: Route, submission: JobSubmission): Promise<Acceptance> {
-        const isCountUncertain = route.maxWaitingTokens !== undefined && !this.isSettled();
+        const isCountUncertain = route.maxWaitingTokens !== undefined && !this.areHeldJobsWritten();
         const held = isCountUncertain ? await this.hold(route, submission) : "not-held";
         switch (held) {
             case "held":
@@ -97,22 +98,22 @@
                 return await this.findAccepted(submission.jobId)
                     ?? { kind: "refused", reason: "over-limit", retryAfterMs: RETRY_AFTER_MS };
             default:
-                return combine(await this.writeThenHold(route, submission), held);
+                return mergeHoldOutcome(await this.writeThenHold(route, submission), held);
         }
     }
 
-    /** Writes the job; where that takes long or fails, keeps it on disks until it can be written. */
+    /** Writes the job. If that takes long or fails, holds it on disks until it can be written. */
     private async writeThenHold(route: Route, submission: JobSubmission): Promise<Acceptance> {
-        const writing = this.tryAccept(route, submission);
+        const writing = this.tryWrite(route, submission);
         const written = await Promise.race([writing, sleep(this.clock, HOLD_AFTER_MS)]);
         if (written !== undefined && isFinal(written)) {
             return written;
         }
         const held = await this.hold(route, submission);
-        return held === "held" ? { kind: "accepted", revision: 0 } : combine(await writing, held);
+        return held === "held" ? { kind: "accepted", revision: 0 } : mergeHoldOutcome(await writing, held);
     }
 
-    /** A job that was accepted before is accepted again, however many wait. */
+    /** Returns an acceptance if the job was accepted before, regardless of the limit; otherwise undefined. */
     private async findAccepted(jobId: JobId): Promise<Acceptance | undefined> {
         try {
             const existing = await this.service.get(jobKeys.record(jobId));
@@ -125,15 +126,15 @@
     }
 
     private hold(route: Route, submission: JobSubmission): Promise<HoldOutcome> {
-        const known = this.limits.get(route.name);
-        const stored = known === undefined ? [] : decodeRecord<WaitingTokens>(known.value).jobs;
+        const cachedEntry = this.waitingTokensEntries.get(route.name);
+        const stored = cachedEntry === undefined ? [] : decodeRecord<WaitingTokens>(cachedEntry.value).jobs;
         const storedTokens = stored
             .filter(job => job.jobId !== submission.jobId)
             .reduce((sum, job) => sum + job.tokens, 0);
         return this.holder.hold({ job: this.toJob(route, submission), storedTokens });
     }
 
-    private async tryAccept(route: Route, submission: JobSubmission): Promise<Acceptance> {
+    private async tryWrite(route: Route, submission: JobSubmission): Promise<Acceptance> {
         try {
             for (let conflicts = 0; conflicts < MAX_CONFLICTS; conflicts += 1) {
                 const acceptance = await this.writeOnce(route, submission);
@@ -152,12 +153,12 @@
         }
     }
 
-    /** @returns undefined where another job was accepted meanwhile and the write has to be made anew */
+    /** @returns undefined if another job was accepted in the meantime and the write has to be repeated */
     private async writeOnce(route: Route, submission: JobSubmission): Promise<Acceptance | undefined> {
         const recordKey = jobKeys.record(submission.jobId);
-        const plan = planJobWrite(this.toJob(route, submission), this.limits.get(route.name));
+        const plan = planJobWrite(this.toJob(route, submission), this.waitingTokensEntries.get(route.name));
         if (plan.waitingTokens > (route.maxWaitingTokens ?? Infinity)) {
-            return this.refuseOverLimit(route, submission);
+            return this.rejectOverLimit(route, submission);
         }
         const result = await settleTransaction({
             service: this.service,
@@ -177,12 +178,16 @@
         if (existing !== undefined) {
             return { kind: "accepted", revision: existing.modRevision };
         }
-        this.learnLimit(route, result.current);
+        this.updateWaitingTokensEntry(route, result.current);
         return undefined;
     }
 
-    /** The record known here may be old: a refusal is only made on the newest. */
-    private async refuseOverLimit(route: Route, submission: JobSubmission): Promise<Acceptance | undefined> {
+    /**
+     * Rejects the job only on the basis of the newest entry of waiting tokens, since the cached one may be outdated.
+     *
+     * @returns undefined if the entry was outdated and the write has to be repeated
+     */
+    private async rejectOverLimit(route: Route, submission: JobSubmission): Promise<Acceptance | undefined> {
         const [existing, newest] = await Promise.all([
             this.service.get(jobKeys.record(submission.jobId)),
             this.service.get(jobKeys.waitingTokens(route.name)),
@@ -190,20 +195,20 @@
         if (existing !== undefined) {
             return { kind: "accepted", revision: existing.modRevision };
         }
-        if (newest?.modRevision !== this.limits.get(route.name)?.modRevision) {
-            this.learnLimit(route, newest === undefined ? [] : [newest]);
+        if (newest?.modRevision !== this.waitingTokensEntries.get(route.name)?.modRevision) {
+            this.updateWaitingTokensEntry(route, newest === undefined ? [] : [newest]);
             return undefined;
         }
         return { kind: "refused", reason: "over-limit", retryAfterMs: RETRY_AFTER_MS };
     }
 
-    private learnLimit(route: Route, current: readonly KeyValueEntry[]): void {
+    private updateWaitingTokensEntry(route: Route, current: readonly KeyValueEntry[]): void {
         const entry = current.find(candidate => candidate.key === jobKeys.waitingTokens(route.name));
         if (entry === undefined) {
-            this.limits.delete(route.name);
+            this.waitingTokensEntries.delete(route.name);
             return;
         }
-        this.limits.set(route.name, entry);
+        this.waitingTokensEntries.set(route.name, entry);
     }
 
     private toJob(route: Route, submission: JobSubmission): HeldJob {
@@ -238,14 +243,14 @@
     return acceptance.kind === "accepted" || (acceptance.kind === "refused" && acceptance.reason === "over-limit");
 }
 
-/** What is known of a job that could not be held, from the end of its write. */
-function combine(written: Acceptance, held: HoldOutcome): Acceptance {
+/** Combines the outcome of the write with that of a failed hold. */
+function mergeHoldOutcome(written: Acceptance, held: HoldOutcome): Acceptance {
     if (written.kind !== "refused") {
         return written;
     }
     switch (held) {
         case "unknown":
-            // A copy on one disk may be written later on.
+            // A copy held on one disk may be written later.
             return { kind: "unknown" };
         case "over-limit":
             return { ...written, reason: "over-limit" };
--- a/fleet/jobs/src/jobReads.ts
+++ b/fleet/jobs/src/jobReader.ts
@@ -4,33 +4,33 @@
 import type { JobId } from "@knapweedwood/core.ids/jobId";
 import type { KeyValueEntry } from "@knapweedwood/core.key-value/keyValueEntry";
 import type { SnapshotKeyValueService } from "@knapweedwood/core.key-value/snapshotKeyValueService";
-import { HELD_JOBS_SETTLE_MS } from "./heldJobsSettleMs.js";
+import { HELD_JOBS_WRITE_MS } from "./heldJobsWriteMs.js";
 import { jobKeys } from "./jobKeys.js";
 import type { JobTable } from "./jobTable.js";
 import type { OpenJob } from "./openJob.js";
 import type { ResultsPage } from "./resultsPage.js";
 
-interface JobReadsOptions {
+interface JobReaderOptions {
     clock: Clock;
     service: SnapshotKeyValueService;
     table: JobTable;
-    /** Whether the table certainly holds what is stored. */
+    /** Whether the table is certain to match the stored jobs. */
     isCurrent: () => boolean;
-    /** Since when the service has answered without a failure, Unix ms. */
-    inTouchSinceMs: () => number;
-    /** Takes in entries of a job that the watch has not brought yet. */
+    /** Time since which the key-value service has responded without a failure, Unix ms. */
+    reachableSinceMs: () => number;
+    /** Applies entries of a job that the watch has not delivered yet. */
     apply: (entries: KeyValueEntry[]) => void;
 }
 
-/** Answers reads of jobs. Methods throw `JOBS_NOT_LED` or `JOBS_NOT_SETTLED` where this process can't be sure. */
-export class JobReads {
-    private readonly opts: JobReadsOptions;
+/** Serves reads of jobs. Methods reject with `JOBS_NOT_LED` or `JOBS_NOT_SETTLED` if the result would be uncertain. */
+export class JobReader {
+    private readonly opts: JobReaderOptions;
 
-    constructor(opts: JobReadsOptions) {
+    constructor(opts: JobReaderOptions) {
         this.opts = opts;
     }
 
-    /** Reads results, waiting up to `waitMs` for the first. @returns undefined where there certainly is no such job */
+    /** Reads results; waits up to `waitMs` for the first. @returns undefined if the job certainly does not exist */
     async results(
         opts: { jobId: JobId; after: number; waitMs: number; signal: AbortSignal; },
     ): Promise<ResultsPage | undefined> {
@@ -45,7 +45,7 @@
         return job.page(opts.after);
     }
 
-    /** @returns undefined where there certainly is no such item */
+    /** Reads the body of an item. @returns undefined if the item certainly does not exist */
     async itemBody(jobId: JobId, itemId: ItemId): Promise<Buffer | undefined> {
         const job = await this.find(jobId);
         const item = job?.item(itemId);
@@ -54,14 +54,14 @@
 
     private async find(jobId: JobId): Promise<OpenJob | undefined> {
         this.assertCurrent();
-        const known = this.opts.table.get(jobId);
-        if (known?.isLoaded === true) {
-            return known;
+        const job = this.opts.table.get(jobId);
+        if (job?.isLoaded === true) {
+            return job;
         }
         // The watch may lag behind an acceptance.
         const record = await this.opts.service.get(jobKeys.record(jobId));
         if (record === undefined) {
-            this.assertSettled();
+            this.assertHeldJobsWritten();
             return undefined;
         }
         const { entries } = await this.opts.service.snapshot(jobKeys.jobPrefix(jobId));
@@ -70,9 +70,9 @@
         return this.opts.table.get(jobId);
     }
 
-    /** After an outage jobs that were held on disks are written within moments. */
-    private assertSettled(): void {
-        if (this.opts.clock.nowMs() < this.opts.inTouchSinceMs() + HELD_JOBS_SETTLE_MS) {
+    /** Throws `JOBS_NOT_SETTLED` for a short time after an outage, while held jobs are still being written. */
+    private assertHeldJobsWritten(): void {
+        if (this.opts.clock.nowMs() < this.opts.reachableSinceMs() + HELD_JOBS_WRITE_MS) {
             throw new KnapweedError("JOBS_NOT_SETTLED", "Jobs held during an outage may not be written yet", {
                 outcome: "not-run",
             });
@@ -81,7 +81,11 @@
 
     private assertCurrent(): void {
         if (!this.opts.isCurrent()) {
-            throw new KnapweedError("JOBS_NOT_LED", "This process does not run jobs now", { outcome: "not-run" });
+            throw new KnapweedError(
+                "JOBS_NOT_LED",
+                "This process is not the jobs leader or has not loaded the jobs yet",
+                { outcome: "not-run" },
+            );
         }
     }
 
@@ -89,12 +93,12 @@
         return new Promise(resolve => {
             const finish = () => {
                 timer.cancel();
-                takeBack();
+                unsubscribe();
                 signal.removeEventListener("abort", finish);
                 resolve();
             };
             const timer = this.opts.clock.setTimer(waitMs, finish);
-            const takeBack = job.onResult(finish);
+            const unsubscribe = job.onNextResult(finish);
             signal.addEventListener("abort", finish, { once: true });
         });
     }
--- a/fleet/jobs/src/openJob.ts
+++ b/fleet/jobs/src/openJob.ts
@@ -3,21 +3,21 @@
 import type { ItemResult } from "./itemResult.js";
 import type { JobItem } from "./jobItem.js";
 import type { JobRecord } from "./jobRecord.js";
-import { progressOf } from "./progressOf.js";
+import { pickProgress } from "./pickProgress.js";
 import type { ResultsPage } from "./resultsPage.js";
 
-/** Largest output of one page, in characters. */
+/** Maximum total output of one page, in characters. A single larger result still gets a page. */
 const MAX_PAGE_LENGTH = 600_000;
 
-/** A job that this process runs or whose results it serves. */
+/** A job that this process runs or whose results it serves. Keeps the state of its items. */
 export class OpenJob {
     readonly record: JobRecord;
     readonly items: JobItem[];
     isCancelled = false;
     private readonly parts: (Buffer | undefined)[];
-    /** All parts as one; undefined until a body is wanted. */
+    /** All parts concatenated; undefined until a body is requested. */
     private joinedParts: Buffer | undefined;
-    private readonly listed: ItemResult[] = [];
+    private readonly storedResults: ItemResult[] = [];
     private waiters: (() => void)[] = [];
 
     constructor(record: JobRecord) {
@@ -33,22 +33,22 @@
             failedAttempts: 0,
             isComplete: false,
             notBeforeMs: 0,
-            failedAt: [],
+            failedUpstreamIds: [],
         }));
     }
 
-    /** Whether all bodies have arrived. */
+    /** Whether all parts of the bodies have arrived. */
     get isLoaded(): boolean {
         return this.parts.every(part => part !== undefined);
     }
 
     /** Whether every item has a result or the job was cancelled. */
     get isEnded(): boolean {
-        return this.isCancelled || this.listed.length === this.items.length;
+        return this.isCancelled || this.storedResults.length === this.items.length;
     }
 
     get resultCount(): number {
-        return this.listed.length;
+        return this.storedResults.length;
     }
 
     setPart(index: number, bytes: Uint8Array): void {
@@ -69,42 +69,43 @@
     restoreProgress(index: number, progress: ItemProgress): void {
         const item = this.items[index];
         if (item !== undefined && item.state === "pending" && progress.lastEventId >= item.lastEventId) {
-            Object.assign(item, progressOf(progress));
+            Object.assign(item, pickProgress(progress));
         }
     }
 
-    /** Items without a stored result that have come some way, shape [items]. */
-    begunItems(): JobItem[] {
+    /** Returns items without a stored result that have events or failed attempts, shape [items]. */
+    itemsWithProgress(): JobItem[] {
         return this.items
-            .filter(item => item.state !== "listed")
+            .filter(item => item.state !== "stored")
             .filter(item => item.lastEventId > 0 || item.failedAttempts > 0);
     }
 
-    /** Takes in a result that is stored at `position`. Positions come in order. */
-    list(position: number, result: ItemResult): void {
-        if (position !== this.listed.length) {
+    /** Adds the result stored at `position`. Ignores positions that are out of order. */
+    addResult(position: number, result: ItemResult): void {
+        if (position !== this.storedResults.length) {
             return;
         }
-        this.listed.push(result);
+        this.storedResults.push(result);
         const item = this.item(result.itemId);
         if (item !== undefined) {
-            item.state = "listed";
+            item.state = "stored";
             item.events = [];
         }
         this.waiters.splice(0).forEach(wake => wake());
     }
 
+    /** Returns the results from position `after` on, as many as fit in a page. */
     page(after: number): ResultsPage {
         let length = 0;
-        const results = this.listed.slice(after).filter((result, index) => {
+        const results = this.storedResults.slice(after).filter((result, index) => {
             length += result.output.length;
             return index === 0 || length <= MAX_PAGE_LENGTH;
         });
         return { total: this.items.length, results, next: after + results.length };
     }
 
-    /** Calls `wake` once, at the next result. @returns a function that takes it back */
-    onResult(wake: () => void): () => void {
+    /** Calls `wake` once, at the next result. @returns a function that removes the subscription */
+    onNextResult(wake: () => void): () => void {
         this.waiters.push(wake);
         return () => {
             this.waiters = this.waiters.filter(other => other !== wake);
--- a/fleet/jobs/src/orderOfItems.ts
+++ b/fleet/jobs/src/orderStartableItems.ts
@@ -1,24 +1,24 @@
 import type { JobItem } from "./jobItem.js";
 import type { OpenJob } from "./openJob.js";
 
-interface WaitingItem {
+interface StartableItem {
     job: OpenJob;
     item: JobItem;
 }
 
-interface RankedItem extends WaitingItem {
-    /** Whether it would be late even if it started now. */
+interface RankedItem extends StartableItem {
+    /** Whether the item would be late even if it started now. */
     isLate: boolean;
 }
 
 /**
- * Items that may start now: by due time, begun ones first. Answers more jobs than fit: items that can't be in time any
- * more come last, since each of them would make another one late.
+ * Returns the items that may start now, ordered by due time; items with more progress go first. Under overload, items
+ * that can no longer finish in time come last, since each of them would make another one late.
  */
-export function orderOfItems(
+export function orderStartableItems(
     jobs: readonly OpenJob[],
     opts: { nowMs: number; remainingMs: (item: JobItem) => number; },
-): WaitingItem[] {
+): StartableItem[] {
     return jobs
         .filter(job => !job.isEnded && job.isLoaded)
         .flatMap(job => job.items.map(item => ({ job, item })))
--- a/fleet/jobs/src/planJobWrite.ts
+++ b/fleet/jobs/src/planJobWrite.ts
@@ -3,33 +3,37 @@
 import type { KeyValueCompare } from "@knapweedwood/core.key-value/keyValueCompare";
 import type { KeyValueEntry } from "@knapweedwood/core.key-value/keyValueEntry";
 import type { KeyValueOperation } from "@knapweedwood/core.key-value/keyValueOperation";
+import { countJobTokens } from "./countJobTokens.js";
+import { createJobOperations } from "./createJobOperations.js";
 import type { HeldJob } from "./heldJob.js";
 import { jobKeys } from "./jobKeys.js";
-import { jobWriteOf } from "./jobWriteOf.js";
-import { tokensOf } from "./tokensOf.js";
 import type { WaitingTokens } from "./waitingTokens.js";
 
-/** The write that stores a job and, where its route has a limit, counts its tokens as waiting. */
+/** The write that stores a job and, if its route has a limit, adds its tokens to the waiting ones. */
 interface JobWrite {
     compares: KeyValueCompare[];
     operations: KeyValueOperation[];
-    /** Tokens that wait on the route with this job; 0 where the route has no limit. */
+    /** Waiting tokens of the route including this job; 0 if the route has no limit. */
     waitingTokens: number;
 }
 
-/** @param known the route's entry of waiting tokens as last seen; the write fails where it has changed */
-export function planJobWrite(job: HeldJob, known: KeyValueEntry | undefined): JobWrite {
+/**
+ * Returns the conditional write that stores a job.
+ *
+ * @param waitingTokensEntry the route's entry of waiting tokens as last seen; the write fails if it has changed since
+ */
+export function planJobWrite(job: HeldJob, waitingTokensEntry: KeyValueEntry | undefined): JobWrite {
     const { record } = job;
     const compares = [{ key: jobKeys.record(record.jobId), modRevision: 0 }];
-    const operations = jobWriteOf(job);
+    const operations = createJobOperations(job);
     if (job.maxWaitingTokens === undefined) {
         return { compares, operations, waitingTokens: 0 };
     }
     const key = jobKeys.waitingTokens(record.routeName);
-    const others = known === undefined ? [] : decodeRecord<WaitingTokens>(known.value).jobs;
-    const jobs = [...others, { jobId: record.jobId, tokens: tokensOf(record) }];
+    const others = waitingTokensEntry === undefined ? [] : decodeRecord<WaitingTokens>(waitingTokensEntry.value).jobs;
+    const jobs = [...others, { jobId: record.jobId, tokens: countJobTokens(record) }];
     return {
-        compares: [...compares, { key, modRevision: known?.modRevision ?? 0 }],
+        compares: [...compares, { key, modRevision: waitingTokensEntry?.modRevision ?? 0 }],
         operations: [...operations, { kind: "put", key, value: encodeRecord({ jobs } satisfies WaitingTokens) }],
         waitingTokens: jobs.reduce((sum, other) => sum + other.tokens, 0),
     };
--- a/fleet/jobs/src/resultCommitter.ts
+++ b/fleet/jobs/src/resultCommitter.ts
@@ -5,14 +5,15 @@
 import type { KeyValueOperation } from "@knapweedwood/core.key-value/keyValueOperation";
 import type { KeyValueService } from "@knapweedwood/core.key-value/keyValueService";
 import { settleTransaction } from "@knapweedwood/core.key-value/settleTransaction";
-import type { FencedLead } from "@knapweedwood/fleet.sync/fencedLead";
+import type { FencedLeadership } from "@knapweedwood/fleet.sync/fencedLeadership";
 import type { Logger } from "@knapweedwood/observability.logs/logger";
 import type { ItemResult } from "./itemResult.js";
 import { jobKeys } from "./jobKeys.js";
 import type { OpenJob } from "./openJob.js";
 
-/** Results that one write carries; the key-value service takes 32 entries. */
+/** Results per write; the key-value service accepts 32 entries. */
 const MAX_RESULTS = 30;
+/** Maximum total output per write, in characters. */
 const MAX_WRITE_LENGTH = 500_000;
 const RETRY_DELAY_MS = 250;
 
@@ -21,18 +22,18 @@
     result: ItemResult;
 }
 
-interface PlacedResult extends PendingResult {
+interface PositionedResult extends PendingResult {
     position: number;
 }
 
-/** Writes results one batch at a time under the leader's fencing number; a result counts once it is written. */
+/** Writes results one batch at a time, guarded by the leader's fencing number. A result counts once it is written. */
 export class ResultCommitter {
     private readonly opts: {
         service: KeyValueService;
         clock: Clock;
         logger: Logger;
-        leadership: FencedLead;
-        onListed: (job: OpenJob) => void;
+        leadership: FencedLeadership;
+        onResultsStored: (job: OpenJob) => void;
     };
     private pending: PendingResult[] = [];
     private isWriting = false;
@@ -41,31 +42,31 @@
         service: KeyValueService;
         clock: Clock;
         logger: Logger;
-        leadership: FencedLead;
-        onListed: (job: OpenJob) => void;
+        leadership: FencedLeadership;
+        onResultsStored: (job: OpenJob) => void;
     }) {
         this.opts = opts;
     }
 
     add(job: OpenJob, result: ItemResult): void {
         this.pending.push({ job, result });
-        void this.drain();
+        void this.writePending();
     }
 
-    /** Drops what has not been written: another process leads now. */
+    /** Drops unwritten results, because this process has lost leadership. */
     reset(): void {
         this.pending = [];
     }
 
-    /** Resolves when all results are written, or at once where this process doesn't lead. */
+    /** Resolves when all results are written, or at once if this process is not the leader. */
     async flush(): Promise<void> {
         while (this.pending.length > 0 && this.opts.leadership.fence() !== undefined) {
-            await this.drain();
+            await this.writePending();
             await sleep(this.opts.clock, 10);
         }
     }
 
-    private async drain(): Promise<void> {
+    private async writePending(): Promise<void> {
         if (this.isWriting) {
             return;
         }
@@ -80,7 +81,7 @@
         }
     }
 
-    private takeBatch(): PlacedResult[] {
+    private takeBatch(): PositionedResult[] {
         let length = 0;
         const batch = this.pending.slice(0, MAX_RESULTS).filter(({ result }, index) => {
             length += result.output.length;
@@ -94,8 +95,8 @@
         }));
     }
 
-    /** Repeats the write until its outcome is known or the lead under which its positions were given is lost. */
-    private async writeBatch(batch: PlacedResult[]): Promise<void> {
+    /** Repeats the write until it succeeds or the leadership under which its positions were assigned is lost. */
+    private async writeBatch(batch: PositionedResult[]): Promise<void> {
         const fence = this.opts.leadership.fence();
         const operations: KeyValueOperation[] = batch.map(({ job, result, position }) => ({
             kind: "put",
@@ -113,10 +114,10 @@
                     witnessKey,
                 });
                 if (settled.kind === "failed") {
-                    this.opts.leadership.abandon("write-refused");
+                    this.opts.leadership.stepDown("write-refused");
                 }
                 if (settled.kind === "succeeded" && this.opts.leadership.fence()?.modRevision === fence.modRevision) {
-                    this.list(batch);
+                    this.onStored(batch);
                     return;
                 }
             }
@@ -128,9 +129,9 @@
         }
     }
 
-    private list(batch: PlacedResult[]): void {
+    private onStored(batch: PositionedResult[]): void {
         batch.forEach(({ job, result, position }) => {
-            job.list(position, result);
+            job.addResult(position, result);
             this.opts.logger.info("item-listed", {
                 jobId: job.record.jobId,
                 itemId: result.itemId,
@@ -138,6 +139,6 @@
                 position,
             });
         });
-        [...new Set(batch.map(({ job }) => job))].forEach(job => this.opts.onListed(job));
+        [...new Set(batch.map(({ job }) => job))].forEach(job => this.opts.onResultsStored(job));
     }
 }
--- /dev/null
+++ b/fleet/jobs/test/applyRunOutcome.test.ts
@@ -0,0 +1,33 @@
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { applyRunOutcome } from "../src/applyRunOutcome.js";
+import { OpenJob } from "../src/openJob.js";
+import { createJobRecord } from "./createJobRecord.js";
+
+const opts = { nowMs: 1000, maxAttempts: 3 };
+
+function createItemWithProgress() {
+    const item = new OpenJob(createJobRecord({ id: "j", itemCount: 1 })).items[0]!;
+    Object.assign(item, { events: ["a"], lastEventId: 1 });
+    return item;
+}
+
+test("an item fails permanently after the allowed number of failures, or at once if it can't be processed", () => {
+    const item = createItemWithProgress();
+    const outcomes = [1, 2, 3].map(() => applyRunOutcome(item, { kind: "failed" }, opts));
+    assert.deepEqual(outcomes, ["retry", "retry", "given-up"]);
+    assert.equal(applyRunOutcome(createItemWithProgress(), { kind: "impossible" }, opts), "given-up");
+});
+
+test("a broken run is not a failure of the item and keeps the events received", () => {
+    const item = createItemWithProgress();
+    const broken = { kind: "broken", code: "ECONNRESET", isUnreachable: false } as const;
+    Array.from({ length: 10 }).forEach(() => assert.equal(applyRunOutcome(item, broken, opts), "retry"));
+    assert.deepEqual([item.failedAttempts, item.lastEventId], [0, 1]);
+});
+
+test("an item whose events can't be trusted starts over", () => {
+    const item = createItemWithProgress();
+    applyRunOutcome(item, { kind: "garbled", code: "EVENT_OUT_OF_ORDER" }, opts);
+    assert.deepEqual([item.events, item.lastEventId], [[], 0]);
+});
--- a/fleet/jobs/test/batchChoices.test.ts
+++ b/fleet/jobs/test/batchChoices.test.ts
@@ -5,12 +5,12 @@
 import { test } from "node:test";
 import type { BatchCandidate } from "../src/batchCandidate.js";
 import { chooseBatchUpstream } from "../src/chooseBatchUpstream.js";
-import { chooseRunsToEnd } from "../src/chooseRunsToEnd.js";
-import { ItemRunTimes } from "../src/itemRunTimes.js";
+import { chooseRunsToPreempt } from "../src/chooseRunsToPreempt.js";
+import { ItemRunTimeEstimator } from "../src/itemRunTimeEstimator.js";
 import type { JobItem } from "../src/jobItem.js";
 import { OpenJob } from "../src/openJob.js";
-import { orderOfItems } from "../src/orderOfItems.js";
-import { jobOf } from "./jobOf.js";
+import { orderStartableItems } from "../src/orderStartableItems.js";
+import { createJobRecord } from "./createJobRecord.js";
 
 function candidate(id: string, online: number, batch: number): BatchCandidate {
     const upstream = {
@@ -25,19 +25,22 @@
     return { upstream, online, batch };
 }
 
-test("an item goes where most slots are free and leaves one for an online request", () => {
+test("an item goes to the upstream with the most free slots and leaves one for an online request", () => {
     assert.equal(chooseBatchUpstream([candidate("a", 4, 0), candidate("b", 1, 2)])?.upstream.id, "b");
     assert.equal(chooseBatchUpstream([candidate("a", 4, 3), candidate("b", 8, 0)]), undefined);
 });
 
-test("an item that an upstream has failed goes to another, and back only where none else has room", () => {
-    const candidates = [candidate("ill", 0, 0), candidate("well", 5, 0)];
-    const failedAt = ["ill" as UpstreamId];
-    assert.equal(chooseBatchUpstream(candidates, failedAt)?.upstream.id, "well");
-    assert.equal(chooseBatchUpstream([candidate("ill", 0, 0), candidate("well", 8, 0)], failedAt)?.upstream.id, "ill");
+test("an item goes to an upstream that has failed it only if no other has a free slot", () => {
+    const candidates = [candidate("failing", 0, 0), candidate("healthy", 5, 0)];
+    const failedAt = ["failing" as UpstreamId];
+    assert.equal(chooseBatchUpstream(candidates, failedAt)?.upstream.id, "healthy");
+    assert.equal(
+        chooseBatchUpstream([candidate("failing", 0, 0), candidate("healthy", 8, 0)], failedAt)?.upstream.id,
+        "failing",
+    );
 });
 
-test("a burst ends as many runs as it displaces: those due last, then those started last", () => {
+test("a burst preempts as many runs as exceed the slots: those due last first, then those started last", () => {
     const run = (name: string, dueAtMs: number, startedAtMs: number, isLate = false) => ({
         name,
         upstreamId: "a" as UpstreamId,
@@ -46,41 +49,41 @@
         isLate,
     });
     const runs = [run("early", 10, 0), run("old", 20, 1), run("new", 20, 2)];
-    const ended = chooseRunsToEnd(candidate("a", 7, 3), runs).map(({ name }) => name);
+    const ended = chooseRunsToPreempt(candidate("a", 7, 3), runs).map(({ name }) => name);
     assert.deepEqual(ended, ["new", "old"]);
-    assert.deepEqual(chooseRunsToEnd(candidate("a", 5, 3), runs), []);
+    assert.deepEqual(chooseRunsToPreempt(candidate("a", 5, 3), runs), []);
     const withLate = [...runs, run("late", 5, 0, true)];
-    assert.deepEqual(chooseRunsToEnd(candidate("a", 5, 4), withLate).map(({ name }) => name), ["late"]);
+    assert.deepEqual(chooseRunsToPreempt(candidate("a", 5, 4), withLate).map(({ name }) => name), ["late"]);
 });
 
-test("items run by due time, begun ones first, jobs that are late already last", () => {
+test("items run by due time, those with progress first, and jobs that are already late last", () => {
     const jobs = [
-        new OpenJob(jobOf({ id: "late", itemCount: 1, dueAtMs: 900 })),
-        new OpenJob(jobOf({ id: "far", itemCount: 1, dueAtMs: 9000 })),
-        new OpenJob(jobOf({ id: "near", itemCount: 2, dueAtMs: 2000 })),
+        new OpenJob(createJobRecord({ id: "late", itemCount: 1, dueAtMs: 900 })),
+        new OpenJob(createJobRecord({ id: "far", itemCount: 1, dueAtMs: 9000 })),
+        new OpenJob(createJobRecord({ id: "near", itemCount: 2, dueAtMs: 2000 })),
     ];
     jobs[2]!.items[1]!.lastEventId = 3;
-    const order = orderOfItems(jobs, { nowMs: 1000, remainingMs: () => 0 }).map(({ item }) => item.id);
+    const order = orderStartableItems(jobs, { nowMs: 1000, remainingMs: () => 0 }).map(({ item }) => item.id);
     assert.deepEqual(order, ["near-1", "near-0", "far-0", "late-0"]);
 });
 
 /** Items of 100 events that take 5 s. */
-const remainingOfFiveSeconds = (item: { lastEventId: number; }) => (100 - item.lastEventId) * 50;
+const remainingOfFiveSecondItem = (item: { lastEventId: number; }) => (100 - item.lastEventId) * 50;
 
-test("of more jobs than fit, the items that can still be in time run first", () => {
+test("under overload, the items that can still finish in time run first", () => {
     const jobs = [
-        new OpenJob(jobOf({ id: "hopeless", itemCount: 1, dueAtMs: 4000 })),
-        new OpenJob(jobOf({ id: "begun", itemCount: 1, dueAtMs: 4000 })),
-        new OpenJob(jobOf({ id: "near", itemCount: 1, dueAtMs: 7000 })),
-        new OpenJob(jobOf({ id: "far", itemCount: 1, dueAtMs: 9000 })),
+        new OpenJob(createJobRecord({ id: "too-late", itemCount: 1, dueAtMs: 4000 })),
+        new OpenJob(createJobRecord({ id: "started", itemCount: 1, dueAtMs: 4000 })),
+        new OpenJob(createJobRecord({ id: "near", itemCount: 1, dueAtMs: 7000 })),
+        new OpenJob(createJobRecord({ id: "far", itemCount: 1, dueAtMs: 9000 })),
     ];
     jobs[1]!.items[0]!.lastEventId = 60;
-    const order = orderOfItems(jobs, { nowMs: 1000, remainingMs: remainingOfFiveSeconds });
-    assert.deepEqual(order.map(({ item }) => item.id), ["begun-0", "near-0", "far-0", "hopeless-0"]);
+    const order = orderStartableItems(jobs, { nowMs: 1000, remainingMs: remainingOfFiveSecondItem });
+    assert.deepEqual(order.map(({ item }) => item.id), ["started-0", "near-0", "far-0", "too-late-0"]);
 });
 
-/** Plays jobs that come at once before a fixed number of slots. @returns items that were in time */
-function playOverload(remainingMs: (item: JobItem) => number): number {
+/** Simulates bursts of jobs on a fixed number of slots. @returns the number of items that finished in time */
+function simulateOverload(remainingMs: (item: JobItem) => number): number {
     const slots = 8;
     const runMs = 5000;
     const stepMs = 500;
@@ -89,14 +92,14 @@
     let inTime = 0;
     for (let nowMs = 0; nowMs < 60_000; nowMs += stepMs) {
         if (nowMs < 30_000 && nowMs % 2000 === 0) {
-            jobs.push(new OpenJob(jobOf({ id: `j${nowMs}`, itemCount: 10, dueAtMs: nowMs + 18_000 })));
+            jobs.push(new OpenJob(createJobRecord({ id: `j${nowMs}`, itemCount: 10, dueAtMs: nowMs + 18_000 })));
         }
         running.filter(run => run.endMs <= nowMs && run.item.state === "running").forEach(run => {
-            run.item.state = "listed";
+            run.item.state = "stored";
             inTime += run.endMs <= run.dueAtMs ? 1 : 0;
         });
         const free = slots - running.filter(run => run.item.state === "running").length;
-        orderOfItems(jobs, { nowMs, remainingMs }).slice(0, free).forEach(one => {
+        orderStartableItems(jobs, { nowMs, remainingMs }).slice(0, free).forEach(one => {
             one.item.state = "running";
             running.push({ item: one.item, endMs: nowMs + runMs, dueAtMs: one.job.record.dueAtMs });
         });
@@ -104,23 +107,23 @@
     return inTime;
 }
 
-test("jobs at three times the capacity: nearly all that fits is in time, not just late", () => {
+test("at three times the capacity, nearly as many items as fit finish in time", () => {
     const capacity = 8 * 48 / 5;
-    const inTime = playOverload(remainingOfFiveSeconds);
+    const inTime = simulateOverload(remainingOfFiveSecondItem);
     assert.ok(inTime >= capacity * 0.9, `${inTime} of ${capacity}`);
-    assert.ok(playOverload(() => 0) < capacity * 0.6, "without it, items run although they will be late");
+    assert.ok(simulateOverload(() => 0) < capacity * 0.6, "without an estimate, items run although they will be late");
 });
 
-test("the expected time of an item follows what ran, and leaves room for giving way", () => {
-    const times = new ItemRunTimes();
-    const item = new OpenJob(jobOf({ id: "a", itemCount: 1 })).items[0]!;
-    assert.equal(times.remainingMs(item), 0, "nothing is known yet");
-    times.recordRun(2, 9000);
-    times.recordRun(100, 5000);
-    times.recordOutput(100);
-    assert.equal(times.remainingMs(item), 6500);
+test("the remaining time of an item follows earlier runs and allows for preemption", () => {
+    const estimator = new ItemRunTimeEstimator();
+    const item = new OpenJob(createJobRecord({ id: "a", itemCount: 1 })).items[0]!;
+    assert.equal(estimator.remainingMs(item), 0, "there are no samples yet");
+    estimator.recordRun(2, 9000);
+    estimator.recordRun(100, 5000);
+    estimator.recordOutput(100);
+    assert.equal(estimator.remainingMs(item), 6500);
     item.lastEventId = 60;
-    assert.equal(times.remainingMs(item), 2600);
+    assert.equal(estimator.remainingMs(item), 2600);
     item.lastEventId = 200;
-    assert.equal(times.remainingMs(item), 0);
+    assert.equal(estimator.remainingMs(item), 0);
 });
--- a/fleet/jobs/test/jobOf.ts
+++ b/fleet/jobs/test/createJobRecord.ts
@@ -2,8 +2,8 @@
 import type { JobId } from "@knapweedwood/core.ids/jobId";
 import type { JobRecord } from "../src/jobRecord.js";
 
-/** A job with items `0`, `1`, ... for tests. */
-export function jobOf(opts: { id: string; itemCount: number; dueAtMs?: number; }): JobRecord {
+/** Returns a job record for tests. Item ids are the job id with `-0`, `-1`, ... appended. */
+export function createJobRecord(opts: { id: string; itemCount: number; dueAtMs?: number; }): JobRecord {
     return {
         jobId: opts.id as JobId,
         routeName: "route",
--- a/fleet/jobs/test/jobTable.test.ts
+++ b/fleet/jobs/test/jobTable.test.ts
@@ -5,22 +5,22 @@
 import { test } from "node:test";
 import { jobKeys } from "../src/jobKeys.js";
 import { JobTable } from "../src/jobTable.js";
-import { jobOf } from "./jobOf.js";
+import { createJobRecord } from "./createJobRecord.js";
 
-const record = jobOf({ id: "j", itemCount: 2 });
+const record = createJobRecord({ id: "j", itemCount: 2 });
 
 function entryOf(key: string, value: object): KeyValueEntry {
     return { key, value: encodeRecord(value), modRevision: 1, leaseId: undefined };
 }
 
-test("a cancellation that arrives before its job takes effect with it", () => {
+test("a cancellation that arrives before its job takes effect when the job arrives", () => {
     const table = new JobTable();
     assert.deepEqual(table.apply([entryOf(jobKeys.cancellation(record.jobId), {})]), []);
     const cancelled = table.apply([entryOf(jobKeys.record(record.jobId), record)]);
     assert.deepEqual(cancelled.map(job => job.record.jobId), ["j"]);
 });
 
-test("what items had produced is carried over a lost and regained lead", () => {
+test("the progress of items is kept when leadership is lost and regained", () => {
     const table = new JobTable();
     const entry = entryOf(jobKeys.record(record.jobId), record);
     table.apply([entry]);
@@ -33,7 +33,7 @@
     assert.deepEqual([second!.events, second!.state], [["a", "b"], "pending"]);
 });
 
-test("a result that another process stored is not undone by what was carried over", () => {
+test("restored progress does not undo a result that another process stored", () => {
     const table = new JobTable();
     const entry = entryOf(jobKeys.record(record.jobId), record);
     table.apply([entry]);
@@ -43,14 +43,22 @@
     const stored = { itemId: record.items[0]!.id, state: "completed", output: "whole" };
     table.applyResults([entryOf(jobKeys.result(record.jobId, 0), stored)]);
     table.restoreFrom(earlier);
-    assert.equal(table.get(record.jobId)!.items[0]!.state, "listed");
+    assert.equal(table.get(record.jobId)!.items[0]!.state, "stored");
     assert.deepEqual(table.get(record.jobId)!.page(0).results, [stored]);
 });
 
-test("tokens wait while their items have no result, those of held jobs too", () => {
+test("tokens count as waiting while their items have no result, also for held jobs", () => {
     const table = new JobTable();
-    table.applyHeld({ record: jobOf({ id: "a", itemCount: 2 }), bodies: Buffer.alloc(0), maxWaitingTokens: 1000 });
-    table.applyHeld({ record: jobOf({ id: "b", itemCount: 3 }), bodies: Buffer.alloc(0), maxWaitingTokens: 1000 });
+    table.applyHeld({
+        record: createJobRecord({ id: "a", itemCount: 2 }),
+        bodies: Buffer.alloc(0),
+        maxWaitingTokens: 1000,
+    });
+    table.applyHeld({
+        record: createJobRecord({ id: "b", itemCount: 3 }),
+        bodies: Buffer.alloc(0),
+        maxWaitingTokens: 1000,
+    });
     const [first] = table.all();
     first!.items[0]!.state = "finished";
     assert.equal(table.waitingTokens("route", "b" as JobId), 100);
@@ -58,11 +66,11 @@
     assert.equal(table.waitingTokens("other", "none" as JobId), 0);
 });
 
-test("a job that ended before its record was stored is told once the record comes", () => {
+test("a job that ended before its record was stored is found when the record arrives", () => {
     const table = new JobTable();
-    const record = jobOf({ id: "a", itemCount: 1 });
+    const record = createJobRecord({ id: "a", itemCount: 1 });
     table.applyHeld({ record, bodies: Buffer.alloc(0), maxWaitingTokens: 1000 });
-    table.get(record.jobId)!.list(0, { itemId: record.items[0]!.id, state: "completed", output: "" });
+    table.get(record.jobId)!.addResult(0, { itemId: record.items[0]!.id, state: "completed", output: "" });
     const entry = {
         key: jobKeys.record(record.jobId),
         value: encodeRecord(record),
@@ -70,5 +78,5 @@
         leaseId: undefined,
     };
     table.apply([entry]);
-    assert.deepEqual(table.endedAmong([entry]).map(job => job.record.jobId), ["a"]);
+    assert.deepEqual(table.findEnded([entry]).map(job => job.record.jobId), ["a"]);
 });
--- a/fleet/jobs/test/resultCommitter.test.ts
+++ b/fleet/jobs/test/resultCommitter.test.ts
@@ -1,6 +1,6 @@
 import { ManualClock } from "@knapweedwood/core.clock/manualClock";
 import type { KeyValueCompare } from "@knapweedwood/core.key-value/keyValueCompare";
-import type { FencedLead } from "@knapweedwood/fleet.sync/fencedLead";
+import type { FencedLeadership } from "@knapweedwood/fleet.sync/fencedLeadership";
 import { silentLogger } from "@knapweedwood/observability.logs/silentLogger";
 import { MemoryKeyValueService } from "@knapweedwood/standins.key-value/memoryKeyValueService";
 import assert from "node:assert/strict";
@@ -9,48 +9,48 @@
 import { jobKeys } from "../src/jobKeys.js";
 import { OpenJob } from "../src/openJob.js";
 import { ResultCommitter } from "../src/resultCommitter.js";
-import { jobOf } from "./jobOf.js";
+import { createJobRecord } from "./createJobRecord.js";
 
 const LEADER_KEY = "leader";
 
-class TestLead implements FencedLead {
-    held: KeyValueCompare | undefined;
-    abandoned = 0;
+class TestLeadership implements FencedLeadership {
+    currentFence: KeyValueCompare | undefined;
+    stepDownCount = 0;
 
     isLeading(): boolean {
-        return this.held !== undefined;
+        return this.currentFence !== undefined;
     }
 
     fence(): KeyValueCompare | undefined {
-        return this.held;
+        return this.currentFence;
     }
 
-    abandon(): void {
-        this.abandoned += 1;
-        this.held = undefined;
+    stepDown(): void {
+        this.stepDownCount += 1;
+        this.currentFence = undefined;
     }
 }
 
 async function setUp() {
     const clock = new ManualClock();
     const service = new MemoryKeyValueService({ clock });
-    const lead = new TestLead();
-    const takeLead = async () => {
+    const leadership = new TestLeadership();
+    const gainLeadership = async () => {
         const put = { kind: "put", key: LEADER_KEY, value: Buffer.from(String(Math.random())) } as const;
         const { revision } = await service.transact([], [put]);
-        lead.held = { key: LEADER_KEY, modRevision: revision };
+        leadership.currentFence = { key: LEADER_KEY, modRevision: revision };
     };
-    await takeLead();
+    await gainLeadership();
     const committer = new ResultCommitter({
         service,
         clock,
         logger: silentLogger,
-        leadership: lead,
-        onListed: () => undefined,
+        leadership,
+        onResultsStored: () => undefined,
     });
-    const job = new OpenJob(jobOf({ id: "j", itemCount: 3 }));
+    const job = new OpenJob(createJobRecord({ id: "j", itemCount: 3 }));
     const result = (index: number): ItemResult => ({ itemId: job.items[index]!.id, state: "completed", output: "x" });
-    return { clock, service, lead, takeLead, committer, job, result };
+    return { clock, service, leadership, gainLeadership, committer, job, result };
 }
 
 test("results get positions in the order in which they are added", async () => {
@@ -61,24 +61,24 @@
     assert.equal((await service.list(jobKeys.resultsPrefix)).length, 3);
 });
 
-test("a write that was under way when the lead was lost is not repeated under the next lead", async () => {
-    const { clock, service, committer, job, result, lead, takeLead } = await setUp();
+test("a write in progress when leadership is lost is not repeated under the next leadership", async () => {
+    const { clock, service, committer, job, result, leadership, gainLeadership } = await setUp();
     service.faults.outage = true;
     committer.add(job, result(0));
     await clock.advance(300);
     committer.reset();
-    lead.held = undefined;
+    leadership.currentFence = undefined;
     service.faults.outage = false;
-    await takeLead();
+    await gainLeadership();
     await clock.advance(3000);
     assert.equal((await service.list(jobKeys.resultsPrefix)).length, 0);
 });
 
-test("a position that is taken gives the lead up, so that the results are read anew", async () => {
-    const { clock, service, committer, job, result, lead } = await setUp();
+test("a position that is already taken makes the leader step down, so that the results are reloaded", async () => {
+    const { clock, service, committer, job, result, leadership } = await setUp();
     await service.transact([], [{ kind: "put", key: jobKeys.result(job.record.jobId, 0), value: Buffer.from("{}") }]);
     committer.add(job, result(0));
     await clock.advance(1000);
-    assert.equal(lead.abandoned, 1);
+    assert.equal(leadership.stepDownCount, 1);
     assert.equal(job.resultCount, 0);
 });
--- a/fleet/sync/src/leadership.ts
+++ b/fleet/sync/src/leadership.ts
@@ -10,13 +10,13 @@
 import { settleTransaction } from "@knapweedwood/core.key-value/settleTransaction";
 import type { Random } from "@knapweedwood/core.random/random";
 import type { Logger } from "@knapweedwood/observability.logs/logger";
-import type { FencedLead } from "./fencedLead.js";
+import type { FencedLeadership } from "./fencedLeadership.js";
 import { fleetKeys } from "./fleetKeys.js";
 import type { KnownLeader } from "./knownLeader.js";
 import type { LeaderRecord } from "./leaderRecord.js";
 import type { ProcessLease } from "./processLease.js";
 
-/** Spread of the candidates' attempts, so that one of them mostly is alone, in milliseconds. */
+/** Upper bound of the random delay before an attempt, in milliseconds. It makes concurrent attempts unlikely. */
 const ATTEMPT_SPREAD_MS = 60;
 const RETRY_DELAY_MS = 300;
 
@@ -27,20 +27,21 @@
     logger: Logger;
     lease: ProcessLease;
     self: LeaderRecord;
-    /** Whether this process takes the lead where nobody has it. */
+    /** Whether this process tries to become leader when there is none. */
     isCandidate: boolean;
     onGained(): void;
     onLost(): void;
 }
 
 /**
- * One process leads at a time: the one that wrote the leader's key, which goes with its lease. The revision of that key
- * is the fencing number: writes that compare it fail once another process has led.
+ * Elects one leader at a time: the process that wrote the leader key. The key is bound to the lease of that process and
+ * is removed with it. The key's revision is the fencing number: writes that compare it fail once another process has
+ * become leader.
  */
-export class Leadership implements FencedLead {
+export class Leadership implements FencedLeadership {
     private readonly opts: LeadershipOptions;
-    private seen: KeyValueEntry | undefined;
-    private told: KnownLeader | undefined;
+    private observedEntry: KeyValueEntry | undefined;
+    private reportedLeader: KnownLeader | undefined;
     private heldRevision: number | undefined;
     private attemptTimer: Timer | undefined;
     private isResigned = false;
@@ -49,36 +50,36 @@
         this.opts = opts;
     }
 
-    /** Whether this process certainly leads now. */
+    /** Returns true only while this process is certain to be the leader. */
     isLeading(): boolean {
         return this.heldRevision !== undefined && this.opts.lease.isHeld();
     }
 
-    /** The condition that every write of the leader carries; undefined where this process doesn't lead. */
+    /** Returns the compare that guards every write of the leader; undefined while this process is not the leader. */
     fence(): KeyValueCompare | undefined {
         return this.heldRevision === undefined
             ? undefined
             : { key: fleetKeys.jobsLeader, modRevision: this.heldRevision };
     }
 
-    /** Takes in the leader's key as the service has it at `revision`; undefined where it is absent. */
+    /** Applies the state of the leader key at `revision`; `entry` is undefined if the key is absent. */
     observe(entry: KeyValueEntry | undefined, revision: number): void {
-        this.seen = entry;
-        // What was read before this process wrote the key tells nothing of it.
+        this.observedEntry = entry;
+        // A state from before this process wrote the key says nothing about its own leadership.
         const isCurrent = this.heldRevision !== undefined && revision >= this.heldRevision;
         if (isCurrent && entry?.modRevision !== this.heldRevision) {
             this.lose("key-changed");
         }
         if (entry !== undefined) {
-            this.endPredecessor(entry);
+            this.revokePredecessorLease(entry);
         }
         if (entry === undefined && this.heldRevision === undefined && this.opts.isCandidate) {
             this.scheduleAttempt(this.opts.random.next() * ATTEMPT_SPREAD_MS);
         }
     }
 
-    /** A lead of an earlier start of this very process need not be waited out: its lease is ended. */
-    private endPredecessor(entry: KeyValueEntry): void {
+    /** Revokes the lease of an earlier start of this process, so that its expiry need not be awaited. */
+    private revokePredecessorLease(entry: KeyValueEntry): void {
         const { instanceName, startedAtMs } = decodeRecord<LeaderRecord>(entry.value);
         const { self } = this.opts;
         const isPredecessor = instanceName === self.instanceName && startedAtMs < self.startedAtMs;
@@ -91,7 +92,7 @@
         });
     }
 
-    /** Gives the lead up and takes no part any more. */
+    /** Gives up leadership and makes no further attempts. Rejects if the key-value service fails. */
     async resign(): Promise<void> {
         this.isResigned = true;
         this.attemptTimer?.cancel();
@@ -103,12 +104,12 @@
         await this.opts.service.transact([fence], [{ kind: "delete", key: fleetKeys.jobsLeader }]);
     }
 
-    /** Gives the lead up after a write was refused; whoever takes it next, this process perhaps, reads all anew. */
-    abandon(reason: string): void {
+    /** Gives up leadership after a rejected write. The next leader, possibly this process, reloads all state. */
+    stepDown(reason: string): void {
         const fence = this.fence();
         if (fence !== undefined) {
             this.lose(reason);
-            void this.removeKey(fence);
+            void this.removeLeaderKey(fence);
         }
     }
 
@@ -118,12 +119,12 @@
         this.opts.onLost();
     }
 
-    /** Removes the key that this process wrote, until it is certainly gone. */
-    private async removeKey(fence: KeyValueCompare): Promise<void> {
-        for (let isGone = false; !isGone;) {
+    /** Removes the key that this process wrote. Retries until the removal is confirmed. */
+    private async removeLeaderKey(fence: KeyValueCompare): Promise<void> {
+        for (let isRemoved = false; !isRemoved;) {
             try {
                 await this.opts.service.transact([fence], [{ kind: "delete", key: fence.key }]);
-                isGone = true;
+                isRemoved = true;
             }
             catch (thrown) {
                 const error = toKnapweedError(thrown);
@@ -145,7 +146,7 @@
 
     private async attempt(): Promise<void> {
         const leaseId = this.opts.lease.heldId;
-        if (this.seen !== undefined || this.isResigned || this.heldRevision !== undefined) {
+        if (this.observedEntry !== undefined || this.isResigned || this.heldRevision !== undefined) {
             return;
         }
         if (leaseId === undefined) {
@@ -182,19 +183,22 @@
         }
     }
 
-    /** The newest leader that this process knows of, itself perhaps; undefined where none is known. */
+    /** The newest leader known to this process, possibly itself; undefined if none is known. */
     get leader(): KnownLeader | undefined {
-        const seen = this.seen === undefined ? undefined : {
-            instanceName: decodeRecord<LeaderRecord>(this.seen.value).instanceName,
-            fencingNumber: this.seen.modRevision,
+        const seen = this.observedEntry === undefined ? undefined : {
+            instanceName: decodeRecord<LeaderRecord>(this.observedEntry.value).instanceName,
+            fencingNumber: this.observedEntry.modRevision,
         };
-        return (this.told?.fencingNumber ?? 0) > (seen?.fencingNumber ?? 0) ? this.told : seen;
+        return (this.reportedLeader?.fencingNumber ?? 0) > (seen?.fencingNumber ?? 0) ? this.reportedLeader : seen;
     }
 
-    /** Takes in what another process knows: this one may be cut off from the key-value service. */
-    learn(leader: KnownLeader): void {
-        if (leader.fencingNumber > (this.told?.fencingNumber ?? 0)) {
-            this.told = leader;
+    /**
+     * Records a leader reported by another process; this one may be disconnected from the key-value service. Gives up
+     * leadership if the reported leader is newer.
+     */
+    recordLeader(leader: KnownLeader): void {
+        if (leader.fencingNumber > (this.reportedLeader?.fencingNumber ?? 0)) {
+            this.reportedLeader = leader;
         }
         if (this.heldRevision !== undefined && leader.fencingNumber > this.heldRevision) {
             this.lose("superseded");
--- a/fleet/sync/src/memberTable.ts
+++ b/fleet/sync/src/memberTable.ts
@@ -4,49 +4,54 @@
 import { fleetKeys } from "./fleetKeys.js";
 import type { MemberRecord } from "./memberRecord.js";
 
-/** Time for which a process whose entry lapsed is still told of loads, in milliseconds. */
-const FORGET_AFTER_MS = 10_000;
+/** Time for which a process with an expired entry still receives load reports, in milliseconds. */
+const EXPIRED_MEMBER_RETENTION_MS = 10_000;
 
 interface Member {
     record: MemberRecord;
-    /** When its entry lapsed; undefined while it is listed. */
-    lapsedAtMs: number | undefined;
+    /** Time at which the entry expired; undefined while it is listed. */
+    expiredAtMs: number | undefined;
 }
 
-/** The processes of the fleet. A lapsed entry is kept for a while: an outage of the service lapses those of the living. */
+/**
+ * The processes of the fleet. Expired entries are kept for a while because an outage of the key-value service also
+ * expires the entries of running processes.
+ */
 export class MemberTable {
     private readonly members = new Map<InstanceName, Member>();
 
     put(entry: KeyValueEntry): void {
         const record = decodeRecord<MemberRecord>(entry.value);
-        this.members.set(record.instanceName, { record, lapsedAtMs: undefined });
+        this.members.set(record.instanceName, { record, expiredAtMs: undefined });
     }
 
     get(instanceName: InstanceName): MemberRecord | undefined {
         return this.members.get(instanceName)?.record;
     }
 
-    lapse(key: string, nowMs: number): void {
+    markExpired(key: string, nowMs: number): void {
         const member = this.members.get(key.slice(fleetKeys.membersPrefix.length) as InstanceName);
         if (member !== undefined) {
-            member.lapsedAtMs ??= nowMs;
+            member.expiredAtMs ??= nowMs;
         }
     }
 
-    /** Lapses all members whose keys are not among `entries`, and puts those that are. */
+    /** Stores the members in `entries` and marks all others as expired. */
     replace(entries: readonly KeyValueEntry[], nowMs: number): void {
         const listed = new Set(entries.map(entry => entry.key));
         [...this.members.keys()]
             .map(name => fleetKeys.member(name))
             .filter(key => !listed.has(key))
-            .forEach(key => this.lapse(key, nowMs));
+            .forEach(key => this.markExpired(key, nowMs));
         entries.forEach(entry => this.put(entry));
     }
 
-    /** Processes that listen, as far as this one knows, shape [members]. */
+    /** Returns listed members and recently expired ones, shape [members]. Removes the others from the table. */
     list(nowMs: number): MemberRecord[] {
         [...this.members]
-            .filter(([, member]) => member.lapsedAtMs !== undefined && nowMs > member.lapsedAtMs + FORGET_AFTER_MS)
+            .filter(([, member]) =>
+                member.expiredAtMs !== undefined && nowMs > member.expiredAtMs + EXPIRED_MEMBER_RETENTION_MS
+            )
             .forEach(([name]) => this.members.delete(name));
         return [...this.members.values()].map(member => member.record);
     }
--- a/fleet/sync/src/prefixMirror.ts
+++ b/fleet/sync/src/prefixMirror.ts
@@ -5,34 +5,37 @@
 
 const MIN_RETRY_DELAY_MS = 100;
 const MAX_RETRY_DELAY_MS = 800;
-/** How long the watch may take to bring a change that another process tells of, in milliseconds. */
+/** Time that the watch has to deliver a change reported by another process, in milliseconds. */
 const CATCH_UP_DELAY_MS = 300;
 const COMPACTED_CODE = "ERR_KNAPWEED_KEY_VALUE_COMPACTED";
 
-/** Keeps the keys under a prefix in step: one listing, then watches, and a new listing where history was dropped. */
+/**
+ * Mirrors the keys under a prefix: lists them once, then watches for changes. Lists them again if the service has
+ * compacted the history that the watch needs.
+ */
 export class PrefixMirror {
     private readonly opts: PrefixMirrorOptions;
     private currentRevision = 0;
-    private rereadController = new AbortController();
+    private relistController = new AbortController();
     private failures = 0;
-    private regainedAtMs = Infinity;
+    private recoveredAtMs = Infinity;
     private catchUpTimer: Timer | undefined;
 
     constructor(opts: PrefixMirrorOptions) {
         this.opts = opts;
     }
 
-    /** Revision of the service up to which this process knows the prefix; 0 before the first listing. */
+    /** Revision of the service up to which the mirror is current; 0 before the first listing. */
     get revision(): number {
         return this.currentRevision;
     }
 
-    /** Since when the service has answered without a failure; infinity while it doesn't. */
-    get inTouchSinceMs(): number {
-        return this.failures === 0 ? this.regainedAtMs : Infinity;
+    /** Unix ms since which all calls succeed; infinity before the first response and while calls fail. */
+    get reachableSinceMs(): number {
+        return this.failures === 0 ? this.recoveredAtMs : Infinity;
     }
 
-    /** Lists the prefix again if the watch does not bring `revision` soon. */
+    /** Lists the prefix again if the watch does not deliver `revision` within `CATCH_UP_DELAY_MS`. */
     catchUp(revision: number): void {
         if (revision <= this.currentRevision || this.catchUpTimer !== undefined) {
             return;
@@ -40,53 +43,53 @@
         this.catchUpTimer = this.opts.clock.setTimer(CATCH_UP_DELAY_MS, () => {
             this.catchUpTimer = undefined;
             if (this.currentRevision > 0 && revision > this.currentRevision) {
-                this.listAgain(revision);
+                this.relist(revision);
             }
         });
     }
 
-    /** Runs until `signal` is aborted. */
+    /** Mirrors the prefix until `signal` is aborted. Retries after failures. */
     async run(signal: AbortSignal): Promise<void> {
         signal.addEventListener("abort", () => {
             this.catchUpTimer?.cancel();
-            this.rereadController.abort();
+            this.relistController.abort();
         }, { once: true });
         while (!signal.aborted) {
-            this.rereadController = new AbortController();
+            this.relistController = new AbortController();
             try {
-                await this.follow(this.rereadController.signal);
+                await this.listAndWatch(this.relistController.signal);
             }
             catch (error) {
-                if (!signal.aborted && !this.rereadController.signal.aborted) {
+                if (!signal.aborted && !this.relistController.signal.aborted) {
                     await this.onFailure(error, signal);
                 }
             }
         }
     }
 
-    private listAgain(peerRevision: number): void {
+    private relist(peerRevision: number): void {
         this.opts.logger.info("mirror-behind", {
             prefix: this.opts.prefix,
             revision: this.currentRevision,
             peerRevision,
         });
         this.currentRevision = 0;
-        this.rereadController.abort();
+        this.relistController.abort();
     }
 
-    private async follow(signal: AbortSignal): Promise<void> {
-        // A watch that is sent while the service is silent hangs for its whole wait; a listing shows sooner that it is back.
+    private async listAndWatch(signal: AbortSignal): Promise<void> {
+        // A watch sent while the service is unresponsive hangs for its whole wait. A listing detects recovery sooner.
         if (this.currentRevision === 0 || this.failures > 0) {
             const snapshot = await this.opts.service.snapshot(this.opts.prefix);
-            this.onAnswer();
+            this.onResponse();
             this.currentRevision = snapshot.revision;
             this.opts.onSnapshot(snapshot.entries, snapshot.revision);
         }
-        const { service, clock, prefix, watchWaitMs, gatherMs = 0 } = this.opts;
+        const { service, clock, prefix, watchWaitMs, coalesceMs: gatherMs = 0 } = this.opts;
         const waitMs = watchWaitMs?.();
         const opts = { afterRevision: this.currentRevision, signal, ...waitMs === undefined ? {} : { waitMs } };
         for await (const batch of service.watch(prefix, opts)) {
-            this.onAnswer();
+            this.onResponse();
             this.currentRevision = Math.max(this.currentRevision, batch.revision);
             if (batch.puts.length > 0 || batch.deletedKeys.length > 0) {
                 this.opts.onChange(batch);
@@ -95,15 +98,15 @@
         }
     }
 
-    private onAnswer(): void {
+    private onResponse(): void {
         if (this.failures === 0) {
-            this.regainedAtMs = Math.min(this.regainedAtMs, this.opts.clock.nowMs());
+            this.recoveredAtMs = Math.min(this.recoveredAtMs, this.opts.clock.nowMs());
             return;
         }
-        this.regainedAtMs = this.opts.clock.nowMs();
+        this.recoveredAtMs = this.opts.clock.nowMs();
         this.opts.logger.info("key-value-regained", { prefix: this.opts.prefix, failures: this.failures });
         this.failures = 0;
-        this.opts.onRegained?.();
+        this.opts.onRecovered?.();
     }
 
     private async onFailure(thrown: unknown, signal: AbortSignal): Promise<void> {
@@ -125,7 +128,7 @@
         await sleep(this.opts.clock, this.retryDelayMs(), signal);
     }
 
-    /** Grows with the failures and is spread, so that processes don't return in a wave. */
+    /** Returns an exponential delay with jitter, so that processes don't all reconnect at the same time. */
     private retryDelayMs(): number {
         const ceilingMs = Math.min(MAX_RETRY_DELAY_MS, MIN_RETRY_DELAY_MS * 2 ** this.failures);
         return ceilingMs * (0.5 + this.opts.random.next() / 2);
