--- a/daemons/fleet/src/operatorsFollower.ts
+++ b/daemons/fleet/src/operatorsFollower.ts
@@ -1,7 +1,7 @@
 import type { InstanceName } from "@knapweedwood/core.ids/instanceName";
 import type { KeyValueEntry } from "@knapweedwood/core.key-value/keyValueEntry";
 import { PrefixMirror } from "@knapweedwood/fleet.sync/prefixMirror";
-import { ConfigurationInForce } from "@knapweedwood/fleet.view/configurationInForce";
+import { ActiveConfiguration } from "@knapweedwood/fleet.view/activeConfiguration";
 import { decodeConfiguration } from "@knapweedwood/platform.adapter/decodeConfiguration";
 import { emptyingRequestOf } from "@knapweedwood/platform.adapter/emptyingRequestOf";
 import { wireKeys } from "@knapweedwood/platform.adapter/wireKeys";
@@ -17,7 +17,7 @@
 
 /** Follows what the operators write. */
 export class OperatorsFollower {
-    readonly configuration = new ConfigurationInForce();
+    readonly configuration = new ActiveConfiguration();
     readonly mirror: PrefixMirror;
     private readonly opts: OperatorsFollowerOptions;
     private writtenRevision = 0;
--- a/daemons/fleet/src/upstreamFollower.ts
+++ b/daemons/fleet/src/upstreamFollower.ts
@@ -39,7 +39,7 @@
             gatherMs: GATHER_MS,
             onSnapshot: entries => this.onSnapshot(entries),
             onChange: batch => this.onChange(batch),
-            onRegained: () => this.directory.onRegained(opts.clock.nowMs()),
+            onRegained: () => this.directory.onKeyValueReconnected(opts.clock.nowMs()),
         });
     }
 
@@ -59,7 +59,7 @@
 
     /** Drops upstreams whose entries lapsed and did not come back. */
     expire(): void {
-        this.onChanges(this.directory.expire(this.opts.clock.nowMs()));
+        this.onChanges(this.directory.dropExpired(this.opts.clock.nowMs()));
     }
 
     private onSnapshot(entries: readonly KeyValueEntry[]): void {
--- a/fleet/gateway/src/answerWriter.ts
+++ b/fleet/gateway/src/answerWriter.ts
@@ -1,4 +1,4 @@
-import type { AnswerHead } from "@knapweedwood/fleet.upstreams/answerHead";
+import type { ResponseHead } from "@knapweedwood/fleet.upstreams/responseHead";
 
 /** Passes an upstream's answer on to the caller. */
 export interface AnswerWriter {
@@ -7,7 +7,7 @@
     readonly statusCode: number;
     /** Id of the last event that the caller got; undefined where a new run begins from the start. */
     readonly lastEventId: number | undefined;
-    onHead(head: AnswerHead, isStopping: () => boolean): void;
+    onHead(head: ResponseHead, isStopping: () => boolean): void;
     /** @returns false where the caller reads too slowly; it emits `drain` when it has caught up */
     onData(chunk: Buffer): boolean;
     /** Whether what has come is a whole answer, now that the upstream has ended it. */
--- a/fleet/gateway/src/bufferedAnswerWriter.ts
+++ b/fleet/gateway/src/bufferedAnswerWriter.ts
@@ -1,4 +1,4 @@
-import type { AnswerHead } from "@knapweedwood/fleet.upstreams/answerHead";
+import type { ResponseHead } from "@knapweedwood/fleet.upstreams/responseHead";
 import type { ServerResponse } from "node:http";
 import type { AnswerWriter } from "./answerWriter.js";
 
@@ -7,7 +7,7 @@
     readonly hasBegun = false;
     readonly lastEventId = undefined;
     private readonly response: ServerResponse;
-    private head: AnswerHead | undefined;
+    private head: ResponseHead | undefined;
     private isStopping: () => boolean = () => false;
     private chunks: Buffer[] = [];
 
@@ -19,7 +19,7 @@
         return this.head?.statusCode ?? 0;
     }
 
-    onHead(head: AnswerHead, isStopping: () => boolean): void {
+    onHead(head: ResponseHead, isStopping: () => boolean): void {
         this.head = head;
         this.isStopping = isStopping;
     }
--- a/fleet/gateway/src/gatewayContext.ts
+++ b/fleet/gateway/src/gatewayContext.ts
@@ -5,8 +5,8 @@
 import type { UpstreamHealth } from "@knapweedwood/fleet.load/upstreamHealth";
 import type { WaitingRoom } from "@knapweedwood/fleet.load/waitingRoom";
 import type { UpstreamConnections } from "@knapweedwood/fleet.upstreams/upstreamConnections";
-import type { CallHeaders } from "@knapweedwood/fleet.view/callHeaders";
-import type { ConfigurationInForce } from "@knapweedwood/fleet.view/configurationInForce";
+import type { ActiveConfiguration } from "@knapweedwood/fleet.view/activeConfiguration";
+import type { CallHeaderNames } from "@knapweedwood/fleet.view/callHeaderNames";
 import type { Logger } from "@knapweedwood/observability.logs/logger";
 import type { Metrics } from "@knapweedwood/observability.metrics/metrics";
 
@@ -16,13 +16,13 @@
     random: Random;
     logger: Logger;
     metrics: Metrics;
-    configuration: ConfigurationInForce;
+    configuration: ActiveConfiguration;
     connections: UpstreamConnections;
     board: LoadBoard;
     health: UpstreamHealth;
     holdTimes: HoldTimes;
     waitingRoom: WaitingRoom;
-    headers: CallHeaders;
+    headers: CallHeaderNames;
     /** Tells the other processes that the load has changed. */
     onLoadChanged: () => void;
     /** Resolves once configuration and upstreams are known, or after a short while without them. */
--- a/fleet/gateway/src/onlineCall.ts
+++ b/fleet/gateway/src/onlineCall.ts
@@ -2,9 +2,9 @@
 import type { ServiceName } from "@knapweedwood/core.ids/serviceName";
 import type { UpstreamId } from "@knapweedwood/core.ids/upstreamId";
 import type { WaitingCall } from "@knapweedwood/fleet.load/waitingCall";
-import type { AnswerHead } from "@knapweedwood/fleet.upstreams/answerHead";
 import type { Exchange } from "@knapweedwood/fleet.upstreams/exchange";
 import type { ExchangeFailure } from "@knapweedwood/fleet.upstreams/exchangeFailure";
+import type { ResponseHead } from "@knapweedwood/fleet.upstreams/responseHead";
 import type { Route } from "@knapweedwood/fleet.view/route";
 import type { Upstream } from "@knapweedwood/fleet.view/upstream";
 import type { IncomingMessage, ServerResponse } from "node:http";
@@ -169,7 +169,7 @@
         return this.mayHaveRun ? 502 : 503;
     }
 
-    private onHead(attempt: Attempt, head: AnswerHead): void {
+    private onHead(attempt: Attempt, head: ResponseHead): void {
         if (attempt !== this.attempt) {
             return;
         }
--- a/fleet/gateway/src/streamAnswerWriter.ts
+++ b/fleet/gateway/src/streamAnswerWriter.ts
@@ -1,5 +1,5 @@
-import type { AnswerHead } from "@knapweedwood/fleet.upstreams/answerHead";
 import { EventSplitter } from "@knapweedwood/fleet.upstreams/eventSplitter";
+import type { ResponseHead } from "@knapweedwood/fleet.upstreams/responseHead";
 import type { ServerResponse } from "node:http";
 import type { AnswerWriter } from "./answerWriter.js";
 
@@ -15,7 +15,7 @@
     lastEventId: number | undefined;
     private readonly response: ServerResponse;
     private readonly isResumable: boolean;
-    private head: AnswerHead | undefined;
+    private head: ResponseHead | undefined;
     private isStopping: () => boolean = () => false;
     private splitter = new EventSplitter();
     private tail = "";
@@ -29,7 +29,7 @@
         return this.head?.statusCode ?? 0;
     }
 
-    onHead(head: AnswerHead, isStopping: () => boolean): void {
+    onHead(head: ResponseHead, isStopping: () => boolean): void {
         this.head = head;
         this.isStopping = isStopping;
     }
--- a/fleet/gateway/src/upstreamHeadersOf.ts
+++ b/fleet/gateway/src/upstreamHeadersOf.ts
@@ -1,7 +1,7 @@
 import { forwardableHeaders } from "@knapweedwood/core.http-headers/forwardableHeaders";
 import type { UpstreamId } from "@knapweedwood/core.ids/upstreamId";
 import type { HeaderList } from "@knapweedwood/fleet.upstreams/headerList";
-import type { CallHeaders } from "@knapweedwood/fleet.view/callHeaders";
+import type { CallHeaderNames } from "@knapweedwood/fleet.view/callHeaderNames";
 
 const MIN_REMAINING_MS = 1;
 
@@ -9,7 +9,7 @@
 export function upstreamHeadersOf(opts: {
     /** Names and values in turn. */
     rawHeaders: readonly string[];
-    names: CallHeaders;
+    names: CallHeaderNames;
     upstreamId: UpstreamId;
     remainingMs: number;
     /** Id of the event after which the attempt goes on; undefined where it begins from the start. */
--- a/fleet/gateway/test/gatewayBed.ts
+++ b/fleet/gateway/test/gatewayBed.ts
@@ -6,7 +6,7 @@
 import { UpstreamHealth } from "@knapweedwood/fleet.load/upstreamHealth";
 import { WaitingRoom } from "@knapweedwood/fleet.load/waitingRoom";
 import { UpstreamConnections } from "@knapweedwood/fleet.upstreams/upstreamConnections";
-import { ConfigurationInForce } from "@knapweedwood/fleet.view/configurationInForce";
+import { ActiveConfiguration } from "@knapweedwood/fleet.view/activeConfiguration";
 import type { Route } from "@knapweedwood/fleet.view/route";
 import type { Upstream } from "@knapweedwood/fleet.view/upstream";
 import { silentLogger } from "@knapweedwood/observability.logs/silentLogger";
@@ -69,7 +69,7 @@
     ) {
         const clock = new SystemClock();
         const random = new SeededRandom(1);
-        const configuration = new ConfigurationInForce();
+        const configuration = new ActiveConfiguration();
         if (opts.isConfigured !== false) {
             const limits = {
                 maxHeaderBytes: 4096,
--- a/fleet/jobs/src/itemRun.ts
+++ b/fleet/jobs/src/itemRun.ts
@@ -1,8 +1,8 @@
 import type { Clock } from "@knapweedwood/core.clock/clock";
 import type { Timer } from "@knapweedwood/core.clock/timer";
-import type { AnswerHead } from "@knapweedwood/fleet.upstreams/answerHead";
 import { EventSplitter } from "@knapweedwood/fleet.upstreams/eventSplitter";
 import type { Exchange } from "@knapweedwood/fleet.upstreams/exchange";
+import type { ResponseHead } from "@knapweedwood/fleet.upstreams/responseHead";
 import type { UpstreamConnections } from "@knapweedwood/fleet.upstreams/upstreamConnections";
 import type { Upstream } from "@knapweedwood/fleet.view/upstream";
 import type { ItemRunHeaders } from "./itemRunHeaders.js";
@@ -25,7 +25,7 @@
     private readonly onEnded: (outcome: ItemRunOutcome) => void;
     private readonly splitter = new EventSplitter();
     private exchange: Exchange | undefined;
-    private head: AnswerHead | undefined;
+    private head: ResponseHead | undefined;
     private stallTimer: Timer | undefined;
     private isEnded = false;
     private producedEvents = 0;
@@ -110,7 +110,7 @@
         this.end(this.outcomeOf(head));
     }
 
-    private outcomeOf(head: AnswerHead): ItemRunOutcome {
+    private outcomeOf(head: ResponseHead): ItemRunOutcome {
         if (head.header(this.headers.notRun) !== undefined || head.statusCode === HTTP_MISDIRECTED) {
             return { kind: "not-run", isMisdirected: head.statusCode === HTTP_MISDIRECTED };
         }
--- a/fleet/jobs/src/itemRunHeaders.ts
+++ b/fleet/jobs/src/itemRunHeaders.ts
@@ -1,7 +1,7 @@
-import type { CallHeaders } from "@knapweedwood/fleet.view/callHeaders";
+import type { CallHeaderNames } from "@knapweedwood/fleet.view/callHeaderNames";
 
 /** The headers that a run of an item uses. */
 export type ItemRunHeaders = Pick<
-    CallHeaders,
+    CallHeaderNames,
     "requestId" | "expectedUpstream" | "lastEventId" | "notRun" | "upstreamProof"
 >;
--- a/fleet/jobs/src/jobRunnerOptions.ts
+++ b/fleet/jobs/src/jobRunnerOptions.ts
@@ -5,7 +5,7 @@
 import type { UpstreamHealth } from "@knapweedwood/fleet.load/upstreamHealth";
 import type { Leadership } from "@knapweedwood/fleet.sync/leadership";
 import type { UpstreamConnections } from "@knapweedwood/fleet.upstreams/upstreamConnections";
-import type { ConfigurationInForce } from "@knapweedwood/fleet.view/configurationInForce";
+import type { ActiveConfiguration } from "@knapweedwood/fleet.view/activeConfiguration";
 import type { UpstreamDirectory } from "@knapweedwood/fleet.view/upstreamDirectory";
 import type { Logger } from "@knapweedwood/observability.logs/logger";
 import type { Metrics } from "@knapweedwood/observability.metrics/metrics";
@@ -20,7 +20,7 @@
     logger: Logger;
     metrics: Metrics;
     leadership: Leadership;
-    configuration: ConfigurationInForce;
+    configuration: ActiveConfiguration;
     directory: UpstreamDirectory;
     connections: UpstreamConnections;
     board: LoadBoard;
--- a/fleet/upstreams/src/exchangeHandler.ts
+++ b/fleet/upstreams/src/exchangeHandler.ts
@@ -1,9 +1,9 @@
-import type { AnswerHead } from "./answerHead.js";
 import type { ExchangeFailure } from "./exchangeFailure.js";
+import type { ResponseHead } from "./responseHead.js";
 
 /** Gets the parts of an answer, in order; `onEnd` or `onFailure` comes last, once. Nothing comes after an abort. */
 export interface ExchangeHandler {
-    onHead(head: AnswerHead): void;
+    onHead(head: ResponseHead): void;
     onData(chunk: Buffer): void;
     onEnd(): void;
     onFailure(failure: ExchangeFailure): void;
--- a/fleet/upstreams/src/answerHead.ts
+++ b/fleet/upstreams/src/responseHead.ts
@@ -1,7 +1,7 @@
 import type { HeaderList } from "./headerList.js";
 
 /** Status and headers of an answer. */
-export interface AnswerHead {
+export interface ResponseHead {
     statusCode: number;
     /** Without those that concern only the connection. */
     headers: HeaderList;
--- a/fleet/upstreams/src/toAnswerHead.ts
+++ b/fleet/upstreams/src/toResponseHead.ts
@@ -1,9 +1,9 @@
 import { forwardableHeaders } from "@knapweedwood/core.http-headers/forwardableHeaders";
 import type { IncomingHttpHeaders } from "node:http";
-import type { AnswerHead } from "./answerHead.js";
+import type { ResponseHead } from "./responseHead.js";
 
 /** Keeps the headers of an answer that are passed on. */
-export function toAnswerHead(statusCode: number, headers: IncomingHttpHeaders): AnswerHead {
+export function toResponseHead(statusCode: number, headers: IncomingHttpHeaders): ResponseHead {
     const raw = Object.entries(headers)
         .flatMap(([name, value]) => [value ?? []].flat().flatMap(single => [name, single]));
     return {
--- a/fleet/upstreams/src/upstreamConnection.ts
+++ b/fleet/upstreams/src/upstreamConnection.ts
@@ -5,7 +5,7 @@
 import type { ExchangeFailure } from "./exchangeFailure.js";
 import type { ExchangeHandler } from "./exchangeHandler.js";
 import type { ExchangeRequest } from "./exchangeRequest.js";
-import { toAnswerHead } from "./toAnswerHead.js";
+import { toResponseHead } from "./toResponseHead.js";
 
 /** The opening packet of a connection to a full queue is sent again only after seconds. */
 const CONNECT_TIMEOUT_MS = 400;
@@ -67,11 +67,11 @@
                 if (isEnded || statusCode < 200) {
                     return;
                 }
-                if (!isAnswerTo(request, headers)) {
+                if (!isResponseTo(request, headers)) {
                     fail({ mayHaveRun: true, isUnreachable: false, code: "ANSWER_OF_ANOTHER_REQUEST" });
                     return;
                 }
-                handler.onHead(toAnswerHead(statusCode, headers));
+                handler.onHead(toResponseHead(statusCode, headers));
             },
             onResponseData: (_controller, chunk) => {
                 if (!isEnded) {
@@ -116,7 +116,7 @@
     }
 }
 
-function isAnswerTo(request: ExchangeRequest, headers: IncomingHttpHeaders): boolean {
+function isResponseTo(request: ExchangeRequest, headers: IncomingHttpHeaders): boolean {
     const echoed = headers[REQUEST_ID_HEADER];
     return echoed === undefined || echoed === request.requestId;
 }
--- a/fleet/view/src/configurationInForce.ts
+++ b/fleet/view/src/activeConfiguration.ts
@@ -5,7 +5,7 @@
 import type { ServiceDefinition } from "./serviceDefinition.js";
 
 /** The configuration that this process applies. It never goes back to an older version. */
-export class ConfigurationInForce {
+export class ActiveConfiguration {
     private configuration: FleetConfiguration | undefined;
     private table: RouteTable | undefined;
     private services = new Map<ServiceName, ServiceDefinition>();
--- a/fleet/view/src/callHeaders.ts
+++ b/fleet/view/src/callHeaderNames.ts
@@ -1,5 +1,5 @@
 /** Names of the headers that carry a request's terms, in lower case. */
-export interface CallHeaders {
+export interface CallHeaderNames {
     requestId: string;
     /** Milliseconds that are left for the request. */
     remainingMs: string;
--- a/fleet/view/src/requestPolicy.ts
+++ b/fleet/view/src/routeKind.ts
@@ -3,4 +3,4 @@
  * `idempotent` ones may run more than once, `non-idempotent` ones at most once; `stream` answers are event streams;
  * `batch` routes take jobs.
  */
-export type RequestPolicy = "idempotent" | "non-idempotent" | "stream" | "batch";
+export type RouteKind = "idempotent" | "non-idempotent" | "stream" | "batch";
--- a/fleet/view/src/upstreamDirectory.ts
+++ b/fleet/view/src/upstreamDirectory.ts
@@ -4,11 +4,11 @@
 import type { UpstreamChange } from "./upstreamChange.js";
 
 /** Time after an outage of the key-value service in which entries that lapsed come back, in milliseconds. */
-const LAPSE_GRACE_MS = 2200;
+const EXPIRY_GRACE_MS = 2200;
 /** Time for which entries that disappear together are kept where no outage was noticed, in milliseconds. */
-const MASS_LAPSE_GRACE_MS = 1800;
+const MASS_EXPIRY_GRACE_MS = 1800;
 /** Share of a service's upstreams that disappear together only when their entries have lapsed. */
-const MASS_LAPSE_SHARE = 0.5;
+const MASS_EXPIRY_SHARE = 0.5;
 
 interface DirectoryEntry {
     upstream: Upstream;
@@ -27,36 +27,38 @@
     private outageEndedAtMs = -Infinity;
 
     /** Tells that the key-value service answers again after it was out of reach. */
-    onRegained(nowMs: number): void {
+    onKeyValueReconnected(nowMs: number): void {
         this.outageEndedAtMs = nowMs;
     }
 
     put(upstream: Upstream): UpstreamChange | undefined {
-        const known = this.entries.get(upstream.id);
+        const previous = this.entries.get(upstream.id);
         this.entries.set(upstream.id, { upstream, dropAtMs: undefined });
-        if (known === undefined || known.upstream.startedAtMs !== upstream.startedAtMs) {
+        if (previous === undefined || previous.upstream.startedAtMs !== upstream.startedAtMs) {
             return { kind: "joined", upstream };
         }
-        return known.upstream.state !== upstream.state ? { kind: "changed", upstream } : undefined;
+        return previous.upstream.state !== upstream.state ? { kind: "changed", upstream } : undefined;
     }
 
     /** Handles entries that are no longer listed. @returns what was dropped at once, shape [changes] */
     remove(ids: readonly UpstreamId[], nowMs: number): UpstreamChange[] {
-        const known = ids.filter(id => this.entries.has(id));
+        const removedIds = ids.filter(id => this.entries.has(id));
         // Counted from the outage, not from the removal: an upstream that really left must not be kept for longer.
-        const lapseEndsAtMs = this.outageEndedAtMs + LAPSE_GRACE_MS;
-        const dropAtMs = this.isMassLapse(known) ? Math.max(lapseEndsAtMs, nowMs + MASS_LAPSE_GRACE_MS) : lapseEndsAtMs;
+        const graceEndsAtMs = this.outageEndedAtMs + EXPIRY_GRACE_MS;
+        const dropAtMs = this.isMassExpiry(removedIds)
+            ? Math.max(graceEndsAtMs, nowMs + MASS_EXPIRY_GRACE_MS)
+            : graceEndsAtMs;
         if (dropAtMs <= nowMs) {
-            return known.map(id => this.drop(id));
+            return removedIds.map(id => this.drop(id));
         }
-        known.forEach(id => {
+        removedIds.forEach(id => {
             this.entries.get(id)!.dropAtMs ??= dropAtMs;
         });
         return [];
     }
 
     /** Drops lapsed entries that did not come back. @returns what was dropped, shape [changes] */
-    expire(nowMs: number): UpstreamChange[] {
+    dropExpired(nowMs: number): UpstreamChange[] {
         return [...this.entries]
             .filter(([, entry]) => entry.dropAtMs !== undefined && entry.dropAtMs <= nowMs)
             .map(([id]) => this.drop(id));
@@ -84,12 +86,12 @@
         return { kind: "left", upstream };
     }
 
-    private isMassLapse(ids: readonly UpstreamId[]): boolean {
+    private isMassExpiry(ids: readonly UpstreamId[]): boolean {
         const services = new Set(ids.map(id => this.entries.get(id)!.upstream.service));
         return [...services].some(service => {
             const listed = [...this.entries.values()].filter(entry => entry.upstream.service === service);
             const leaving = ids.filter(id => this.entries.get(id)!.upstream.service === service);
-            return leaving.length > 1 && leaving.length >= listed.length * MASS_LAPSE_SHARE;
+            return leaving.length > 1 && leaving.length >= listed.length * MASS_EXPIRY_SHARE;
         });
     }
 }
--- a/fleet/view/test/upstreamDirectory.test.ts
+++ b/fleet/view/test/upstreamDirectory.test.ts
@@ -35,13 +35,13 @@
 
 test("entries that lapse around an outage stay for a grace period", () => {
     const directory = directoryOf(8);
-    directory.onRegained(10_000);
+    directory.onKeyValueReconnected(10_000);
     assert.deepEqual(directory.remove(["0" as UpstreamId], 10_500), []);
     assert.equal(directory.ready(service).length, 8);
     directory.put(upstream("0"));
-    assert.deepEqual(directory.expire(20_000), []);
+    assert.deepEqual(directory.dropExpired(20_000), []);
     directory.remove(["1" as UpstreamId], 10_600);
-    assert.equal(directory.expire(20_000).length, 1);
+    assert.equal(directory.dropExpired(20_000).length, 1);
 });
 
 test("most upstreams of a service disappear at once only by a lapse", () => {
@@ -60,13 +60,13 @@
 
 test("an upstream removed soon after an outage is not kept beyond the time in which lapsed entries come back", () => {
     const directory = directoryOf(8);
-    directory.onRegained(10_000);
+    directory.onKeyValueReconnected(10_000);
     directory.remove(["0" as UpstreamId], 11_400);
-    assert.equal(directory.expire(12_300).length, 1);
+    assert.equal(directory.dropExpired(12_300).length, 1);
 });
 
 test("where half of a service disappears without an outage, it gets nothing after two seconds", () => {
     const directory = directoryOf(8);
     directory.remove(directory.ids().slice(0, 5), 10_000);
-    assert.equal(directory.expire(12_000).length, 5);
+    assert.equal(directory.dropExpired(12_000).length, 5);
 });
