--- a/bench/decisions/src/boardReporter.ts
+++ b/bench/decisions/src/boardReporter.ts
@@ -1,10 +1,10 @@
 import type { InstanceName } from "@knapweedwood/core.ids/instanceName";
-import { LoadBoard } from "@knapweedwood/fleet.load/loadBoard";
 import type { LoadReport } from "@knapweedwood/fleet.load/loadReport";
+import { LoadTracker } from "@knapweedwood/fleet.load/loadTracker";
 
 /** The load board of one process, and its reports to the others. */
 export class BoardReporter {
-    readonly board = new LoadBoard();
+    readonly board = new LoadTracker();
     private readonly name: InstanceName;
     private readonly waiting: () => LoadReport["waiting"];
     private sequence = 0;
@@ -20,7 +20,7 @@
             instanceName: this.name,
             startedAtMs: 0,
             sequence: this.sequence,
-            isInTouch: true,
+            isKeyValueReachable: true,
             counts: this.board.ownCounts().map(count => ({ ...count })),
             ejected: [],
             waiting: this.waiting(),
--- a/bench/decisions/src/forwardAtOnce.ts
+++ b/bench/decisions/src/forwardAtOnce.ts
@@ -1,20 +1,20 @@
-import type { LoadBoard } from "@knapweedwood/fleet.load/loadBoard";
+import type { LoadTracker } from "@knapweedwood/fleet.load/loadTracker";
 import type { WaitingCall } from "@knapweedwood/fleet.load/waitingCall";
 import type { Upstream } from "@knapweedwood/fleet.view/upstream";
 import type { CallQueue } from "./callQueue.js";
 
 /** A plain forwarder: each request goes at once where this gateway has the fewest in flight, full or not. */
 export class ForwardAtOnce implements CallQueue {
-    private readonly board: LoadBoard;
+    private readonly board: LoadTracker;
     private readonly upstreams: () => Upstream[];
 
-    constructor(opts: { board: LoadBoard; upstreams: () => Upstream[]; }) {
+    constructor(opts: { board: LoadTracker; upstreams: () => Upstream[]; }) {
         this.board = opts.board;
         this.upstreams = opts.upstreams;
     }
 
     enter(call: WaitingCall): void {
-        const loads = this.upstreams().map(upstream => ({ upstream, own: this.board.ownOnline(upstream.id) }));
+        const loads = this.upstreams().map(upstream => ({ upstream, own: this.board.ownOnlineCount(upstream.id) }));
         const [best] = loads.sort((left, right) => left.own - right.own);
         if (best !== undefined) {
             call.onPlaced(best.upstream);
--- a/bench/decisions/src/jobSimulation.ts
+++ b/bench/decisions/src/jobSimulation.ts
@@ -49,7 +49,7 @@
     pump(): void {
         this.endDisplaced();
         const { clock, service } = this.opts;
-        if (this.reporter.board.waitingElsewhere(service) > 0) {
+        if (this.reporter.board.waitingAtPeers(service) > 0) {
             return;
         }
         const open = this.jobs.filter(job => job.items.some(item => item.state === "pending"));
@@ -160,6 +160,6 @@
 
     private candidateOf(upstream: Upstream) {
         const { board } = this.reporter;
-        return { upstream, online: board.online(upstream.id), batch: board.batch(upstream.id) };
+        return { upstream, online: board.onlineCount(upstream.id), batch: board.batchCount(upstream.id) };
     }
 }
--- a/bench/decisions/src/simulateDecisions.ts
+++ b/bench/decisions/src/simulateDecisions.ts
@@ -54,7 +54,7 @@
     const exchange = () => {
         boards.forEach(sender => {
             const report = sender.createReport();
-            boards.filter(other => other !== sender).forEach(other => other.board.receive(report, clock.nowMs()));
+            boards.filter(other => other !== sender).forEach(other => other.board.apply(report, clock.nowMs()));
         });
         gateways.forEach(gateway => gateway.queue.pump());
         jobs.pump();
--- a/bench/decisions/src/simulatedGateway.ts
+++ b/bench/decisions/src/simulatedGateway.ts
@@ -1,8 +1,8 @@
 import type { Clock } from "@knapweedwood/core.clock/clock";
 import type { ZoneName } from "@knapweedwood/core.ids/zoneName";
 import type { Random } from "@knapweedwood/core.random/random";
-import { FewestOnlinePlacement } from "@knapweedwood/fleet.load/fewestOnlinePlacement";
 import { HoldTimes } from "@knapweedwood/fleet.load/holdTimes";
+import { LeastLoadedPlacement } from "@knapweedwood/fleet.load/leastLoadedPlacement";
 import { WaitingRoom } from "@knapweedwood/fleet.load/waitingRoom";
 import type { Upstream } from "@knapweedwood/fleet.view/upstream";
 import { BoardReporter } from "./boardReporter.js";
@@ -28,7 +28,12 @@
         const { clock, random, zone, upstreams } = opts;
         this.reporter = new BoardReporter(`gateway-${opts.index}`, () => room.waiting());
         const { board } = this.reporter;
-        const placement = new FewestOnlinePlacement({ board, random, zone, connectionShare: () => Infinity });
+        const placement = new LeastLoadedPlacement({
+            loadTracker: board,
+            random,
+            zone,
+            connectionShare: () => Infinity,
+        });
         const room = new WaitingRoom({ clock, random, board, holdTimes: this.holdTimes, placement, usable: upstreams });
         switch (opts.policy) {
             case "ours":
--- a/daemons/fleet/src/fleetProcess.ts
+++ b/daemons/fleet/src/fleetProcess.ts
@@ -4,9 +4,9 @@
 import type { InstanceId } from "@knapweedwood/core.ids/instanceId";
 import { SeededRandom } from "@knapweedwood/core.random/seededRandom";
 import { HELD_JOBS_SETTLE_MS } from "@knapweedwood/fleet.jobs/heldJobsSettleMs";
-import { LoadBoard } from "@knapweedwood/fleet.load/loadBoard";
 import { LoadExchange } from "@knapweedwood/fleet.load/loadExchange";
 import type { LoadReport } from "@knapweedwood/fleet.load/loadReport";
+import { LoadTracker } from "@knapweedwood/fleet.load/loadTracker";
 import { PeerEjections } from "@knapweedwood/fleet.load/peerEjections";
 import { UpstreamHealth } from "@knapweedwood/fleet.load/upstreamHealth";
 import type { MemberRecord } from "@knapweedwood/fleet.sync/memberRecord";
@@ -54,7 +54,7 @@
     readonly random = new SeededRandom(randomInt(MAX_SEED));
     readonly metrics = new PageMetrics();
     readonly connections = new UpstreamConnections();
-    readonly board = new LoadBoard();
+    readonly board = new LoadTracker();
     readonly health = new UpstreamHealth();
     readonly store: PlatformKeyValueService;
     readonly links: WebSocketLinkEndpoint;
@@ -126,7 +126,7 @@
 
     /** Whether the key-value service answers others but not this process: callers are better off elsewhere. */
     get isIsolated(): boolean {
-        return !this.isInTouch && this.board.isAnyoneInTouch();
+        return !this.isInTouch && this.board.isKeyValueReachableByPeer();
     }
 
     /** Whether jobs that were held during an outage of the key-value service have been written by now. */
@@ -195,9 +195,9 @@
             instanceName: this.self.instanceName,
             startedAtMs: this.self.startedAtMs,
             sequence: this.sequence,
-            isInTouch: this.isInTouch,
+            isKeyValueReachable: this.isInTouch,
             counts: this.board.ownCounts(),
-            ejected: this.health.ejectedIds(this.clock.nowMs()),
+            ejected: this.health.locallyEjectedIds(this.clock.nowMs()),
             waiting: this.opts.waiting(),
             configurationRevision: this.operators.configurationRevision,
             jobsRevision: this.jobsRevision,
@@ -208,14 +208,14 @@
 
     private noteEjections(report: LoadReport): void {
         const nowMs = this.clock.nowMs();
-        this.ejections.receive(report).forEach(id => {
+        this.ejections.apply(report).forEach(id => {
             const isNear = this.peers.zoneOf(report.instanceName) === this.self.zone;
-            this.health.onPeerEjection(id, { isNear, nowMs });
+            this.health.onPeerEjection(id, { isSameZone: isNear, nowMs });
         });
     }
 
     private onReport(report: LoadReport): void {
-        if (!this.board.receive(report, this.clock.nowMs())) {
+        if (!this.board.apply(report, this.clock.nowMs())) {
             return;
         }
         this.peers.meet(report.instanceName);
--- a/daemons/fleet/src/gatewayProgram.ts
+++ b/daemons/fleet/src/gatewayProgram.ts
@@ -6,8 +6,8 @@
 import { ReadinessServer } from "@knapweedwood/fleet.gateway/readinessServer";
 import { JobAcceptor } from "@knapweedwood/fleet.jobs/jobAcceptor";
 import { connectionShareOf } from "@knapweedwood/fleet.load/connectionShareOf";
-import { FewestOnlinePlacement } from "@knapweedwood/fleet.load/fewestOnlinePlacement";
 import { HoldTimes } from "@knapweedwood/fleet.load/holdTimes";
+import { LeastLoadedPlacement } from "@knapweedwood/fleet.load/leastLoadedPlacement";
 import { WaitingRoom } from "@knapweedwood/fleet.load/waitingRoom";
 import type { Logger } from "@knapweedwood/observability.logs/logger";
 import { PlatformCallerProtocol } from "@knapweedwood/platform.adapter/platformCallerProtocol";
@@ -57,8 +57,8 @@
             random,
             board,
             holdTimes,
-            placement: new FewestOnlinePlacement({
-                board,
+            placement: new LeastLoadedPlacement({
+                loadTracker: board,
                 random,
                 zone: settings.zone,
                 connectionShare: service => this.connectionShare(service),
--- a/daemons/fleet/src/upstreamFollower.ts
+++ b/daemons/fleet/src/upstreamFollower.ts
@@ -2,7 +2,7 @@
 import type { UpstreamId } from "@knapweedwood/core.ids/upstreamId";
 import type { KeyValueEntry } from "@knapweedwood/core.key-value/keyValueEntry";
 import type { WatchBatch } from "@knapweedwood/core.key-value/watchBatch";
-import type { LoadBoard } from "@knapweedwood/fleet.load/loadBoard";
+import type { LoadTracker } from "@knapweedwood/fleet.load/loadTracker";
 import type { UpstreamHealth } from "@knapweedwood/fleet.load/upstreamHealth";
 import { PrefixMirror } from "@knapweedwood/fleet.sync/prefixMirror";
 import type { UpstreamConnections } from "@knapweedwood/fleet.upstreams/upstreamConnections";
@@ -17,7 +17,7 @@
 const GATHER_MS = 200;
 
 interface UpstreamFollowerOptions extends FollowerTools {
-    board: LoadBoard;
+    board: LoadTracker;
     health: UpstreamHealth;
     connections: UpstreamConnections;
     /** Called when the set of upstreams or a state has changed. */
@@ -52,7 +52,9 @@
     usable(service: ServiceName): Upstream[] {
         const nowMs = this.opts.clock.nowMs();
         const ready = this.directory.ready(service);
-        const usable = ready.filter(({ id }) => this.opts.health.isUsable(id, nowMs, this.opts.board.ownOnline(id)));
+        const usable = ready.filter(({ id }) =>
+            this.opts.health.isUsable(id, nowMs, this.opts.board.ownOnlineCount(id))
+        );
         // A judgement over most of a service is more likely wrong than right.
         return usable.length * 2 > ready.length ? usable : ready;
     }
--- a/fleet/gateway/src/gatewayContext.ts
+++ b/fleet/gateway/src/gatewayContext.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "@knapweedwood/core.clock/clock";
 import type { Random } from "@knapweedwood/core.random/random";
 import type { HoldTimes } from "@knapweedwood/fleet.load/holdTimes";
-import type { LoadBoard } from "@knapweedwood/fleet.load/loadBoard";
+import type { LoadTracker } from "@knapweedwood/fleet.load/loadTracker";
 import type { UpstreamHealth } from "@knapweedwood/fleet.load/upstreamHealth";
 import type { WaitingRoom } from "@knapweedwood/fleet.load/waitingRoom";
 import type { UpstreamConnections } from "@knapweedwood/fleet.upstreams/upstreamConnections";
@@ -18,7 +18,7 @@
     metrics: Metrics;
     configuration: ActiveConfiguration;
     connections: UpstreamConnections;
-    board: LoadBoard;
+    board: LoadTracker;
     health: UpstreamHealth;
     holdTimes: HoldTimes;
     waitingRoom: WaitingRoom;
--- a/fleet/gateway/src/onlineCall.ts
+++ b/fleet/gateway/src/onlineCall.ts
@@ -113,7 +113,7 @@
             upstream: upstream.id,
             attempt: this.attempts,
             waitedMs: Math.round(nowMs - this.arrivedAtMs),
-            online: this.context.board.online(upstream.id),
+            online: this.context.board.onlineCount(upstream.id),
             configuration: this.context.configuration.version,
         });
         const attempt: Attempt = {
@@ -295,7 +295,7 @@
             return;
         }
         const nowMs = this.context.clock.nowMs();
-        const isEjected = this.context.health.onSilence(attempt.upstream.id, attempt.startedAtMs, nowMs);
+        const isEjected = this.context.health.onNoResponse(attempt.upstream.id, attempt.startedAtMs, nowMs);
         this.log("upstream-silent", { upstream: attempt.upstream.id, isEjected });
     }
 
--- a/fleet/gateway/test/forwarding.test.ts
+++ b/fleet/gateway/test/forwarding.test.ts
@@ -150,7 +150,7 @@
         await new Promise(resolve => request.on("response", response => response.once("data", resolve)));
         request.destroy();
         await until(() => standin!.closedEarlyCount === 1);
-        assert.equal(bed.board.online("u-0" as never), 0);
+        assert.equal(bed.board.onlineCount("u-0" as never), 0);
     });
 });
 
--- a/fleet/gateway/test/gatewayBed.ts
+++ b/fleet/gateway/test/gatewayBed.ts
@@ -1,8 +1,8 @@
 import { SystemClock } from "@knapweedwood/core.clock/systemClock";
 import { SeededRandom } from "@knapweedwood/core.random/seededRandom";
-import { FewestOnlinePlacement } from "@knapweedwood/fleet.load/fewestOnlinePlacement";
 import { HoldTimes } from "@knapweedwood/fleet.load/holdTimes";
-import { LoadBoard } from "@knapweedwood/fleet.load/loadBoard";
+import { LeastLoadedPlacement } from "@knapweedwood/fleet.load/leastLoadedPlacement";
+import { LoadTracker } from "@knapweedwood/fleet.load/loadTracker";
 import { UpstreamHealth } from "@knapweedwood/fleet.load/upstreamHealth";
 import { WaitingRoom } from "@knapweedwood/fleet.load/waitingRoom";
 import { UpstreamConnections } from "@knapweedwood/fleet.upstreams/upstreamConnections";
@@ -59,7 +59,7 @@
 /** A gateway before stand-ins of upstreams. */
 export class GatewayBed {
     readonly connections = new UpstreamConnections();
-    readonly board = new LoadBoard();
+    readonly board = new LoadTracker();
     isStopping = false;
     private readonly server: GatewayServer;
     private port = 0;
@@ -86,8 +86,8 @@
             random,
             board,
             holdTimes,
-            placement: new FewestOnlinePlacement({
-                board,
+            placement: new LeastLoadedPlacement({
+                loadTracker: board,
                 random,
                 zone: "z" as Upstream["zone"],
                 connectionShare: () => Infinity,
--- a/fleet/jobs/src/itemFlights.ts
+++ b/fleet/jobs/src/itemFlights.ts
@@ -53,8 +53,8 @@
             itemId: item.id,
             upstream: upstream.id,
             resumedAfter: item.lastEventId,
-            online: this.opts.board.online(upstream.id),
-            batch: this.opts.board.batch(upstream.id),
+            online: this.opts.board.onlineCount(upstream.id),
+            batch: this.opts.board.batchCount(upstream.id),
         });
         run.start(this.opts.connections, { host: job.record.host, body: job.bodyOf(item) });
     }
@@ -76,7 +76,7 @@
                     jobId: flight.job.record.jobId,
                     itemId: flight.run.item.id,
                     upstream: flight.run.upstream.id,
-                    online: this.opts.board.online(flight.run.upstream.id),
+                    online: this.opts.board.onlineCount(flight.run.upstream.id),
                     events: flight.run.item.lastEventId,
                 });
                 this.opts.metrics.increment("items_displaced_total");
@@ -100,8 +100,8 @@
     candidateOf(upstream: Upstream): BatchCandidate {
         return {
             upstream,
-            online: this.opts.board.online(upstream.id),
-            batch: this.opts.board.batch(upstream.id),
+            online: this.opts.board.onlineCount(upstream.id),
+            batch: this.opts.board.batchCount(upstream.id),
         };
     }
 
--- a/fleet/jobs/src/jobRunner.ts
+++ b/fleet/jobs/src/jobRunner.ts
@@ -246,7 +246,7 @@
 
     /** No item starts while an online request of the service waits. */
     private candidates(service: ServiceName, nowMs: number): BatchCandidate[] {
-        if (this.opts.board.waitingElsewhere(service) > 0) {
+        if (this.opts.board.waitingAtPeers(service) > 0) {
             return [];
         }
         return this.opts.directory
--- a/fleet/jobs/src/jobRunnerOptions.ts
+++ b/fleet/jobs/src/jobRunnerOptions.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "@knapweedwood/core.clock/clock";
 import type { SnapshotKeyValueService } from "@knapweedwood/core.key-value/snapshotKeyValueService";
 import type { Random } from "@knapweedwood/core.random/random";
-import type { LoadBoard } from "@knapweedwood/fleet.load/loadBoard";
+import type { LoadTracker } from "@knapweedwood/fleet.load/loadTracker";
 import type { UpstreamHealth } from "@knapweedwood/fleet.load/upstreamHealth";
 import type { Leadership } from "@knapweedwood/fleet.sync/leadership";
 import type { UpstreamConnections } from "@knapweedwood/fleet.upstreams/upstreamConnections";
@@ -23,7 +23,7 @@
     configuration: ActiveConfiguration;
     directory: UpstreamDirectory;
     connections: UpstreamConnections;
-    board: LoadBoard;
+    board: LoadTracker;
     health: UpstreamHealth;
     headers: ItemRunHeaders;
     /** How long an ended job stays readable. */
--- a/fleet/load/src/decideAdmission.ts
+++ b/fleet/load/src/decideAdmission.ts
@@ -1,6 +1,6 @@
 import type { AdmissionDecision } from "./admissionDecision.js";
 import type { AdmissionInputs } from "./admissionInputs.js";
-import { FIRST_ANSWER_MS } from "./firstAnswerMs.js";
+import { FIRST_RESPONSE_MS } from "./firstResponseMs.js";
 
 const MIN_RETRY_AFTER_MS = 150;
 /** Longest wait after which a caller is told to come back, in milliseconds. */
@@ -13,7 +13,7 @@
 export function decideAdmission(inputs: AdmissionInputs): AdmissionDecision {
     const expectedWaitMs = expectedWaitOf(inputs);
     const allowedMs = inputs.isReturned ? inputs.patienceLeftMs : inputs.objectiveLeftMs;
-    if (inputs.slots > 0 && expectedWaitMs + FIRST_ANSWER_MS <= allowedMs) {
+    if (inputs.slots > 0 && expectedWaitMs + FIRST_RESPONSE_MS <= allowedMs) {
         return { kind: "wait", expectedWaitMs };
     }
     const retryAfterMs = Math.min(MAX_RETRY_AFTER_MS, Math.max(MIN_RETRY_AFTER_MS, expectedWaitMs));
--- a/fleet/load/src/firstAnswerMs.ts
+++ b/fleet/load/src/firstResponseMs.ts
@@ -1,2 +1,2 @@
 /** Time from the start at an upstream to the first event, in milliseconds. */
-export const FIRST_ANSWER_MS = 60;
+export const FIRST_RESPONSE_MS = 60;
--- a/fleet/load/src/fewestOnlinePlacement.ts
+++ b/fleet/load/src/leastLoadedPlacement.ts
@@ -2,7 +2,7 @@
 import type { ZoneName } from "@knapweedwood/core.ids/zoneName";
 import type { Random } from "@knapweedwood/core.random/random";
 import type { Upstream } from "@knapweedwood/fleet.view/upstream";
-import type { LoadBoard } from "./loadBoard.js";
+import type { LoadTracker } from "./loadTracker.js";
 import type { PlacementPolicy } from "./placementPolicy.js";
 
 /** A batch run gives way, at the price of a resume; hence it weighs little beside an online request. */
@@ -16,8 +16,8 @@
  * Answers bursts: an online request goes to the upstream with the fewest of them and never behind as many as there are
  * slots. Batch runs count little, because they are ended when their slot is wanted.
  */
-export class FewestOnlinePlacement implements PlacementPolicy {
-    private readonly board: LoadBoard;
+export class LeastLoadedPlacement implements PlacementPolicy {
+    private readonly loadTracker: LoadTracker;
     private readonly random: Random;
     private readonly zone: ZoneName;
     private readonly connectionShare: (service: ServiceName) => number;
@@ -27,12 +27,12 @@
      * @param opts.connectionShare requests that this process may have at one upstream of a service
      */
     constructor(opts: {
-        board: LoadBoard;
+        loadTracker: LoadTracker;
         random: Random;
         zone: ZoneName;
         connectionShare: (service: ServiceName) => number;
     }) {
-        this.board = opts.board;
+        this.loadTracker = opts.loadTracker;
         this.connectionShare = opts.connectionShare;
         this.zone = opts.zone;
         this.random = opts.random;
@@ -42,7 +42,9 @@
         const service = candidates[0]?.service;
         const share = service === undefined ? 0 : this.connectionShare(service);
         return candidates
-            .filter(({ id, slots }) => this.board.online(id) < slots && this.board.ownOnline(id) < share)
+            .filter(({ id, slots }) =>
+                this.loadTracker.onlineCount(id) < slots && this.loadTracker.ownOnlineCount(id) < share
+            )
             .map(upstream => ({ upstream, cost: this.costOf(upstream) }))
             .reduce<{ upstream: Upstream; cost: number; } | undefined>(
                 (best, candidate) => best === undefined || candidate.cost < best.cost ? candidate : best,
@@ -51,8 +53,8 @@
     }
 
     private costOf(upstream: Upstream): number {
-        const batch = this.board.batch(upstream.id) * BATCH_WEIGHT;
+        const batch = this.loadTracker.batchCount(upstream.id) * BATCH_WEIGHT;
         const zone = upstream.zone === this.zone ? 0 : OTHER_ZONE_WEIGHT;
-        return this.board.online(upstream.id) + batch + zone + this.random.next() * RANDOM_WEIGHT;
+        return this.loadTracker.onlineCount(upstream.id) + batch + zone + this.random.next() * RANDOM_WEIGHT;
     }
 }
--- a/fleet/load/src/loadReport.ts
+++ b/fleet/load/src/loadReport.ts
@@ -11,7 +11,7 @@
     /** Grows with each report of a start. */
     sequence: number;
     /** Whether the key-value service answers this process. */
-    isInTouch: boolean;
+    isKeyValueReachable: boolean;
     /** Upstreams with requests of this process, shape [upstreams]. */
     counts: UpstreamCount[];
     /** Upstreams that this process has ejected for what it has seen of them, shape [upstreams]. */
--- a/fleet/load/src/loadReportCodec.ts
+++ b/fleet/load/src/loadReportCodec.ts
@@ -16,7 +16,7 @@
     upstreamsRevision: number,
     leaderName: string,
     leaderFencingNumber: number,
-    isInTouch: boolean,
+    isKeyValueReachable: boolean,
     ejected: string[],
 ];
 
@@ -39,7 +39,7 @@
             report.upstreamsRevision,
             report.leader?.instanceName ?? "",
             report.leader?.fencingNumber ?? 0,
-            report.isInTouch,
+            report.isKeyValueReachable,
             report.ejected,
         ];
         return this.packr.pack(packed);
@@ -49,14 +49,21 @@
     decode(bytes: Buffer): LoadReport {
         const packed = this.packr.unpack(bytes) as PackedReport;
         const [instanceName, startedAtMs, sequence, counts, waiting] = packed;
-        const [configurationRevision, jobsRevision, upstreamsRevision, leaderName, fencingNumber, isInTouch, ejected] =
-            packed
-                .slice(REVISIONS_AT) as [number, number, number, string, number, boolean, UpstreamId[]];
+        const [
+            configurationRevision,
+            jobsRevision,
+            upstreamsRevision,
+            leaderName,
+            fencingNumber,
+            isKeyValueReachable,
+            ejected,
+        ] = packed
+            .slice(REVISIONS_AT) as [number, number, number, string, number, boolean, UpstreamId[]];
         return {
             instanceName: instanceName as InstanceName,
             startedAtMs,
             sequence,
-            isInTouch,
+            isKeyValueReachable,
             ejected,
             counts: groupsOf(counts, 3).map(([upstreamId, online, batch]) => ({
                 upstreamId: upstreamId as UpstreamId,
--- a/fleet/load/src/loadBoard.ts
+++ b/fleet/load/src/loadTracker.ts
@@ -13,51 +13,51 @@
 }
 
 /** Requests at each upstream over all processes: the own counts, and what the others last reported. */
-export class LoadBoard {
+export class LoadTracker {
     private readonly own = new Map<UpstreamId, UpstreamCount>();
     private readonly reports = new Map<InstanceName, ReceivedReport>();
-    private readonly others = new Map<UpstreamId, UpstreamCount>();
+    private readonly peerCounts = new Map<UpstreamId, UpstreamCount>();
 
     /** Counts a request of this process at an upstream in, or out with `change` -1. */
     count(upstreamId: UpstreamId, kind: "online" | "batch", change: 1 | -1): void {
-        const known = this.own.get(upstreamId) ?? { upstreamId, online: 0, batch: 0 };
-        known[kind] = Math.max(0, known[kind] + change);
-        this.own.set(upstreamId, known);
-        if (known.online + known.batch === 0) {
+        const counts = this.own.get(upstreamId) ?? { upstreamId, online: 0, batch: 0 };
+        counts[kind] = Math.max(0, counts[kind] + change);
+        this.own.set(upstreamId, counts);
+        if (counts.online + counts.batch === 0) {
             this.own.delete(upstreamId);
         }
     }
 
     /** @returns whether the report is news */
-    receive(report: LoadReport, nowMs: number): boolean {
-        const known = this.reports.get(report.instanceName)?.report;
-        if (known !== undefined && !isNewer(report, known)) {
+    apply(report: LoadReport, nowMs: number): boolean {
+        const previous = this.reports.get(report.instanceName)?.report;
+        if (previous !== undefined && !isNewer(report, previous)) {
             return false;
         }
         this.reports.set(report.instanceName, { report, atMs: nowMs });
-        this.sumOthers();
+        this.sumPeerCounts();
         return true;
     }
 
-    /** Drops the reports of processes that fell silent. */
+    /** Drops the reports of processes that fell stale. */
     expire(nowMs: number): void {
-        const silent = [...this.reports].filter(([, received]) => received.atMs + REPORT_VALID_MS < nowMs);
-        silent.forEach(([name]) => this.reports.delete(name));
-        if (silent.length > 0) {
-            this.sumOthers();
+        const stale = [...this.reports].filter(([, received]) => received.atMs + REPORT_VALID_MS < nowMs);
+        stale.forEach(([name]) => this.reports.delete(name));
+        if (stale.length > 0) {
+            this.sumPeerCounts();
         }
     }
 
-    online(upstreamId: UpstreamId): number {
-        return (this.own.get(upstreamId)?.online ?? 0) + (this.others.get(upstreamId)?.online ?? 0);
+    onlineCount(upstreamId: UpstreamId): number {
+        return (this.own.get(upstreamId)?.online ?? 0) + (this.peerCounts.get(upstreamId)?.online ?? 0);
     }
 
-    batch(upstreamId: UpstreamId): number {
-        return (this.own.get(upstreamId)?.batch ?? 0) + (this.others.get(upstreamId)?.batch ?? 0);
+    batchCount(upstreamId: UpstreamId): number {
+        return (this.own.get(upstreamId)?.batch ?? 0) + (this.peerCounts.get(upstreamId)?.batch ?? 0);
     }
 
     /** Online requests of this process at an upstream. */
-    ownOnline(upstreamId: UpstreamId): number {
+    ownOnlineCount(upstreamId: UpstreamId): number {
         return this.own.get(upstreamId)?.online ?? 0;
     }
 
@@ -67,7 +67,7 @@
     }
 
     /** Online requests of a service that wait at other processes. */
-    waitingElsewhere(service: ServiceName): number {
+    waitingAtPeers(service: ServiceName): number {
         return [...this.reports.values()]
             .flatMap(received => received.report.waiting)
             .filter(waiting => waiting.service === service)
@@ -75,22 +75,22 @@
     }
 
     /** Whether another process says that the key-value service answers it. */
-    isAnyoneInTouch(): boolean {
-        return [...this.reports.values()].some(received => received.report.isInTouch);
+    isKeyValueReachableByPeer(): boolean {
+        return [...this.reports.values()].some(received => received.report.isKeyValueReachable);
     }
 
-    private sumOthers(): void {
-        this.others.clear();
+    private sumPeerCounts(): void {
+        this.peerCounts.clear();
         [...this.reports.values()].flatMap(received => received.report.counts).forEach(count => {
-            const sum = this.others.get(count.upstreamId) ?? { upstreamId: count.upstreamId, online: 0, batch: 0 };
+            const sum = this.peerCounts.get(count.upstreamId) ?? { upstreamId: count.upstreamId, online: 0, batch: 0 };
             sum.online += count.online;
             sum.batch += count.batch;
-            this.others.set(count.upstreamId, sum);
+            this.peerCounts.set(count.upstreamId, sum);
         });
     }
 }
 
-function isNewer(report: LoadReport, known: LoadReport): boolean {
-    return report.startedAtMs > known.startedAtMs
-        || (report.startedAtMs === known.startedAtMs && report.sequence > known.sequence);
+function isNewer(report: LoadReport, previous: LoadReport): boolean {
+    return report.startedAtMs > previous.startedAtMs
+        || (report.startedAtMs === previous.startedAtMs && report.sequence > previous.sequence);
 }
--- a/fleet/load/src/peerEjections.ts
+++ b/fleet/load/src/peerEjections.ts
@@ -7,7 +7,7 @@
     private readonly ejectedBy = new Map<InstanceName, UpstreamId[]>();
 
     /** @returns upstreams that the process had not ejected at its last report, shape [upstreams] */
-    receive(report: LoadReport): UpstreamId[] {
+    apply(report: LoadReport): UpstreamId[] {
         const before = this.ejectedBy.get(report.instanceName) ?? [];
         this.ejectedBy.set(report.instanceName, report.ejected);
         return report.ejected.filter(id => !before.includes(id));
--- a/fleet/load/src/upstreamHealth.ts
+++ b/fleet/load/src/upstreamHealth.ts
@@ -3,45 +3,45 @@
 /** What a failure adds to the score of an upstream. */
 const FAILURE_WEIGHT = 0.35;
 /** What an unanswered request adds while the upstream answers others: some requests are long. */
-const SILENCE_WEIGHT = 0.15;
+const NO_RESPONSE_WEIGHT = 0.15;
 /** Share of the score that is left after a success. */
 const SUCCESS_DECAY = 0.7;
 /** Two failures in a row reach it, and so does failing every other request. */
-const SCORE_TO_EJECT = 0.6;
+const EJECTION_SCORE = 0.6;
 /** What the ejection by a process of the same zone adds, and by one of another: an upstream may be ill for some only. */
-const NEAR_EJECTION_WEIGHT = 0.35;
-const FAR_EJECTION_WEIGHT = 0.2;
+const SAME_ZONE_EJECTION_WEIGHT = 0.35;
+const OTHER_ZONE_EJECTION_WEIGHT = 0.2;
 /** An answer of its own that is no older counts for more than what others say, in milliseconds. */
-const OWN_SUCCESS_VALID_MS = 1000;
+const LOCAL_SUCCESS_VALID_MS = 1000;
 const FIRST_EJECTION_MS = 400;
 const MAX_EJECTION_MS = 4000;
 /** Requests that have to succeed after an ejection, one at a time, before the upstream gets its full share again. */
-const TRIALS = 3;
+const PROBE_REQUESTS = 3;
 
 interface HealthRecord {
     score: number;
     ejections: number;
     ejectedUntilMs: number;
-    trialsLeft: number;
+    probesLeft: number;
     /** Whether failures seen here led to the last ejection, and not only what others told. */
-    isOwnVerdict: boolean;
+    isEjectedLocally: boolean;
 }
 
 /** Judges upstreams by what became of the requests that this process sent them. */
 export class UpstreamHealth {
     private readonly records = new Map<UpstreamId, HealthRecord>();
-    private readonly answeredAtMs = new Map<UpstreamId, number>();
+    private readonly succeededAtMs = new Map<UpstreamId, number>();
 
     onSuccess(id: UpstreamId, nowMs: number): void {
-        this.answeredAtMs.set(id, nowMs);
+        this.succeededAtMs.set(id, nowMs);
         const record = this.records.get(id);
         if (record === undefined) {
             return;
         }
         record.score *= SUCCESS_DECAY;
-        if (record.trialsLeft > 0) {
-            record.trialsLeft -= 1;
-            record.ejections -= record.trialsLeft === 0 ? 1 : 0;
+        if (record.probesLeft > 0) {
+            record.probesLeft -= 1;
+            record.ejections -= record.probesLeft === 0 ? 1 : 0;
         }
     }
 
@@ -56,24 +56,24 @@
      *
      * @returns whether the upstream is ejected
      */
-    onSilence(id: UpstreamId, sentAtMs: number, nowMs: number): boolean {
-        const hasAnswered = (this.answeredAtMs.get(id) ?? -Infinity) >= sentAtMs;
-        return this.addFailure(id, hasAnswered ? SILENCE_WEIGHT : FAILURE_WEIGHT, nowMs);
+    onNoResponse(id: UpstreamId, sentAtMs: number, nowMs: number): boolean {
+        const hasSucceededSince = (this.succeededAtMs.get(id) ?? -Infinity) >= sentAtMs;
+        return this.addFailure(id, hasSucceededSince ? NO_RESPONSE_WEIGHT : FAILURE_WEIGHT, nowMs);
     }
 
     /**
      * Takes in that another process has ejected the upstream, so that not each has to find that out by failures.
      *
-     * @param opts.isNear whether that process is in the zone of this one
+     * @param opts.isSameZone whether that process is in the zone of this one
      */
-    onPeerEjection(id: UpstreamId, opts: { isNear: boolean; nowMs: number; }): void {
-        const { isNear, nowMs } = opts;
-        if ((this.answeredAtMs.get(id) ?? -Infinity) > nowMs - OWN_SUCCESS_VALID_MS) {
+    onPeerEjection(id: UpstreamId, opts: { isSameZone: boolean; nowMs: number; }): void {
+        const { isSameZone, nowMs } = opts;
+        if ((this.succeededAtMs.get(id) ?? -Infinity) > nowMs - LOCAL_SUCCESS_VALID_MS) {
             return;
         }
         const record = this.recordOf(id);
-        if (this.addFailure(id, isNear ? NEAR_EJECTION_WEIGHT : FAR_EJECTION_WEIGHT, nowMs)) {
-            record.isOwnVerdict = false;
+        if (this.addFailure(id, isSameZone ? SAME_ZONE_EJECTION_WEIGHT : OTHER_ZONE_EJECTION_WEIGHT, nowMs)) {
+            record.isEjectedLocally = false;
         }
         if (nowMs < record.ejectedUntilMs) {
             record.ejectedUntilMs = Math.max(record.ejectedUntilMs, nowMs + FIRST_EJECTION_MS);
@@ -81,22 +81,22 @@
     }
 
     /** Upstreams that get no requests now for what this process has seen of them, shape [upstreams]. */
-    ejectedIds(nowMs: number): UpstreamId[] {
+    locallyEjectedIds(nowMs: number): UpstreamId[] {
         return [...this.records]
-            .filter(([, record]) => record.isOwnVerdict && nowMs < record.ejectedUntilMs)
+            .filter(([, record]) => record.isEjectedLocally && nowMs < record.ejectedUntilMs)
             .map(([id]) => id);
     }
 
     /** Another process answers at the upstream's address: it gets nothing until its entry may have been removed. */
     onMisdirected(id: UpstreamId, nowMs: number): void {
         const record = this.recordOf(id);
-        record.trialsLeft = TRIALS;
+        record.probesLeft = PROBE_REQUESTS;
         record.ejectedUntilMs = nowMs + MAX_EJECTION_MS;
     }
 
     forget(id: UpstreamId): void {
         this.records.delete(id);
-        this.answeredAtMs.delete(id);
+        this.succeededAtMs.delete(id);
     }
 
     /** Whether a new request may go to the upstream, which runs `ownRequests` of this process. */
@@ -105,27 +105,27 @@
         if (record === undefined) {
             return true;
         }
-        return nowMs >= record.ejectedUntilMs && (record.trialsLeft === 0 || ownRequests === 0);
+        return nowMs >= record.ejectedUntilMs && (record.probesLeft === 0 || ownRequests === 0);
     }
 
     private addFailure(id: UpstreamId, weight: number, nowMs: number): boolean {
         const record = this.recordOf(id);
         record.score += weight;
-        const isOnTrial = record.trialsLeft > 0;
-        if (nowMs < record.ejectedUntilMs || (!isOnTrial && record.score < SCORE_TO_EJECT)) {
+        const isProbing = record.probesLeft > 0;
+        if (nowMs < record.ejectedUntilMs || (!isProbing && record.score < EJECTION_SCORE)) {
             return false;
         }
         record.score = 0;
         record.ejectedUntilMs = nowMs + Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS * 2 ** record.ejections);
         record.ejections += 1;
-        record.trialsLeft = TRIALS;
-        record.isOwnVerdict = true;
+        record.probesLeft = PROBE_REQUESTS;
+        record.isEjectedLocally = true;
         return true;
     }
 
     private recordOf(id: UpstreamId): HealthRecord {
         const record = this.records.get(id)
-            ?? { score: 0, ejections: 0, ejectedUntilMs: 0, trialsLeft: 0, isOwnVerdict: false };
+            ?? { score: 0, ejections: 0, ejectedUntilMs: 0, probesLeft: 0, isEjectedLocally: false };
         this.records.set(id, record);
         return record;
     }
--- a/fleet/load/src/waitingRoom.ts
+++ b/fleet/load/src/waitingRoom.ts
@@ -3,9 +3,9 @@
 import type { Random } from "@knapweedwood/core.random/random";
 import type { Upstream } from "@knapweedwood/fleet.view/upstream";
 import { decideAdmission } from "./decideAdmission.js";
-import { FIRST_ANSWER_MS } from "./firstAnswerMs.js";
+import { FIRST_RESPONSE_MS } from "./firstResponseMs.js";
 import type { HoldTimes } from "./holdTimes.js";
-import type { LoadBoard } from "./loadBoard.js";
+import type { LoadTracker } from "./loadTracker.js";
 import type { PlacementPolicy } from "./placementPolicy.js";
 import type { WaitingCall } from "./waitingCall.js";
 
@@ -15,7 +15,7 @@
 interface WaitingRoomOptions {
     clock: Clock;
     random: Random;
-    board: LoadBoard;
+    board: LoadTracker;
     holdTimes: HoldTimes;
     placement: PlacementPolicy;
     /** Upstreams of a service that may get requests now. */
@@ -99,7 +99,7 @@
         // The others tell how many wait, not which; they are taken to be as those here.
         const shareAhead = same.length === 0 ? 1 : ahead.length / same.length;
         return {
-            waitingAhead: ahead.length + this.opts.board.waitingElsewhere(call.service) * shareAhead,
+            waitingAhead: ahead.length + this.opts.board.waitingAtPeers(call.service) * shareAhead,
             slots: this.opts.usable(call.service).reduce((sum, upstream) => sum + upstream.slots, 0),
             meanHoldMs: this.opts.holdTimes.meanMs(call.service),
             objectiveLeftMs: call.objectiveAtMs - nowMs,
@@ -118,7 +118,7 @@
  * requests ahead of the others would make each of these late in turn.
  */
 function compare(left: WaitingCall, right: WaitingCall, nowMs: number): number {
-    const isLate = (call: WaitingCall) => Number(nowMs + FIRST_ANSWER_MS > call.objectiveAtMs);
+    const isLate = (call: WaitingCall) => Number(nowMs + FIRST_RESPONSE_MS > call.objectiveAtMs);
     return left.priority - right.priority
         || isLate(left) - isLate(right)
         || Number(left.isReturned) - Number(right.isReturned)
--- a/fleet/load/test/loadReportCodec.test.ts
+++ b/fleet/load/test/loadReportCodec.test.ts
@@ -10,7 +10,7 @@
     instanceName: "entry-1" as InstanceName,
     startedAtMs: 1_777_167_943_056,
     sequence: 7,
-    isInTouch: true,
+    isKeyValueReachable: true,
     ejected: ["u-2" as UpstreamId],
     counts: [
         { upstreamId: "u-1" as UpstreamId, online: 3, batch: 4 },
--- a/fleet/load/test/peerEjections.test.ts
+++ b/fleet/load/test/peerEjections.test.ts
@@ -17,6 +17,6 @@
         reportOf("b", ["u"]),
         reportOf("a", []),
         reportOf("a", ["u"]),
-    ].map(report => ejections.receive(report));
+    ].map(report => ejections.apply(report));
     assert.deepEqual(received, [["u"], ["v"], ["u"], [], ["u"]]);
 });
--- a/fleet/load/test/upstreamHealth.test.ts
+++ b/fleet/load/test/upstreamHealth.test.ts
@@ -40,7 +40,7 @@
     const health = new UpstreamHealth();
     [100, 200, 300, 400].forEach(sentAtMs => {
         [0, 1, 2].forEach(() => health.onSuccess(id, sentAtMs + 500));
-        assert.equal(health.onSilence(id, sentAtMs, sentAtMs + 750), false);
+        assert.equal(health.onNoResponse(id, sentAtMs, sentAtMs + 750), false);
     });
     assert.equal(health.isUsable(id, 2000, 5), true);
 });
@@ -48,7 +48,7 @@
 test("an upstream that answers nothing any more is taken out", () => {
     const health = new UpstreamHealth();
     health.onSuccess(id, 500);
-    assert.deepEqual([600, 700].map(sentAtMs => health.onSilence(id, sentAtMs, 1500)), [false, true]);
+    assert.deepEqual([600, 700].map(sentAtMs => health.onNoResponse(id, sentAtMs, 1500)), [false, true]);
 });
 
 test("an upstream whose address another process has taken gets nothing at once", () => {
@@ -59,34 +59,34 @@
 });
 
 test("two ejections by others of the zone, or three by those of other zones, take an upstream out here too", () => {
-    const [near, far] = [new UpstreamHealth(), new UpstreamHealth()];
+    const [sameZone, otherZone] = [new UpstreamHealth(), new UpstreamHealth()];
     const usableAfter = [1, 2, 3].map(nowMs => {
-        near.onPeerEjection(id, { isNear: true, nowMs });
-        far.onPeerEjection(id, { isNear: false, nowMs });
-        return [near.isUsable(id, nowMs, 0), far.isUsable(id, nowMs, 0)];
+        sameZone.onPeerEjection(id, { isSameZone: true, nowMs });
+        otherZone.onPeerEjection(id, { isSameZone: false, nowMs });
+        return [sameZone.isUsable(id, nowMs, 0), otherZone.isUsable(id, nowMs, 0)];
     });
     assert.deepEqual(usableAfter, [[true, true], [false, true], [false, false]]);
-    assert.deepEqual(near.ejectedIds(10), [], "what others told is not told on");
+    assert.deepEqual(sameZone.locallyEjectedIds(10), [], "what others told is not told on");
 });
 
 test("an upstream that answers here is not taken out for what others say", () => {
     const health = new UpstreamHealth();
     health.onSuccess(id, 0);
-    [1, 2, 3].forEach(nowMs => health.onPeerEjection(id, { isNear: true, nowMs }));
+    [1, 2, 3].forEach(nowMs => health.onPeerEjection(id, { isSameZone: true, nowMs }));
     assert.equal(health.isUsable(id, 4, 0), true);
 });
 
 test("a trial that fails elsewhere ends the trial here", () => {
     const health = new UpstreamHealth();
     [0, 1].forEach(nowMs => health.onFailure(id, nowMs));
-    assert.deepEqual(health.ejectedIds(2), [id]);
+    assert.deepEqual(health.locallyEjectedIds(2), [id]);
     assert.equal(health.isUsable(id, 500, 0), true);
-    health.onPeerEjection(id, { isNear: false, nowMs: 500 });
+    health.onPeerEjection(id, { isSameZone: false, nowMs: 500 });
     assert.equal(health.isUsable(id, 501, 0), false);
 });
 
 /** Plays an upstream that fails all, before many processes. @returns failures until none sends there any more */
-function failuresUntilKnown(processes: number, tells: boolean): number {
+function failuresUntilEjectedEverywhere(processes: number, isReported: boolean): number {
     const healths = Array.from({ length: processes }, () => new UpstreamHealth());
     let failures = 0;
     for (let nowMs = 0; nowMs < 400; nowMs += 1) {
@@ -95,9 +95,9 @@
             continue;
         }
         failures += 1;
-        if (health.onFailure(id, nowMs) && tells) {
+        if (health.onFailure(id, nowMs) && isReported) {
             healths.forEach((other, index) =>
-                other === health || other.onPeerEjection(id, { isNear: index % 4 === 0, nowMs })
+                other === health || other.onPeerEjection(id, { isSameZone: index % 4 === 0, nowMs })
             );
         }
     }
@@ -105,6 +105,6 @@
 }
 
 test("of 25 processes only a few have to fail before all know that an upstream fails", () => {
-    assert.ok(failuresUntilKnown(25, true) <= 32, String(failuresUntilKnown(25, true)));
-    assert.equal(failuresUntilKnown(25, false), 50);
+    assert.ok(failuresUntilEjectedEverywhere(25, true) <= 32, String(failuresUntilEjectedEverywhere(25, true)));
+    assert.equal(failuresUntilEjectedEverywhere(25, false), 50);
 });
--- a/fleet/load/test/waitingRoom.test.ts
+++ b/fleet/load/test/waitingRoom.test.ts
@@ -5,9 +5,9 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { connectionShareOf } from "../src/connectionShareOf.js";
-import { FewestOnlinePlacement } from "../src/fewestOnlinePlacement.js";
 import { HoldTimes } from "../src/holdTimes.js";
-import { LoadBoard } from "../src/loadBoard.js";
+import { LeastLoadedPlacement } from "../src/leastLoadedPlacement.js";
+import { LoadTracker } from "../src/loadTracker.js";
 import type { WaitingCall } from "../src/waitingCall.js";
 import { WaitingRoom } from "../src/waitingRoom.js";
 import { upstreamOf } from "./upstreamOf.js";
@@ -20,14 +20,14 @@
 function setUp(upstreams: Upstream[]) {
     const clock = new ManualClock();
     const random = new SeededRandom(1);
-    const board = new LoadBoard();
+    const board = new LoadTracker();
     const room = new WaitingRoom({
         clock,
         random,
         board,
         holdTimes: new HoldTimes(),
-        placement: new FewestOnlinePlacement({
-            board,
+        placement: new LeastLoadedPlacement({
+            loadTracker: board,
             random,
             zone: "z" as Upstream["zone"],
             connectionShare: () => Infinity,
@@ -72,7 +72,7 @@
     const { board, room, call } = setUp(["a", "b", "c"].map(id => upstreamOf(id)));
     const calls = enterMany(room, Array.from({ length: 7 }, () => call()));
     assert.equal(calls.filter(one => one.placedAt !== undefined).length, 6);
-    ["a", "b", "c"].forEach(id => assert.equal(board.online(upstreamOf(id).id), 2));
+    ["a", "b", "c"].forEach(id => assert.equal(board.onlineCount(upstreamOf(id).id), 2));
 });
 
 test("what can't be on time is refused at once, with a time after which a slot is likely free", () => {
@@ -126,13 +126,13 @@
     const { board, room, call } = setUp([away, upstreamOf("near", 8)]);
     const calls = enterMany(room, Array.from({ length: 3 }, () => call()));
     assert.deepEqual(calls.map(one => one.placedAt?.id), ["near", "away", "near"]);
-    assert.equal(board.online(away.id), 1);
+    assert.equal(board.onlineCount(away.id), 1);
 });
 
 test("a process never takes more than its share of an upstream's connections", () => {
-    const board = new LoadBoard();
-    const placement = new FewestOnlinePlacement({
-        board,
+    const board = new LoadTracker();
+    const placement = new LeastLoadedPlacement({
+        loadTracker: board,
         random: new SeededRandom(1),
         zone: "z" as Upstream["zone"],
         connectionShare: () => connectionShareOf({ maxConnections: 10, processes: 4 }),
