--- a/bench/decisions/src/callQueue.ts
+++ b/bench/decisions/src/callQueue.ts
@@ -1,8 +1,8 @@
-import type { WaitingCall } from "@knapweedwood/fleet.load/waitingCall";
+import type { QueuedRequest } from "@knapweedwood/fleet.load/queuedRequest";
 
 /** Where requests of one gateway wait and are placed: the way that is compared. */
 export interface CallQueue {
-    enter(call: WaitingCall): void;
-    leave(call: WaitingCall): void;
-    pump(): void;
+    submit(call: QueuedRequest): void;
+    remove(call: QueuedRequest): void;
+    dispatch(): void;
 }
--- a/bench/decisions/src/forwardAtOnce.ts
+++ b/bench/decisions/src/forwardAtOnce.ts
@@ -1,5 +1,5 @@
 import type { LoadTracker } from "@knapweedwood/fleet.load/loadTracker";
-import type { WaitingCall } from "@knapweedwood/fleet.load/waitingCall";
+import type { QueuedRequest } from "@knapweedwood/fleet.load/queuedRequest";
 import type { Upstream } from "@knapweedwood/fleet.view/upstream";
 import type { CallQueue } from "./callQueue.js";
 
@@ -13,7 +13,7 @@
         this.upstreams = opts.upstreams;
     }
 
-    enter(call: WaitingCall): void {
+    submit(call: QueuedRequest): void {
         const loads = this.upstreams().map(upstream => ({ upstream, own: this.board.ownOnlineCount(upstream.id) }));
         const [best] = loads.sort((left, right) => left.own - right.own);
         if (best !== undefined) {
@@ -21,7 +21,7 @@
         }
     }
 
-    leave(): void {}
+    remove(): void {}
 
-    pump(): void {}
+    dispatch(): void {}
 }
--- a/bench/decisions/src/simulateDecisions.ts
+++ b/bench/decisions/src/simulateDecisions.ts
@@ -56,7 +56,7 @@
             const report = sender.createReport();
             boards.filter(other => other !== sender).forEach(other => other.board.apply(report, clock.nowMs()));
         });
-        gateways.forEach(gateway => gateway.queue.pump());
+        gateways.forEach(gateway => gateway.queue.dispatch());
         jobs.pump();
         clock.setTimer(REPORT_INTERVAL_MS, exchange);
     };
--- a/bench/decisions/src/simulatedCaller.ts
+++ b/bench/decisions/src/simulatedCaller.ts
@@ -2,7 +2,7 @@
 import type { ServiceName } from "@knapweedwood/core.ids/serviceName";
 import type { UpstreamId } from "@knapweedwood/core.ids/upstreamId";
 import type { Random } from "@knapweedwood/core.random/random";
-import type { WaitingCall } from "@knapweedwood/fleet.load/waitingCall";
+import type { QueuedRequest } from "@knapweedwood/fleet.load/queuedRequest";
 import type { Upstream } from "@knapweedwood/fleet.view/upstream";
 import type { CallOutcome } from "./callOutcome.js";
 import type { CallOutcomes } from "./callOutcomes.js";
@@ -53,18 +53,18 @@
         const gateway = gateways[random.nextInteger(gateways.length)]!;
         const nowMs = clock.nowMs();
         this.outcome.askedAtMs = nowMs;
-        const call: WaitingCall = {
+        const call: QueuedRequest = {
             service: "model" as ServiceName,
             priority: 0,
             arrivedAtMs: nowMs,
             objectiveAtMs: nowMs + OBJECTIVE_MS,
-            giveUpAtMs: nowMs + PATIENCE_MS,
-            isReturned: this.attempts > 1,
+            callerTimeoutAtMs: nowMs + PATIENCE_MS,
+            isRetry: this.attempts > 1,
             excluded: new Set<UpstreamId>(),
             onPlaced: upstream => this.run(gateway, upstream),
-            onRefused: retryAfterMs => this.onRefused(retryAfterMs),
+            onRejected: retryAfterMs => this.onRefused(retryAfterMs),
         };
-        gateway.queue.enter(call);
+        gateway.queue.submit(call);
     }
 
     private run(gateway: SimulatedGateway, upstream: Upstream): void {
@@ -75,7 +75,7 @@
         const startedAtMs = clock.nowMs();
         const leaveSlot = () => {
             board.count(upstream.id, "online", -1);
-            gateway.queue.pump();
+            gateway.queue.dispatch();
         };
         const patience = clock.setTimer(PATIENCE_MS, () => {
             engine.abort(run);
--- a/bench/decisions/src/simulatedGateway.ts
+++ b/bench/decisions/src/simulatedGateway.ts
@@ -3,7 +3,7 @@
 import type { Random } from "@knapweedwood/core.random/random";
 import { HoldTimes } from "@knapweedwood/fleet.load/holdTimes";
 import { LeastLoadedPlacement } from "@knapweedwood/fleet.load/leastLoadedPlacement";
-import { WaitingRoom } from "@knapweedwood/fleet.load/waitingRoom";
+import { RequestQueue } from "@knapweedwood/fleet.load/requestQueue";
 import type { Upstream } from "@knapweedwood/fleet.view/upstream";
 import { BoardReporter } from "./boardReporter.js";
 import type { CallQueue } from "./callQueue.js";
@@ -26,7 +26,7 @@
         upstreams: () => Upstream[];
     }) {
         const { clock, random, zone, upstreams } = opts;
-        this.reporter = new BoardReporter(`gateway-${opts.index}`, () => room.waiting());
+        this.reporter = new BoardReporter(`gateway-${opts.index}`, () => room.waitingCounts());
         const { board } = this.reporter;
         const placement = new LeastLoadedPlacement({
             loadTracker: board,
@@ -34,7 +34,14 @@
             zone,
             connectionShare: () => Infinity,
         });
-        const room = new WaitingRoom({ clock, random, board, holdTimes: this.holdTimes, placement, usable: upstreams });
+        const room = new RequestQueue({
+            clock,
+            random,
+            loadTracker: board,
+            holdTimes: this.holdTimes,
+            placement,
+            usableUpstreams: upstreams,
+        });
         switch (opts.policy) {
             case "ours":
                 this.queue = room;
--- a/bench/decisions/src/waitInOrder.ts
+++ b/bench/decisions/src/waitInOrder.ts
@@ -1,24 +1,24 @@
-import type { WaitingCall } from "@knapweedwood/fleet.load/waitingCall";
-import type { WaitingRoom } from "@knapweedwood/fleet.load/waitingRoom";
+import type { QueuedRequest } from "@knapweedwood/fleet.load/queuedRequest";
+import type { RequestQueue } from "@knapweedwood/fleet.load/requestQueue";
 import type { CallQueue } from "./callQueue.js";
 
 /** First come, first served: requests wait for a slot as long as their callers do, and none is refused before. */
 export class WaitInOrder implements CallQueue {
-    private readonly room: WaitingRoom;
+    private readonly room: RequestQueue;
 
-    constructor(room: WaitingRoom) {
+    constructor(room: RequestQueue) {
         this.room = room;
     }
 
-    enter(call: WaitingCall): void {
-        this.room.enter(Object.assign(call, { objectiveAtMs: Infinity, isReturned: false }));
+    submit(call: QueuedRequest): void {
+        this.room.submit(Object.assign(call, { objectiveAtMs: Infinity, isRetry: false }));
     }
 
-    leave(call: WaitingCall): void {
-        this.room.leave(call);
+    remove(call: QueuedRequest): void {
+        this.room.remove(call);
     }
 
-    pump(): void {
-        this.room.pump();
+    dispatch(): void {
+        this.room.dispatch();
     }
 }
--- a/daemons/fleet/src/gatewayProgram.ts
+++ b/daemons/fleet/src/gatewayProgram.ts
@@ -8,7 +8,7 @@
 import { connectionShareOf } from "@knapweedwood/fleet.load/connectionShareOf";
 import { HoldTimes } from "@knapweedwood/fleet.load/holdTimes";
 import { LeastLoadedPlacement } from "@knapweedwood/fleet.load/leastLoadedPlacement";
-import { WaitingRoom } from "@knapweedwood/fleet.load/waitingRoom";
+import { RequestQueue } from "@knapweedwood/fleet.load/requestQueue";
 import type { Logger } from "@knapweedwood/observability.logs/logger";
 import { PlatformCallerProtocol } from "@knapweedwood/platform.adapter/platformCallerProtocol";
 import { FleetProcess } from "./fleetProcess.js";
@@ -31,7 +31,7 @@
     private readonly fleet: FleetProcess;
     private readonly server: GatewayServer;
     private readonly readiness: ReadinessServer;
-    private readonly waitingRoom: WaitingRoom;
+    private readonly waitingRoom: RequestQueue;
     private isStopping = false;
 
     constructor(settingsInForce: SettingsInForce, logger: Logger) {
@@ -42,8 +42,8 @@
             settings,
             role: "gateway",
             logger,
-            onLoadChanged: () => this.waitingRoom.pump(),
-            waiting: () => this.waitingRoom.waiting(),
+            onLoadChanged: () => this.waitingRoom.dispatch(),
+            waiting: () => this.waitingRoom.waitingCounts(),
             onConfiguration: () => this.server.applyLimits(this.fleet.operators.configuration.current!.limits),
             onJobsWritten: () => undefined,
             onEmptyingRequested: () => undefined,
@@ -52,10 +52,10 @@
         const { clock, random, board, connections, health, metrics } = this.fleet;
         const { configuration } = this.fleet.operators;
         const holdTimes = new HoldTimes();
-        this.waitingRoom = new WaitingRoom({
+        this.waitingRoom = new RequestQueue({
             clock,
             random,
-            board,
+            loadTracker: board,
             holdTimes,
             placement: new LeastLoadedPlacement({
                 loadTracker: board,
@@ -63,7 +63,7 @@
                 zone: settings.zone,
                 connectionShare: service => this.connectionShare(service),
             }),
-            usable: service => this.fleet.upstreams.usable(service),
+            usableUpstreams: service => this.fleet.upstreams.usable(service),
         });
         const context: GatewayContext = {
             clock,
@@ -143,7 +143,7 @@
     }
 
     private watchWaitingRoom(): void {
-        this.waitingRoom.pump();
+        this.waitingRoom.dispatch();
         this.fleet.clock.setTimer(WAITING_CHECK_INTERVAL_MS, () => this.watchWaitingRoom());
     }
 }
--- a/fleet/gateway/src/gatewayContext.ts
+++ b/fleet/gateway/src/gatewayContext.ts
@@ -2,8 +2,8 @@
 import type { Random } from "@knapweedwood/core.random/random";
 import type { HoldTimes } from "@knapweedwood/fleet.load/holdTimes";
 import type { LoadTracker } from "@knapweedwood/fleet.load/loadTracker";
+import type { RequestQueue } from "@knapweedwood/fleet.load/requestQueue";
 import type { UpstreamHealth } from "@knapweedwood/fleet.load/upstreamHealth";
-import type { WaitingRoom } from "@knapweedwood/fleet.load/waitingRoom";
 import type { UpstreamConnections } from "@knapweedwood/fleet.upstreams/upstreamConnections";
 import type { ActiveConfiguration } from "@knapweedwood/fleet.view/activeConfiguration";
 import type { CallHeaderNames } from "@knapweedwood/fleet.view/callHeaderNames";
@@ -21,7 +21,7 @@
     board: LoadTracker;
     health: UpstreamHealth;
     holdTimes: HoldTimes;
-    waitingRoom: WaitingRoom;
+    waitingRoom: RequestQueue;
     headers: CallHeaderNames;
     /** Tells the other processes that the load has changed. */
     onLoadChanged: () => void;
--- a/fleet/gateway/src/onlineCall.ts
+++ b/fleet/gateway/src/onlineCall.ts
@@ -1,7 +1,7 @@
 import type { Timer } from "@knapweedwood/core.clock/timer";
 import type { ServiceName } from "@knapweedwood/core.ids/serviceName";
 import type { UpstreamId } from "@knapweedwood/core.ids/upstreamId";
-import type { WaitingCall } from "@knapweedwood/fleet.load/waitingCall";
+import type { QueuedRequest } from "@knapweedwood/fleet.load/queuedRequest";
 import type { Exchange } from "@knapweedwood/fleet.upstreams/exchange";
 import type { ExchangeFailure } from "@knapweedwood/fleet.upstreams/exchangeFailure";
 import type { ResponseHead } from "@knapweedwood/fleet.upstreams/responseHead";
@@ -43,13 +43,13 @@
 }
 
 /** One online request, from its arrival to its answer. */
-export class OnlineCall implements WaitingCall {
+export class OnlineCall implements QueuedRequest {
     readonly service: ServiceName;
     readonly priority: number;
     readonly arrivedAtMs: number;
     readonly objectiveAtMs: number;
-    readonly giveUpAtMs: number;
-    readonly isReturned: boolean;
+    readonly callerTimeoutAtMs: number;
+    readonly isRetry: boolean;
     readonly excluded = new Set<UpstreamId>();
     private readonly context: GatewayContext;
     private readonly route: Route;
@@ -85,10 +85,10 @@
         this.service = chooseService(route, context.random) ?? ("" as ServiceName);
         this.priority = route.priority;
         const remainingMs = Number(headerOf(request, context.headers.remainingMs) ?? route.timeoutMs);
-        this.isReturned = remainingMs < route.timeoutMs * RETURNED_SHARE;
+        this.isRetry = remainingMs < route.timeoutMs * RETURNED_SHARE;
         this.objectiveAtMs = this.arrivedAtMs + route.objectiveMs;
         this.deadlineAtMs = this.arrivedAtMs + Math.min(remainingMs, route.timeoutMs);
-        this.giveUpAtMs = route.kind === "stream"
+        this.callerTimeoutAtMs = route.kind === "stream"
             ? Math.min(this.deadlineAtMs, this.arrivedAtMs + STREAM_PATIENCE_MS)
             : this.deadlineAtMs;
         this.writer = route.kind === "stream"
@@ -99,7 +99,7 @@
     }
 
     start(): void {
-        this.context.waitingRoom.enter(this);
+        this.context.waitingRoom.submit(this);
     }
 
     onPlaced(upstream: Upstream): void {
@@ -147,7 +147,7 @@
         });
     }
 
-    onRefused(retryAfterMs: number, reason: string): void {
+    onRejected(retryAfterMs: number, reason: string): void {
         this.finish("call-refused", {
             reason,
             retryAfterMs: Math.round(retryAfterMs),
@@ -270,12 +270,12 @@
             this.enterAgain();
             return;
         }
-        this.onRefused(RETRY_AFTER_FAILURE_MS, reason);
+        this.onRejected(RETRY_AFTER_FAILURE_MS, reason);
     }
 
     private enterAgain(): void {
         this.writer.restart();
-        this.context.waitingRoom.enter(this);
+        this.context.waitingRoom.submit(this);
     }
 
     private onStall(attempt: Attempt): void {
@@ -325,8 +325,8 @@
         }
         const { attempt } = this;
         if (attempt === undefined) {
-            this.context.waitingRoom.leave(this);
-            this.onRefused(0, "the caller's time is up");
+            this.context.waitingRoom.remove(this);
+            this.onRejected(0, "the caller's time is up");
             return;
         }
         this.abort(attempt);
@@ -337,7 +337,7 @@
         if (this.isDone) {
             return;
         }
-        this.context.waitingRoom.leave(this);
+        this.context.waitingRoom.remove(this);
         if (this.attempt !== undefined) {
             this.abort(this.attempt);
         }
@@ -360,7 +360,7 @@
         this.context.board.count(attempt.upstream.id, "online", -1);
         this.context.onLoadChanged();
         // After the caller of this method is done with the request itself.
-        queueMicrotask(() => this.context.waitingRoom.pump());
+        queueMicrotask(() => this.context.waitingRoom.dispatch());
     }
 
     private finish(event: string, fields: { [field: string]: unknown; }): void {
--- a/fleet/gateway/test/gatewayBed.ts
+++ b/fleet/gateway/test/gatewayBed.ts
@@ -3,8 +3,8 @@
 import { HoldTimes } from "@knapweedwood/fleet.load/holdTimes";
 import { LeastLoadedPlacement } from "@knapweedwood/fleet.load/leastLoadedPlacement";
 import { LoadTracker } from "@knapweedwood/fleet.load/loadTracker";
+import { RequestQueue } from "@knapweedwood/fleet.load/requestQueue";
 import { UpstreamHealth } from "@knapweedwood/fleet.load/upstreamHealth";
-import { WaitingRoom } from "@knapweedwood/fleet.load/waitingRoom";
 import { UpstreamConnections } from "@knapweedwood/fleet.upstreams/upstreamConnections";
 import { ActiveConfiguration } from "@knapweedwood/fleet.view/activeConfiguration";
 import type { Route } from "@knapweedwood/fleet.view/route";
@@ -81,10 +81,10 @@
         }
         const { board, connections } = this;
         const holdTimes = new HoldTimes();
-        const waitingRoom = new WaitingRoom({
+        const waitingRoom = new RequestQueue({
             clock,
             random,
-            board,
+            loadTracker: board,
             holdTimes,
             placement: new LeastLoadedPlacement({
                 loadTracker: board,
@@ -92,7 +92,7 @@
                 zone: "z" as Upstream["zone"],
                 connectionShare: () => Infinity,
             }),
-            usable: () => opts.upstreams,
+            usableUpstreams: () => opts.upstreams,
         });
         const context: GatewayContext = {
             clock,
--- a/fleet/load/src/admissionInputs.ts
+++ b/fleet/load/src/admissionInputs.ts
@@ -9,7 +9,7 @@
     /** Time left until an answer is late; negative where it is late already. */
     objectiveLeftMs: number;
     /** Time left until the caller gives up. */
-    patienceLeftMs: number;
+    callerTimeLeftMs: number;
     /** Whether the caller was refused before and has come back. */
-    isReturned: boolean;
+    isRetry: boolean;
 }
--- a/fleet/load/src/decideAdmission.ts
+++ b/fleet/load/src/decideAdmission.ts
@@ -12,12 +12,12 @@
  */
 export function decideAdmission(inputs: AdmissionInputs): AdmissionDecision {
     const expectedWaitMs = expectedWaitOf(inputs);
-    const allowedMs = inputs.isReturned ? inputs.patienceLeftMs : inputs.objectiveLeftMs;
+    const allowedMs = inputs.isRetry ? inputs.callerTimeLeftMs : inputs.objectiveLeftMs;
     if (inputs.slots > 0 && expectedWaitMs + FIRST_RESPONSE_MS <= allowedMs) {
         return { kind: "wait", expectedWaitMs };
     }
     const retryAfterMs = Math.min(MAX_RETRY_AFTER_MS, Math.max(MIN_RETRY_AFTER_MS, expectedWaitMs));
-    return { kind: "refuse", expectedWaitMs, retryAfterMs };
+    return { kind: "reject", expectedWaitMs, retryAfterMs };
 }
 
 /** Slots come free one after the other, each after a share of the mean hold. */
--- a/fleet/load/src/waitingCall.ts
+++ b/fleet/load/src/queuedRequest.ts
@@ -3,7 +3,7 @@
 import type { Upstream } from "@knapweedwood/fleet.view/upstream";
 
 /** An online request that wants a place at an upstream. */
-export interface WaitingCall {
+export interface QueuedRequest {
     service: ServiceName;
     /** 0 is the most urgent. */
     priority: number;
@@ -11,12 +11,12 @@
     /** Until when an answer is on time. */
     objectiveAtMs: number;
     /** When the caller gives up. */
-    giveUpAtMs: number;
+    callerTimeoutAtMs: number;
     /** Whether the caller was refused before and has come back. */
-    isReturned: boolean;
+    isRetry: boolean;
     /** Upstreams that must not get the request again. */
     excluded: ReadonlySet<UpstreamId>;
     onPlaced(upstream: Upstream): void;
     /** The request has not run; the caller may come back in `retryAfterMs`. */
-    onRefused(retryAfterMs: number, reason: string): void;
+    onRejected(retryAfterMs: number, reason: string): void;
 }
--- /dev/null
+++ b/fleet/load/test/requestQueue.test.ts
@@ -0,0 +1,148 @@
+import { ManualClock } from "@knapweedwood/core.clock/manualClock";
+import type { ServiceName } from "@knapweedwood/core.ids/serviceName";
+import { SeededRandom } from "@knapweedwood/core.random/seededRandom";
+import type { Upstream } from "@knapweedwood/fleet.view/upstream";
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { connectionShareOf } from "../src/connectionShareOf.js";
+import { HoldTimes } from "../src/holdTimes.js";
+import { LeastLoadedPlacement } from "../src/leastLoadedPlacement.js";
+import { LoadTracker } from "../src/loadTracker.js";
+import type { QueuedRequest } from "../src/queuedRequest.js";
+import { RequestQueue } from "../src/requestQueue.js";
+import { upstreamOf } from "./upstreamOf.js";
+
+interface TestRequest extends QueuedRequest {
+    placedAt: Upstream | undefined;
+    rejectedForMs: number | undefined;
+}
+
+function setUp(upstreams: Upstream[]) {
+    const clock = new ManualClock();
+    const random = new SeededRandom(1);
+    const loadTracker = new LoadTracker();
+    const queue = new RequestQueue({
+        clock,
+        random,
+        loadTracker,
+        holdTimes: new HoldTimes(),
+        placement: new LeastLoadedPlacement({
+            loadTracker,
+            random,
+            zone: "z" as Upstream["zone"],
+            connectionShare: () => Infinity,
+        }),
+        usableUpstreams: () => upstreams,
+    });
+    const request = (change: Partial<QueuedRequest> = {}): TestRequest => {
+        const made: TestRequest = {
+            service: "s" as ServiceName,
+            priority: 0,
+            arrivedAtMs: clock.nowMs(),
+            objectiveAtMs: clock.nowMs() + 300,
+            callerTimeoutAtMs: clock.nowMs() + 2000,
+            isRetry: false,
+            excluded: new Set(),
+            placedAt: undefined,
+            rejectedForMs: undefined,
+            onPlaced: upstream => {
+                made.placedAt = upstream;
+                loadTracker.count(upstream.id, "online", 1);
+            },
+            onRejected: retryAfterMs => {
+                made.rejectedForMs = retryAfterMs;
+            },
+            ...change,
+        };
+        return made;
+    };
+    const finish = (finished: TestRequest) => {
+        loadTracker.count(finished.placedAt!.id, "online", -1);
+        queue.dispatch();
+    };
+    return { clock, loadTracker, queue, request, finish };
+}
+
+function submitAll(queue: RequestQueue, requests: TestRequest[]): TestRequest[] {
+    requests.forEach(request => queue.submit(request));
+    return requests;
+}
+
+test("a burst spreads over the upstreams and never goes beyond their slots", () => {
+    const { loadTracker, queue, request } = setUp(["a", "b", "c"].map(id => upstreamOf(id)));
+    const requests = submitAll(queue, Array.from({ length: 7 }, () => request()));
+    assert.equal(requests.filter(one => one.placedAt !== undefined).length, 6);
+    ["a", "b", "c"].forEach(id => assert.equal(loadTracker.onlineCount(upstreamOf(id).id), 2));
+});
+
+test("what can't be on time is refused at once, with a time after which a slot is likely free", () => {
+    const { queue, request } = setUp([upstreamOf("a", 1)]);
+    const [running, late] = submitAll(queue, [request(), request()]);
+    assert.notEqual(running!.placedAt, undefined);
+    assert.ok(late!.rejectedForMs! >= 500, `told to return after ${late!.rejectedForMs} ms`);
+});
+
+test("of the waiting, fresh requests go first, then those that came back, and those that are late already last", async () => {
+    const { clock, queue, request, finish } = setUp([upstreamOf("a", 8)]);
+    const running = submitAll(queue, Array.from({ length: 8 }, () => request()));
+    const [late] = submitAll(queue, [request()]);
+    await clock.advance(280);
+    const [retried, fresh] = submitAll(queue, [request({ isRetry: true }), request()]);
+    finish(running[0]!);
+    assert.deepEqual([fresh, retried, late].map(one => one!.placedAt?.id), ["a", undefined, undefined]);
+    finish(running[1]!);
+    assert.deepEqual([retried, late].map(one => one!.placedAt?.id), ["a", undefined]);
+    finish(running[2]!);
+    assert.equal(late!.placedAt?.id, "a");
+});
+
+test("a less urgent request never passes a more urgent one of its service", () => {
+    const { queue, request, finish } = setUp([upstreamOf("a", 8)]);
+    const running = submitAll(queue, Array.from({ length: 8 }, () => request()));
+    const [low, high] = submitAll(queue, [request({ priority: 2 }), request({ isRetry: true })]);
+    finish(running[0]!);
+    assert.deepEqual([low!.placedAt?.id, high!.placedAt?.id], [undefined, "a"]);
+});
+
+test("a waiting request is refused when its caller gives up, not later", async () => {
+    const { clock, queue, request } = setUp([upstreamOf("a", 1)]);
+    const [, waiting] = submitAll(queue, [request(), request({ isRetry: true })]);
+    await clock.advance(1999);
+    queue.dispatch();
+    assert.equal(waiting!.rejectedForMs, undefined);
+    await clock.advance(1);
+    queue.dispatch();
+    assert.notEqual(waiting!.rejectedForMs, undefined);
+});
+
+test("an upstream that must not get the request again is left out", () => {
+    const { queue, request } = setUp([upstreamOf("a"), upstreamOf("b")]);
+    const [retried] = submitAll(queue, [request({ excluded: new Set([upstreamOf("a").id]) })]);
+    assert.equal(retried!.placedAt?.id, "b");
+});
+
+test("a request stays in its zone while no upstream elsewhere has fewer", () => {
+    const away = { ...upstreamOf("away", 8), zone: "y" as Upstream["zone"] };
+    const { loadTracker, queue, request } = setUp([away, upstreamOf("near", 8)]);
+    const requests = submitAll(queue, Array.from({ length: 3 }, () => request()));
+    assert.deepEqual(requests.map(one => one.placedAt?.id), ["near", "away", "near"]);
+    assert.equal(loadTracker.onlineCount(away.id), 1);
+});
+
+test("a process never takes more than its share of an upstream's connections", () => {
+    const loadTracker = new LoadTracker();
+    const placement = new LeastLoadedPlacement({
+        loadTracker,
+        random: new SeededRandom(1),
+        zone: "z" as Upstream["zone"],
+        connectionShare: () => connectionShareOf({ maxConnections: 10, processes: 4 }),
+    });
+    const upstream = upstreamOf("a", 8);
+    const placed = Array.from({ length: 4 }, () => {
+        const chosen = placement.placeOnline([upstream]);
+        loadTracker.count(upstream.id, "online", chosen === undefined ? -1 : 1);
+        return chosen !== undefined;
+    });
+    assert.deepEqual(placed.slice(0, 3), [true, true, false]);
+    assert.equal(connectionShareOf({ maxConnections: 2, processes: 40 }), 1, "a fleet that is too large still serves");
+});
