--- a/daemons/fleet/src/gatewayProgram.ts
+++ b/daemons/fleet/src/gatewayProgram.ts
@@ -72,13 +72,13 @@
             metrics,
             configuration,
             connections,
-            board,
+            loadTracker: board,
             health,
             holdTimes,
-            waitingRoom: this.waitingRoom,
+            requestQueue: this.waitingRoom,
             headers: protocol.headers,
             onLoadChanged: () => this.fleet.markLoadChanged(),
-            whenInformed: () => this.fleet.whenInformed(MAX_START_WAIT_MS),
+            whenInitialized: () => this.fleet.whenInformed(MAX_START_WAIT_MS),
             isStopping: () => this.isStopping,
         };
         const jobs = new JobRoutes({
--- a/fleet/gateway/src/bufferedAnswerWriter.ts
+++ b/fleet/gateway/src/bufferedResponseWriter.ts
@@ -1,10 +1,10 @@
 import type { ResponseHead } from "@knapweedwood/fleet.upstreams/responseHead";
 import type { ServerResponse } from "node:http";
-import type { AnswerWriter } from "./answerWriter.js";
+import type { ResponseWriter } from "./responseWriter.js";
 
 /** Holds an answer until it is whole, so that a broken one can be replaced by that of another upstream. */
-export class BufferedAnswerWriter implements AnswerWriter {
-    readonly hasBegun = false;
+export class BufferedResponseWriter implements ResponseWriter {
+    readonly hasStarted = false;
     readonly lastEventId = undefined;
     private readonly response: ServerResponse;
     private head: ResponseHead | undefined;
@@ -29,7 +29,7 @@
         return true;
     }
 
-    isWhole(): boolean {
+    isComplete(): boolean {
         return this.head !== undefined;
     }
 
--- a/fleet/gateway/src/chooseService.ts
+++ b/fleet/gateway/src/chooseService.ts
@@ -5,9 +5,9 @@
 /** Draws a service of the route by weight; undefined where the route has none. */
 export function chooseService(route: Route, random: Random): ServiceName | undefined {
     const total = route.services.reduce((sum, part) => sum + part.weight, 0);
-    let left = random.next() * total;
+    let remaining = random.next() * total;
     return route.services.find(part => {
-        left -= part.weight;
-        return left < 0;
+        remaining -= part.weight;
+        return remaining < 0;
     })?.service ?? route.services[0]?.service;
 }
--- a/fleet/gateway/src/gatewayContext.ts
+++ b/fleet/gateway/src/gatewayContext.ts
@@ -18,15 +18,15 @@
     metrics: Metrics;
     configuration: ActiveConfiguration;
     connections: UpstreamConnections;
-    board: LoadTracker;
+    loadTracker: LoadTracker;
     health: UpstreamHealth;
     holdTimes: HoldTimes;
-    waitingRoom: RequestQueue;
+    requestQueue: RequestQueue;
     headers: CallHeaderNames;
     /** Tells the other processes that the load has changed. */
     onLoadChanged: () => void;
     /** Resolves once configuration and upstreams are known, or after a short while without them. */
-    whenInformed: () => Promise<void>;
+    whenInitialized: () => Promise<void>;
     /** Whether answers ask callers to close their connections. */
     isStopping: () => boolean;
 }
--- a/fleet/gateway/src/gatewayServer.ts
+++ b/fleet/gateway/src/gatewayServer.ts
@@ -95,7 +95,7 @@
         const arrivedAtMs = clock.nowMs();
         const limits = configuration.current?.limits ?? DEFAULT_LIMITS;
         const body = await readBody(request, limits.maxBodyBytes);
-        await this.context.whenInformed();
+        await this.context.whenInitialized();
         if (configuration.current === undefined) {
             const message = "No configuration is known yet";
             sendFailure(response, { statusCode: 503, message, retryAfterMs: NO_CONFIGURATION_RETRY_MS });
@@ -103,7 +103,7 @@
         }
         const jobCall = this.protocol.parseJobCall(request);
         if (jobCall !== undefined) {
-            await this.jobs.answer(jobCall, response);
+            await this.jobs.handle(jobCall, response);
             return;
         }
         const path = (request.url ?? "/").split("?", 1)[0]!;
--- a/fleet/gateway/src/jobRoutes.ts
+++ b/fleet/gateway/src/jobRoutes.ts
@@ -44,7 +44,7 @@
         }
     }
 
-    async answer(call: JobCall, response: ServerResponse): Promise<void> {
+    async handle(call: JobCall, response: ServerResponse): Promise<void> {
         try {
             await this.dispatch(call, response);
         }
@@ -98,13 +98,13 @@
                 });
                 return;
             case "unknown":
-                throwUnknown(response);
+                sendOutcomeUnknown(response);
         }
     }
 }
 
 /** The job may have been kept: nothing is promised. */
-function throwUnknown(response: ServerResponse): void {
+function sendOutcomeUnknown(response: ServerResponse): void {
     const error = new KnapweedError("JOB_UNSETTLED", "It is not known whether the job was kept", {
         outcome: "unknown",
     });
--- a/fleet/gateway/src/onlineCall.ts
+++ b/fleet/gateway/src/onlineCall.ts
@@ -8,37 +8,37 @@
 import type { Route } from "@knapweedwood/fleet.view/route";
 import type { Upstream } from "@knapweedwood/fleet.view/upstream";
 import type { IncomingMessage, ServerResponse } from "node:http";
-import { type AnswerWriter } from "./answerWriter.js";
-import { BufferedAnswerWriter } from "./bufferedAnswerWriter.js";
+import { BufferedResponseWriter } from "./bufferedResponseWriter.js";
 import { chooseService } from "./chooseService.js";
 import type { GatewayContext } from "./gatewayContext.js";
+import { type ResponseWriter } from "./responseWriter.js";
 import { sendFailure } from "./sendFailure.js";
-import { StreamAnswerWriter } from "./streamAnswerWriter.js";
+import { StreamResponseWriter } from "./streamResponseWriter.js";
 import { upstreamHeadersOf } from "./upstreamHeadersOf.js";
 
 const HTTP_MULTIPLE_CHOICES = 300;
 const HTTP_MISDIRECTED = 421;
 const HTTP_SERVER_ERROR = 500;
 /** Callers of streams leave when nothing arrives for this long, in milliseconds. */
-const STREAM_PATIENCE_MS = 1950;
+const STREAM_CALLER_TIMEOUT_MS = 1950;
 /** Share of the route's timeout below which a request counts as one that came back. */
-const RETURNED_SHARE = 0.97;
+const RETRY_REMAINING_SHARE = 0.97;
 /** Time without any answer after which an upstream counts as failing, in milliseconds. */
 const MIN_STALL_MS = 350;
 const MAX_STALL_MS = 1000;
-const STALL_OBJECTIVES = 2.5;
+const STALL_OBJECTIVE_FACTOR = 2.5;
 /** Pauses between events of a stream, in units of the longest that is on time, after which it counts as broken. */
-const STALL_EVENT_GAPS = 2;
-const RETRY_AFTER_FAILURE_MS = 100;
+const STALL_EVENT_GAP_FACTOR = 2;
+const FAILED_RETRY_AFTER_MS = 100;
 
 interface Attempt {
     upstream: Upstream;
     exchange: Exchange;
     startedAtMs: number;
     stallTimer: Timer;
-    hasAnswered: boolean;
+    hasResponded: boolean;
     /** When the newest part of the answer came; undefined before the first. */
-    lastPartAtMs: number | undefined;
+    lastDataAtMs: number | undefined;
     isNotRun: boolean;
 }
 
@@ -59,10 +59,10 @@
     private readonly requestId: string;
     private readonly deadlineAtMs: number;
     private readonly deadlineTimer: Timer;
-    private readonly writer: AnswerWriter;
+    private readonly writer: ResponseWriter;
     private attempt: Attempt | undefined;
     private attempts = 0;
-    private firstPartAtMs: number | undefined;
+    private firstDataAtMs: number | undefined;
     private mayHaveRun = false;
     private isDone = false;
 
@@ -85,42 +85,42 @@
         this.service = chooseService(route, context.random) ?? ("" as ServiceName);
         this.priority = route.priority;
         const remainingMs = Number(headerOf(request, context.headers.remainingMs) ?? route.timeoutMs);
-        this.isRetry = remainingMs < route.timeoutMs * RETURNED_SHARE;
+        this.isRetry = remainingMs < route.timeoutMs * RETRY_REMAINING_SHARE;
         this.objectiveAtMs = this.arrivedAtMs + route.objectiveMs;
         this.deadlineAtMs = this.arrivedAtMs + Math.min(remainingMs, route.timeoutMs);
         this.callerTimeoutAtMs = route.kind === "stream"
-            ? Math.min(this.deadlineAtMs, this.arrivedAtMs + STREAM_PATIENCE_MS)
+            ? Math.min(this.deadlineAtMs, this.arrivedAtMs + STREAM_CALLER_TIMEOUT_MS)
             : this.deadlineAtMs;
         this.writer = route.kind === "stream"
-            ? new StreamAnswerWriter({ response: opts.response, isResumable: route.isResumable })
-            : new BufferedAnswerWriter({ response: opts.response });
+            ? new StreamResponseWriter({ response: opts.response, isResumable: route.isResumable })
+            : new BufferedResponseWriter({ response: opts.response });
         this.deadlineTimer = context.clock.setTimer(this.deadlineAtMs - context.clock.nowMs(), () => this.onDeadline());
-        opts.response.on("close", () => this.onCallerGone());
+        opts.response.on("close", () => this.onCallerDisconnected());
     }
 
     start(): void {
-        this.context.waitingRoom.submit(this);
+        this.context.requestQueue.submit(this);
     }
 
     onPlaced(upstream: Upstream): void {
         const nowMs = this.context.clock.nowMs();
         this.attempts += 1;
         this.excluded.add(upstream.id);
-        this.context.board.count(upstream.id, "online", 1);
+        this.context.loadTracker.count(upstream.id, "online", 1);
         this.context.onLoadChanged();
         this.context.metrics.timing("placement_wait_ms", nowMs - this.arrivedAtMs, { kind: this.route.kind });
         this.log("call-placed", {
             upstream: upstream.id,
             attempt: this.attempts,
             waitedMs: Math.round(nowMs - this.arrivedAtMs),
-            online: this.context.board.onlineCount(upstream.id),
+            online: this.context.loadTracker.onlineCount(upstream.id),
             configuration: this.context.configuration.version,
         });
         const attempt: Attempt = {
             upstream,
             startedAtMs: nowMs,
-            hasAnswered: false,
-            lastPartAtMs: undefined,
+            hasResponded: false,
+            lastDataAtMs: undefined,
             isNotRun: false,
             stallTimer: this.context.clock.setTimer(this.stallMs(), () => this.onStall(attempt)),
             exchange: { abort: () => undefined, pause: () => undefined, resume: () => undefined },
@@ -151,21 +151,21 @@
         this.finish("call-refused", {
             reason,
             retryAfterMs: Math.round(retryAfterMs),
-            statusCode: this.refusalStatus(),
+            statusCode: this.rejectionStatusCode(),
         });
-        if (this.writer.hasBegun) {
+        if (this.writer.hasStarted) {
             this.response.destroy();
             return;
         }
         sendFailure(this.response, {
-            statusCode: this.refusalStatus(),
+            statusCode: this.rejectionStatusCode(),
             message: reason,
             ...this.mayHaveRun ? {} : { retryAfterMs },
         });
     }
 
     /** 503 says that the request has not run; it is never said where it may have. */
-    private refusalStatus(): number {
+    private rejectionStatusCode(): number {
         return this.mayHaveRun ? 502 : 503;
     }
 
@@ -182,7 +182,7 @@
             this.log("upstream-not-run", { upstream: attempt.upstream.id, statusCode: head.statusCode });
             return;
         }
-        attempt.hasAnswered = true;
+        attempt.hasResponded = true;
         if (head.header(headers.upstreamProof) === undefined && head.statusCode < HTTP_MULTIPLE_CHOICES) {
             attempt.exchange.abort();
             this.onFailure(attempt, { mayHaveRun: true, isUnreachable: false, code: "ANSWER_WITHOUT_PROOF" });
@@ -195,8 +195,8 @@
         if (attempt !== this.attempt || attempt.isNotRun) {
             return;
         }
-        attempt.lastPartAtMs = this.context.clock.nowMs();
-        this.firstPartAtMs ??= attempt.lastPartAtMs;
+        attempt.lastDataAtMs = this.context.clock.nowMs();
+        this.firstDataAtMs ??= attempt.lastDataAtMs;
         if (!this.writer.onData(chunk)) {
             attempt.exchange.pause();
             this.response.once("drain", () => attempt.exchange.resume());
@@ -209,27 +209,27 @@
         }
         if (attempt.isNotRun) {
             this.release(attempt);
-            this.retryOrRefuse("upstreams did not run it");
+            this.retryOrReject("upstreams did not run it");
             return;
         }
-        if (!this.writer.isWhole()) {
+        if (!this.writer.isComplete()) {
             this.onFailure(attempt, { mayHaveRun: true, isUnreachable: false, code: "ANSWER_CUT" });
             return;
         }
         this.release(attempt);
-        this.judge(attempt);
+        this.recordHealth(attempt);
         this.context.holdTimes.record(this.service, this.context.clock.nowMs() - attempt.startedAtMs);
         this.finish("call-answered", {
             upstream: attempt.upstream.id,
             statusCode: this.writer.statusCode,
-            firstPartMs: Math.round((this.firstPartAtMs ?? this.context.clock.nowMs()) - this.arrivedAtMs),
+            firstPartMs: Math.round((this.firstDataAtMs ?? this.context.clock.nowMs()) - this.arrivedAtMs),
             durationMs: Math.round(this.context.clock.nowMs() - this.arrivedAtMs),
         });
         this.writer.end();
     }
 
     /** An upstream that answers with failures of its own fails some callers while it looks alive. */
-    private judge(attempt: Attempt): void {
+    private recordHealth(attempt: Attempt): void {
         const nowMs = this.context.clock.nowMs();
         if (this.writer.statusCode < HTTP_SERVER_ERROR) {
             this.context.health.onSuccess(attempt.upstream.id, nowMs);
@@ -250,12 +250,12 @@
         this.log("upstream-failed", { upstream: attempt.upstream.id, ...failure, isEjected });
         if (!failure.mayHaveRun) {
             this.attempts -= 1;
-            this.enterAgain();
+            this.requeue();
             return;
         }
         this.mayHaveRun = true;
         if (this.isRepeatable()) {
-            this.retryOrRefuse("the upstream broke off");
+            this.retryOrReject("the upstream broke off");
             return;
         }
         this.fail(502, "The upstream broke off");
@@ -265,28 +265,28 @@
         return this.route.kind === "idempotent" || (this.route.kind === "stream" && this.route.isResumable);
     }
 
-    private retryOrRefuse(reason: string): void {
+    private retryOrReject(reason: string): void {
         if (this.attempts < this.route.maxAttempts) {
-            this.enterAgain();
+            this.requeue();
             return;
         }
-        this.onRejected(RETRY_AFTER_FAILURE_MS, reason);
+        this.onRejected(FAILED_RETRY_AFTER_MS, reason);
     }
 
-    private enterAgain(): void {
+    private requeue(): void {
         this.writer.restart();
-        this.context.waitingRoom.submit(this);
+        this.context.requestQueue.submit(this);
     }
 
     private onStall(attempt: Attempt): void {
         if (attempt !== this.attempt) {
             return;
         }
-        if (attempt.lastPartAtMs !== undefined) {
-            this.onPause(attempt, attempt.lastPartAtMs);
+        if (attempt.lastDataAtMs !== undefined) {
+            this.onEventGap(attempt, attempt.lastDataAtMs);
             return;
         }
-        if (attempt.hasAnswered) {
+        if (attempt.hasResponded) {
             return;
         }
         if (this.isRepeatable() && this.attempts < this.route.maxAttempts) {
@@ -300,19 +300,19 @@
     }
 
     /** The answer has begun: where it can go on elsewhere, a long pause ends this attempt. */
-    private onPause(attempt: Attempt, lastPartAtMs: number): void {
-        const canGoOn = this.route.kind === "stream" && this.isRepeatable() && this.attempts < this.route.maxAttempts;
-        if (!canGoOn) {
+    private onEventGap(attempt: Attempt, lastDataAtMs: number): void {
+        const canResume = this.route.kind === "stream" && this.isRepeatable() && this.attempts < this.route.maxAttempts;
+        if (!canResume) {
             return;
         }
         const { clock } = this.context;
-        const longestPauseMs = this.longestPauseMs();
+        const stallGapMs = this.stallGapMs();
         // A caller that reads too slowly holds the upstream up.
-        const pauseLeftMs = this.response.writableNeedDrain
-            ? longestPauseMs
-            : lastPartAtMs + longestPauseMs - clock.nowMs();
-        if (pauseLeftMs > 0) {
-            attempt.stallTimer = clock.setTimer(pauseLeftMs, () => this.onStall(attempt));
+        const gapLeftMs = this.response.writableNeedDrain
+            ? stallGapMs
+            : lastDataAtMs + stallGapMs - clock.nowMs();
+        if (gapLeftMs > 0) {
+            attempt.stallTimer = clock.setTimer(gapLeftMs, () => this.onStall(attempt));
             return;
         }
         attempt.exchange.abort();
@@ -325,7 +325,7 @@
         }
         const { attempt } = this;
         if (attempt === undefined) {
-            this.context.waitingRoom.remove(this);
+            this.context.requestQueue.remove(this);
             this.onRejected(0, "the caller's time is up");
             return;
         }
@@ -333,11 +333,11 @@
         this.fail(504, "No answer in time");
     }
 
-    private onCallerGone(): void {
+    private onCallerDisconnected(): void {
         if (this.isDone) {
             return;
         }
-        this.context.waitingRoom.remove(this);
+        this.context.requestQueue.remove(this);
         if (this.attempt !== undefined) {
             this.abort(this.attempt);
         }
@@ -357,18 +357,18 @@
     private release(attempt: Attempt): void {
         attempt.stallTimer.cancel();
         this.attempt = undefined;
-        this.context.board.count(attempt.upstream.id, "online", -1);
+        this.context.loadTracker.count(attempt.upstream.id, "online", -1);
         this.context.onLoadChanged();
         // After the caller of this method is done with the request itself.
-        queueMicrotask(() => this.context.waitingRoom.dispatch());
+        queueMicrotask(() => this.context.requestQueue.dispatch());
     }
 
     private finish(event: string, fields: { [field: string]: unknown; }): void {
         this.isDone = true;
         this.deadlineTimer.cancel();
         this.context.metrics.increment("calls_total", { kind: this.route.kind, outcome: event });
-        if (this.firstPartAtMs !== undefined) {
-            this.context.metrics.timing("first_part_ms", this.firstPartAtMs - this.arrivedAtMs, {
+        if (this.firstDataAtMs !== undefined) {
+            this.context.metrics.timing("first_part_ms", this.firstDataAtMs - this.arrivedAtMs, {
                 kind: this.route.kind,
             });
         }
@@ -379,12 +379,12 @@
         this.context.logger.info(event, { requestId: this.requestId, route: this.route.name, ...fields });
     }
 
-    private longestPauseMs(): number {
-        return Math.max(MIN_STALL_MS, (this.route.maxEventGapMs ?? MAX_STALL_MS) * STALL_EVENT_GAPS);
+    private stallGapMs(): number {
+        return Math.max(MIN_STALL_MS, (this.route.maxEventGapMs ?? MAX_STALL_MS) * STALL_EVENT_GAP_FACTOR);
     }
 
     private stallMs(): number {
-        return Math.min(MAX_STALL_MS, Math.max(MIN_STALL_MS, this.route.objectiveMs * STALL_OBJECTIVES));
+        return Math.min(MAX_STALL_MS, Math.max(MIN_STALL_MS, this.route.objectiveMs * STALL_OBJECTIVE_FACTOR));
     }
 }
 
--- a/fleet/gateway/src/answerWriter.ts
+++ b/fleet/gateway/src/responseWriter.ts
@@ -1,9 +1,9 @@
 import type { ResponseHead } from "@knapweedwood/fleet.upstreams/responseHead";
 
 /** Passes an upstream's answer on to the caller. */
-export interface AnswerWriter {
+export interface ResponseWriter {
     /** Whether the caller has got a part of the answer. */
-    readonly hasBegun: boolean;
+    readonly hasStarted: boolean;
     readonly statusCode: number;
     /** Id of the last event that the caller got; undefined where a new run begins from the start. */
     readonly lastEventId: number | undefined;
@@ -11,7 +11,7 @@
     /** @returns false where the caller reads too slowly; it emits `drain` when it has caught up */
     onData(chunk: Buffer): boolean;
     /** Whether what has come is a whole answer, now that the upstream has ended it. */
-    isWhole(): boolean;
+    isComplete(): boolean;
     end(): void;
     /** Prepares for the answer of another attempt. */
     restart(): void;
--- a/fleet/gateway/src/streamAnswerWriter.ts
+++ b/fleet/gateway/src/streamResponseWriter.ts
@@ -1,7 +1,7 @@
 import { EventSplitter } from "@knapweedwood/fleet.upstreams/eventSplitter";
 import type { ResponseHead } from "@knapweedwood/fleet.upstreams/responseHead";
 import type { ServerResponse } from "node:http";
-import type { AnswerWriter } from "./answerWriter.js";
+import type { ResponseWriter } from "./responseWriter.js";
 
 const HTTP_OK = 200;
 const EVENT_END = "\n\n";
@@ -10,8 +10,8 @@
  * Passes a stream on as its parts arrive. Where the stream may be resumed, only whole events are passed on, so that
  * another run can go on after the last one within the same answer.
  */
-export class StreamAnswerWriter implements AnswerWriter {
-    hasBegun = false;
+export class StreamResponseWriter implements ResponseWriter {
+    hasStarted = false;
     lastEventId: number | undefined;
     private readonly response: ServerResponse;
     private readonly isResumable: boolean;
@@ -36,13 +36,13 @@
 
     onData(chunk: Buffer): boolean {
         if (this.isResumable && this.statusCode === HTTP_OK) {
-            return this.passEvents(chunk);
+            return this.writeEvents(chunk);
         }
         this.tail = (this.tail + chunk.toString("latin1")).slice(-EVENT_END.length);
         return this.write(chunk);
     }
 
-    isWhole(): boolean {
+    isComplete(): boolean {
         if (this.head === undefined) {
             return false;
         }
@@ -53,19 +53,19 @@
     }
 
     end(): void {
-        this.begin();
+        this.writeHeadOnce();
         this.response.end();
     }
 
     restart(): void {
-        if (!this.hasBegun) {
+        if (!this.hasStarted) {
             this.head = undefined;
         }
         this.splitter = new EventSplitter();
         this.tail = "";
     }
 
-    private passEvents(chunk: Buffer): boolean {
+    private writeEvents(chunk: Buffer): boolean {
         // A run that ignores the id to resume from would repeat events that the caller has.
         const events = this.splitter
             .push(chunk)
@@ -75,16 +75,16 @@
     }
 
     private write(chunk: Buffer): boolean {
-        this.begin();
+        this.writeHeadOnce();
         return this.response.write(chunk);
     }
 
     /** The head goes out with the first part, so that a run that breaks before it can be replaced. */
-    private begin(): void {
-        if (this.hasBegun) {
+    private writeHeadOnce(): void {
+        if (this.hasStarted) {
             return;
         }
-        this.hasBegun = true;
+        this.hasStarted = true;
         const headers = [...this.head!.headers];
         if (this.isStopping()) {
             headers.push("connection", "close");
--- a/fleet/gateway/test/forwarding.test.ts
+++ b/fleet/gateway/test/forwarding.test.ts
@@ -5,26 +5,26 @@
 import { createServer, type Socket } from "node:net";
 import type { AddressInfo } from "node:net";
 import { test } from "node:test";
-import { GatewayBed } from "./gatewayBed.js";
+import { GatewayTestBed } from "./gatewayTestBed.js";
 import { UpstreamStandin } from "./upstreamStandin.js";
 
-type Answer = (request: IncomingMessage, response: ServerResponse) => void;
+type Responder = (request: IncomingMessage, response: ServerResponse) => void;
 
 const PROOF = { "x-proof": "p" };
 
 async function withGateway(
-    opts: { answers: Answer[]; route?: Partial<Route>; maxBodyBytes?: number; isConfigured?: boolean; },
-    action: (bed: GatewayBed, standins: UpstreamStandin[]) => Promise<void>,
+    opts: { responders: Responder[]; route?: Partial<Route>; maxBodyBytes?: number; isConfigured?: boolean; },
+    action: (testBed: GatewayTestBed, standins: UpstreamStandin[]) => Promise<void>,
 ): Promise<void> {
-    const standins = opts.answers.map(answer => new UpstreamStandin(answer));
+    const standins = opts.responders.map(respond => new UpstreamStandin(respond));
     const upstreams = await Promise.all(standins.map((standin, index) => standin.listen(`u-${index}`)));
-    const bed = new GatewayBed({ ...opts, upstreams, route: opts.route ?? {} });
-    await bed.listen();
+    const testBed = new GatewayTestBed({ ...opts, upstreams, route: opts.route ?? {} });
+    await testBed.listen();
     try {
-        await action(bed, standins);
+        await action(testBed, standins);
     }
     finally {
-        bed.close();
+        testBed.close();
         standins.forEach(standin => standin.close());
     }
 }
@@ -34,13 +34,13 @@
         .forEach(id => response.write(`id: ${id}\ndata: e${id}\n\n`));
 }
 
-const wholeStream = (from: number, to: number): Answer => (_request, response) => {
+const wholeStream = (from: number, to: number): Responder => (_request, response) => {
     response.writeHead(200, PROOF);
     events(response, from, to);
     response.end();
 };
 
-function cutStream(to: number): Answer {
+function cutStream(to: number): Responder {
     return (_request, response) => {
         response.writeHead(200, PROOF);
         events(response, 1, to);
@@ -50,125 +50,128 @@
 }
 
 test("a request goes on unchanged, with what is left of its time and the upstream that is meant", async () => {
-    const answer: Answer = (_request, response) => response.writeHead(201, PROOF).end("hello");
-    await withGateway({ answers: [answer] }, async (bed, [standin]) => {
-        const seen = await bed.send({ body: "question", headers: { "x-other": "kept", "connection": "keep-alive" } });
-        assert.deepEqual([seen.statusCode, seen.body, seen.headers["x-proof"]], [201, "hello", "p"]);
-        const [got] = standin!.requests;
-        assert.deepEqual([got!.method, got!.url, got!.body], ["POST", "/a/x?q=1", "question"]);
-        assert.equal(got!.headers.host, "host.example");
-        assert.equal(got!.headers["x-other"], "kept");
-        assert.equal(got!.headers["x-expected"], "u-0");
-        const remainingMs = Number(got!.headers["x-remaining"]);
+    const respond: Responder = (_request, response) => response.writeHead(201, PROOF).end("hello");
+    await withGateway({ responders: [respond] }, async (testBed, [standin]) => {
+        const received = await testBed.send({
+            body: "question",
+            headers: { "x-other": "kept", "connection": "keep-alive" },
+        });
+        assert.deepEqual([received.statusCode, received.body, received.headers["x-proof"]], [201, "hello", "p"]);
+        const [forwarded] = standin!.requests;
+        assert.deepEqual([forwarded!.method, forwarded!.url, forwarded!.body], ["POST", "/a/x?q=1", "question"]);
+        assert.equal(forwarded!.headers.host, "host.example");
+        assert.equal(forwarded!.headers["x-other"], "kept");
+        assert.equal(forwarded!.headers["x-expected"], "u-0");
+        const remainingMs = Number(forwarded!.headers["x-remaining"]);
         assert.ok(remainingMs > 0 && remainingMs <= 1500, `remaining ${remainingMs}`);
     });
 });
 
 test("a stream that breaks never looks complete", async () => {
-    await withGateway({ answers: [cutStream(2)], route: { kind: "stream" } }, async bed => {
-        const seen = await bed.send();
-        assert.equal(seen.isComplete, false);
-        assert.match(seen.body, /e2/u);
+    await withGateway({ responders: [cutStream(2)], route: { kind: "stream" } }, async testBed => {
+        const received = await testBed.send();
+        assert.equal(received.isComplete, false);
+        assert.match(received.body, /e2/u);
     });
 });
 
 test("a resumable stream goes on at another upstream within the same answer", async () => {
     const route = { kind: "stream", isResumable: true, maxAttempts: 2 } as const;
-    const resume: Answer = (request, response) => {
+    const resume: Responder = (request, response) => {
         const last = Number(request.headers["last-event-id"] ?? 0);
         (last === 0 ? cutStream(2) : wholeStream(last + 1, 4))(request, response);
     };
-    await withGateway({ answers: [resume, resume], route }, async (bed, standins) => {
-        const seen = await bed.send();
-        assert.equal(seen.isComplete, true);
-        assert.equal(seen.body, [1, 2, 3, 4].map(id => `id: ${id}\ndata: e${id}\n\n`).join(""));
+    await withGateway({ responders: [resume, resume], route }, async (testBed, standins) => {
+        const received = await testBed.send();
+        assert.equal(received.isComplete, true);
+        assert.equal(received.body, [1, 2, 3, 4].map(id => `id: ${id}\ndata: e${id}\n\n`).join(""));
         assert.deepEqual(standins.map(standin => standin.requests.length), [1, 1]);
     });
 });
 
 test("an upstream that did not run the request makes a refusal that says when to come back", async () => {
-    const full: Answer = (_request, response) => response.writeHead(503, { "x-not-run": "1" }).end();
-    await withGateway({ answers: [full], route: { kind: "non-idempotent" } }, async bed => {
-        const seen = await bed.send();
-        assert.equal(seen.statusCode, 503);
-        assert.ok(Number(seen.headers["retry-after"]) > 0);
+    const full: Responder = (_request, response) => response.writeHead(503, { "x-not-run": "1" }).end();
+    await withGateway({ responders: [full], route: { kind: "non-idempotent" } }, async testBed => {
+        const received = await testBed.send();
+        assert.equal(received.statusCode, 503);
+        assert.ok(Number(received.headers["retry-after"]) > 0);
     });
 });
 
 test("a request that may have run is never said not to have run, nor sent again", async () => {
-    const reset: Answer = (_request, response) => response.destroy();
+    const reset: Responder = (_request, response) => response.destroy();
     const route = { kind: "non-idempotent", maxAttempts: 3 } as const;
-    await withGateway({ answers: [reset, reset], route }, async (bed, standins) => {
-        const seen = await bed.send();
-        assert.equal(seen.statusCode, 502);
+    await withGateway({ responders: [reset, reset], route }, async (testBed, standins) => {
+        const received = await testBed.send();
+        assert.equal(received.statusCode, 502);
         assert.equal(standins.reduce((sum, standin) => sum + standin.requests.length, 0), 1);
     });
 });
 
 test("an idempotent request whose answer is cut gets the whole one of another upstream", async () => {
-    const cut: Answer = (_request, response) => {
+    const cut: Responder = (_request, response) => {
         response.writeHead(200, { ...PROOF, "content-length": "10" });
         response.write("hal");
         setTimeout(() => response.destroy(), 10);
     };
-    const whole: Answer = (_request, response) => response.writeHead(200, PROOF).end("whole");
+    const whole: Responder = (_request, response) => response.writeHead(200, PROOF).end("whole");
     let calls = 0;
-    const either: Answer = (request, response) => {
+    const either: Responder = (request, response) => {
         calls += 1;
         (calls === 1 ? cut : whole)(request, response);
     };
-    await withGateway({ answers: [either, either], route: { maxAttempts: 2 } }, async bed => {
-        const seen = await bed.send();
-        assert.deepEqual([seen.statusCode, seen.body], [200, "whole"]);
+    await withGateway({ responders: [either, either], route: { maxAttempts: 2 } }, async testBed => {
+        const received = await testBed.send();
+        assert.deepEqual([received.statusCode, received.body], [200, "whole"]);
     });
 });
 
 test("a success without the upstream's proof is not passed on", async () => {
-    const bare: Answer = (_request, response) => response.writeHead(200).end("forged");
-    await withGateway({ answers: [bare] }, async bed => {
-        assert.equal((await bed.send()).statusCode, 502);
+    const bare: Responder = (_request, response) => response.writeHead(200).end("forged");
+    await withGateway({ responders: [bare] }, async testBed => {
+        assert.equal((await testBed.send()).statusCode, 502);
     });
 });
 
 test("an answer to another request is not passed on", async () => {
-    const foreign: Answer = (_request, response) => {
+    const foreign: Responder = (_request, response) => {
         response.setHeader("x-request-id", "someone-else");
         response.writeHead(200, PROOF).end("theirs");
     };
-    await withGateway({ answers: [foreign] }, async bed => {
-        assert.equal((await bed.send()).statusCode, 502);
+    await withGateway({ responders: [foreign] }, async testBed => {
+        assert.equal((await testBed.send()).statusCode, 502);
     });
 });
 
 test("the run ends at the upstream when the caller leaves", async () => {
-    const slow: Answer = (_request, response) => {
+    const slow: Responder = (_request, response) => {
         response.writeHead(200, PROOF);
         events(response, 1, 1);
     };
-    await withGateway({ answers: [slow], route: { kind: "stream" } }, async (bed, [standin]) => {
-        const request = bed.open();
+    await withGateway({ responders: [slow], route: { kind: "stream" } }, async (testBed, [standin]) => {
+        const request = testBed.open();
         await new Promise(resolve => request.on("response", response => response.once("data", resolve)));
         request.destroy();
         await until(() => standin!.closedEarlyCount === 1);
-        assert.equal(bed.board.onlineCount("u-0" as never), 0);
+        assert.equal(testBed.loadTracker.onlineCount("u-0" as never), 0);
     });
 });
 
 test("a request is answered when its route's time is up", async () => {
-    const silent: Answer = () => undefined;
-    await withGateway({ answers: [silent], route: { timeoutMs: 200, kind: "non-idempotent" } }, async bed => {
-        assert.equal((await bed.send()).statusCode, 504);
+    const silent: Responder = () => undefined;
+    await withGateway({ responders: [silent], route: { timeoutMs: 200, kind: "non-idempotent" } }, async testBed => {
+        assert.equal((await testBed.send()).statusCode, 504);
     });
 });
 
 test("a process without a configuration refuses, one with it says what has no route or is too large", async () => {
-    const answer: Answer = (_request, response) => response.writeHead(200, PROOF).end();
-    await withGateway({ answers: [answer], isConfigured: false }, async bed => {
-        assert.equal((await bed.send()).statusCode, 503);
+    const respond: Responder = (_request, response) => response.writeHead(200, PROOF).end();
+    await withGateway({ responders: [respond], isConfigured: false }, async testBed => {
+        assert.equal((await testBed.send()).statusCode, 503);
     });
-    await withGateway({ answers: [answer], maxBodyBytes: 10 }, async bed => {
-        assert.equal((await bed.send({ path: "/b/" })).statusCode, 404);
-        assert.equal((await bed.send({ body: "x".repeat(11) })).statusCode, 413);
+    await withGateway({ responders: [respond], maxBodyBytes: 10 }, async testBed => {
+        assert.equal((await testBed.send({ path: "/b/" })).statusCode, 404);
+        assert.equal((await testBed.send({ body: "x".repeat(11) })).statusCode, 413);
     });
 });
 
@@ -190,14 +193,14 @@
     const standin = new UpstreamStandin(() => undefined);
     const upstream = { ...await standin.listen("u-0") };
     upstream.address = { host: "127.0.0.1", port: (server.address() as AddressInfo).port };
-    const bed = new GatewayBed({ upstreams: [upstream], route: {} });
-    await bed.listen();
-    const first = await bed.send({ headers: { "x-request-id": "one" } });
+    const testBed = new GatewayTestBed({ upstreams: [upstream], route: {} });
+    await testBed.listen();
+    const first = await testBed.send({ headers: { "x-request-id": "one" } });
     await new Promise(resolve => setTimeout(resolve, 50));
-    const second = await bed.send({ headers: { "x-request-id": "two" } });
+    const second = await testBed.send({ headers: { "x-request-id": "two" } });
     assert.deepEqual([first.body, second.body], ["answer of one", "answer of two"]);
     assert.equal(connections, 2);
-    bed.close();
+    testBed.close();
     standin.close();
     server.close();
 });
@@ -209,29 +212,29 @@
 }
 
 test("headers that concern one connection are not passed on, those that Connection names among them", async () => {
-    const answer: Answer = (_request, response) =>
+    const respond: Responder = (_request, response) =>
         response.writeHead(200, { ...PROOF, "connection": "x-hop", "x-hop": "1", "x-end": "2" }).end("hello");
-    await withGateway({ answers: [answer] }, async (bed, [standin]) => {
-        const seen = await bed.send({
+    await withGateway({ responders: [respond] }, async (testBed, [standin]) => {
+        const received = await testBed.send({
             headers: { "connection": "x-local, keep-alive", "x-local": "1", "te": "trailers" },
         });
         const got = standin!.requests[0]!.headers;
         assert.deepEqual([got["x-local"], got.te], [undefined, undefined]);
-        assert.deepEqual([seen.headers["x-hop"], seen.headers["x-end"]], [undefined, "2"]);
+        assert.deepEqual([received.headers["x-hop"], received.headers["x-end"]], [undefined, "2"]);
     });
 });
 
 test("a resumable stream that falls silent midway goes on at another upstream", async () => {
-    const silent: Answer = (_request, response) => {
+    const silent: Responder = (_request, response) => {
         response.writeHead(200, PROOF);
         events(response, 1, 3);
     };
     const route = { kind: "stream", isResumable: true, maxAttempts: 2, maxEventGapMs: 100 } as const;
-    await withGateway({ answers: [silent, wholeStream(4, 6)], route }, async (bed, standins) => {
-        bed.board.count("u-1" as Upstream["id"], "online", 1);
-        const seen = await bed.send();
-        const ids = [...seen.body.matchAll(/^id: (\d+)$/gmu)].map(match => Number(match[1]));
-        assert.deepEqual([ids, seen.isComplete], [[1, 2, 3, 4, 5, 6], true]);
+    await withGateway({ responders: [silent, wholeStream(4, 6)], route }, async (testBed, standins) => {
+        testBed.loadTracker.count("u-1" as Upstream["id"], "online", 1);
+        const received = await testBed.send();
+        const ids = [...received.body.matchAll(/^id: (\d+)$/gmu)].map(match => Number(match[1]));
+        assert.deepEqual([ids, received.isComplete], [[1, 2, 3, 4, 5, 6], true]);
         assert.equal(standins[1]!.requests[0]!.headers["last-event-id"], "3");
         assert.equal(standins[0]!.closedEarlyCount, 1, "the silent run is ended");
     });
--- a/fleet/gateway/test/gatewayBed.ts
+++ b/fleet/gateway/test/gatewayTestBed.ts
@@ -48,7 +48,7 @@
 };
 
 /** A whole answer as a caller saw it. */
-interface SeenAnswer {
+interface ReceivedResponse {
     statusCode: number;
     headers: IncomingMessage["headers"];
     body: string;
@@ -57,9 +57,9 @@
 }
 
 /** A gateway before stand-ins of upstreams. */
-export class GatewayBed {
+export class GatewayTestBed {
     readonly connections = new UpstreamConnections();
-    readonly board = new LoadTracker();
+    readonly loadTracker = new LoadTracker();
     isStopping = false;
     private readonly server: GatewayServer;
     private port = 0;
@@ -79,15 +79,15 @@
             };
             configuration.adopt({ version: 1, routes: [{ ...defaultRoute, ...opts.route }], services: [], limits });
         }
-        const { board, connections } = this;
+        const { loadTracker, connections } = this;
         const holdTimes = new HoldTimes();
-        const waitingRoom = new RequestQueue({
+        const requestQueue = new RequestQueue({
             clock,
             random,
-            loadTracker: board,
+            loadTracker,
             holdTimes,
             placement: new LeastLoadedPlacement({
-                loadTracker: board,
+                loadTracker,
                 random,
                 zone: "z" as Upstream["zone"],
                 connectionShare: () => Infinity,
@@ -101,13 +101,13 @@
             metrics: silentMetrics,
             configuration,
             connections,
-            board,
+            loadTracker,
             health: new UpstreamHealth(),
             holdTimes,
-            waitingRoom,
+            requestQueue,
             headers,
             onLoadChanged: () => undefined,
-            whenInformed: () => Promise.resolve(),
+            whenInitialized: () => Promise.resolve(),
             isStopping: () => this.isStopping,
         };
         const protocol = { headers, readinessPath: "/ready", parseJobCall: () => undefined } as Partial<CallerProtocol>;
@@ -136,7 +136,7 @@
         return request;
     }
 
-    send(opts: Parameters<GatewayBed["open"]>[0] = {}): Promise<SeenAnswer> {
+    send(opts: Parameters<GatewayTestBed["open"]>[0] = {}): Promise<ReceivedResponse> {
         return new Promise((resolve, reject) => {
             const request = this.open(opts);
             request.on("error", reject);
--- a/fleet/gateway/test/upstreamStandin.ts
+++ b/fleet/gateway/test/upstreamStandin.ts
@@ -18,7 +18,7 @@
     closedEarlyCount = 0;
     private readonly server: Server;
 
-    constructor(answer: (request: IncomingMessage, response: ServerResponse) => void) {
+    constructor(respond: (request: IncomingMessage, response: ServerResponse) => void) {
         this.server = createServer((request, response) => {
             const chunks: Buffer[] = [];
             request.on("data", (chunk: Buffer) => chunks.push(chunk));
@@ -27,7 +27,7 @@
                 const { method = "", url = "", headers } = request;
                 this.requests.push({ method, url, headers, body });
                 response.setHeader("x-request-id", String(headers["x-request-id"]));
-                answer(request, response);
+                respond(request, response);
             });
             response.on("close", () => {
                 this.closedEarlyCount += response.writableFinished ? 0 : 1;
