--- a/fleet/view/src/activeConfiguration.ts
+++ b/fleet/view/src/activeConfiguration.ts
@@ -4,7 +4,7 @@
 import { RouteTable } from "./routeTable.js";
 import type { ServiceDefinition } from "./serviceDefinition.js";
 
-/** The configuration that this process applies. It never goes back to an older version. */
+/** The configuration that this process applies. Its version never decreases. */
 export class ActiveConfiguration {
     private configuration: FleetConfiguration | undefined;
     private table: RouteTable | undefined;
@@ -18,7 +18,11 @@
         return this.configuration?.version ?? 0;
     }
 
-    /** @returns whether the configuration is newer and now in force */
+    /**
+     * Replaces the active configuration if the given one is newer.
+     *
+     * @returns whether it was replaced
+     */
     adopt(configuration: FleetConfiguration): boolean {
         if (configuration.version <= this.version) {
             return false;
@@ -29,11 +33,15 @@
         return true;
     }
 
+    /** Returns the route with the longest prefix of `path` on the host; undefined if none matches. */
     match(host: string, path: string): Route | undefined {
         return this.table?.match(host, path);
     }
 
-    /** Connections that an upstream of the service accepts from all processes together; no limit where none is known. */
+    /**
+     * Returns the number of connections that an upstream of the service accepts from all processes together; infinite
+     * for a service without a definition.
+     */
     maxConnections(service: ServiceName): number {
         return this.services.get(service)?.maxConnections ?? Infinity;
     }
--- a/fleet/view/src/callHeaderNames.ts
+++ b/fleet/view/src/callHeaderNames.ts
@@ -1,13 +1,13 @@
-/** Names of the headers that carry a request's terms, in lower case. */
+/** Names of the HTTP headers that control how a request is forwarded, in lower case. */
 export interface CallHeaderNames {
     requestId: string;
-    /** Milliseconds that are left for the request. */
+    /** Carries the time left for the request, in milliseconds. */
     remainingMs: string;
-    /** Names the one upstream that may run the request. */
+    /** Carries the id of the only upstream that may run the request. */
     expectedUpstream: string;
-    /** Present on answers of upstreams that did not run the request. */
+    /** Present on responses of upstreams that did not run the request. */
     notRun: string;
-    /** Present on all other answers of upstreams. */
+    /** Present on all other responses of upstreams. */
     upstreamProof: string;
     lastEventId: string;
     waitMs: string;
--- a/fleet/view/src/callerLimits.ts
+++ b/fleet/view/src/callerLimits.ts
@@ -1,4 +1,4 @@
-/** Bounds on what a caller may send and on how long a connection may stay idle. */
+/** Limits on the size of callers' requests and on the time that their connections may stay idle. */
 export interface CallerLimits {
     maxHeaderBytes: number;
     maxBodyBytes: number;
--- a/fleet/view/src/fleetConfiguration.ts
+++ b/fleet/view/src/fleetConfiguration.ts
@@ -2,9 +2,9 @@
 import type { Route } from "./route.js";
 import type { ServiceDefinition } from "./serviceDefinition.js";
 
-/** A configuration of the operators, whole. */
+/** A complete configuration as published by the operators. */
 export interface FleetConfiguration {
-    /** Only rises. */
+    /** Increases with each published configuration. */
     version: number;
     routes: Route[];
     services: ServiceDefinition[];
--- a/fleet/view/src/parseHostPort.ts
+++ b/fleet/view/src/parseHostPort.ts
@@ -3,7 +3,7 @@
 
 const MAX_PORT = 65_535;
 
-/** Reads `host:port`. Throws `ADDRESS_INVALID`. */
+/** Parses `host:port`. Throws `ADDRESS_INVALID` if the host is empty or the port is not in 1 to 65535. */
 export function parseHostPort(text: string): HostPort {
     const separator = text.lastIndexOf(":");
     const port = Number(text.slice(separator + 1));
--- a/fleet/view/src/processSettings.ts
+++ b/fleet/view/src/processSettings.ts
@@ -3,29 +3,29 @@
 import type { ZoneName } from "@knapweedwood/core.ids/zoneName";
 import type { HostPort } from "./hostPort.js";
 
-/** What a process is told about itself at its start. */
+/** Settings that a process receives when it starts. */
 export interface ProcessSettings {
     instanceName: InstanceName;
     zone: ZoneName;
     region: RegionName;
-    /** Address of this instance, for all that the process listens on. */
+    /** Address of this instance, on which the process listens. */
     host: string;
-    /** Where callers connect; undefined where this process serves none. */
+    /** Address on which callers connect; undefined if this process serves none. */
     callersAddress: HostPort | undefined;
-    /** Where the balancer asks for readiness; undefined where this process serves no callers. */
+    /** Address of the load balancer's readiness check; undefined if this process serves no callers. */
     readinessAddress: HostPort | undefined;
     /** Ports for traffic between processes of the fleet, shape [ports]. */
     peerPorts: number[];
     /** Address of the key-value service. */
     keyValueAddress: HostPort;
-    /** Shortest time to live that the key-value service grants a lease. */
+    /** Shortest time to live that the key-value service grants a lease, in milliseconds. */
     minLeaseMs: number;
-    /** Folder for data on this instance's disk; undefined where it has none. */
+    /** Folder for data on this instance's disk; undefined if the instance has no disk. */
     dataFolder: string | undefined;
-    /** Instances with disks that may be lost at the same time. */
+    /** Number of instances with disks that may be lost at the same time. */
     tolerableLosses: number;
-    /** Time that a process has between SIGTERM and SIGKILL. */
+    /** Time between SIGTERM and SIGKILL, in milliseconds. */
     stopGraceMs: number;
-    /** How long the results of an ended job stay readable. */
+    /** Time for which the results of an ended job stay readable, in milliseconds. */
     resultRetentionMs: number;
 }
--- a/fleet/view/src/route.ts
+++ b/fleet/view/src/route.ts
@@ -9,24 +9,27 @@
     /** Begins and ends with a slash. */
     prefix: string;
     kind: RouteKind;
-    /** Services that take the requests, shape [services]; at least one. */
+    /** Services that handle the requests, shape [services]; at least one. */
     services: WeightedService[];
-    /** Longest time that a request may be kept waiting for its answer. */
+    /** Longest time that a request may wait for its response, in milliseconds. */
     timeoutMs: number;
-    /** Time within which an answer is on time; for streams until the first event, for jobs until acceptance. */
+    /**
+     * Objective for the response time, in milliseconds. For streams it covers the time to the first event, for jobs
+     * the time to acceptance.
+     */
     objectiveMs: number;
-    /** Number of upstreams to which one request may be sent. */
+    /** Maximum number of upstreams to which one request is sent. */
     maxAttempts: number;
     /** 0 is the most urgent. */
     priority: number;
     /** Whether a broken stream may be resumed at another upstream. */
     isResumable: boolean;
-    /** Longest pause between events of a stream that is on time; undefined where none is set. */
+    /** Longest gap between events that still meets the objective of a stream, in milliseconds; undefined if not set. */
     maxEventGapMs: number | undefined;
-    /** For jobs: when all results are due after the job was first sent. */
+    /** For jobs: time from the first submission until all results are due, in milliseconds. */
     jobDueMs: number | undefined;
-    /** For jobs: after which time an item may be given up. */
+    /** For jobs: time after which an item may be abandoned, in milliseconds. */
     jobRetentionMs: number | undefined;
-    /** For jobs: most tokens that may wait on the route over all instances; undefined for no limit. */
+    /** For jobs: maximum number of tokens waiting on the route over all instances; undefined for no limit. */
     maxWaitingTokens: number | undefined;
 }
--- a/fleet/view/src/routeKind.ts
+++ b/fleet/view/src/routeKind.ts
@@ -1,6 +1,5 @@
 /**
- * What may be done with a request of a route.
- * `idempotent` ones may run more than once, `non-idempotent` ones at most once; `stream` answers are event streams;
- * `batch` routes take jobs.
+ * Kind of the requests of a route. `idempotent` requests may run more than once, `non-idempotent` requests at most
+ * once. `stream` requests have event streams as responses. `batch` routes accept jobs.
  */
 export type RouteKind = "idempotent" | "non-idempotent" | "stream" | "batch";
--- a/fleet/view/src/routeTable.ts
+++ b/fleet/view/src/routeTable.ts
@@ -1,7 +1,7 @@
 import type { FleetConfiguration } from "./fleetConfiguration.js";
 import type { Route } from "./route.js";
 
-/** Finds the route of a request: the longest prefix among the routes of its host. */
+/** Finds the route of a request: the one with the longest matching prefix among the routes of its host. */
 export class RouteTable {
     private readonly routesByHost: Map<string, Map<string, Route>>;
 
@@ -15,6 +15,8 @@
     }
 
     /**
+     * Returns the matching route; undefined if there is none.
+     *
      * @param host the Host header, with or without a port
      * @param path the path of the request, without its query
      */
@@ -23,7 +25,7 @@
         if (routes === undefined) {
             return undefined;
         }
-        // A lookup for each slash: its cost doesn't grow with the number of routes.
+        // One lookup per slash of the path: the cost does not grow with the number of routes.
         for (
             let slash = path.lastIndexOf("/");
             slash >= 0;
--- a/fleet/view/src/serviceDefinition.ts
+++ b/fleet/view/src/serviceDefinition.ts
@@ -1,6 +1,6 @@
 import type { ServiceName } from "@knapweedwood/core.ids/serviceName";
 
-/** A service as the operators define it. */
+/** Definition of a service in the operators' configuration. */
 export interface ServiceDefinition {
     name: ServiceName;
     /** Connections that an upstream accepts from all processes together. */
--- a/fleet/view/src/upstreamDirectory.ts
+++ b/fleet/view/src/upstreamDirectory.ts
@@ -3,34 +3,39 @@
 import type { Upstream } from "./upstream.js";
 import type { UpstreamChange } from "./upstreamChange.js";
 
-/** Time after an outage of the key-value service in which entries that lapsed come back, in milliseconds. */
+/** Time after an outage of the key-value service within which upstreams restore expired entries, in milliseconds. */
 const EXPIRY_GRACE_MS = 2200;
-/** Time for which entries that disappear together are kept where no outage was noticed, in milliseconds. */
+/** Time for which entries that disappear together are kept if no outage was detected, in milliseconds. */
 const MASS_EXPIRY_GRACE_MS = 1800;
-/** Share of a service's upstreams that disappear together only when their entries have lapsed. */
+/** Share of a service's upstreams from which on a simultaneous disappearance counts as expiry of their entries. */
 const MASS_EXPIRY_SHARE = 0.5;
 
 interface DirectoryEntry {
     upstream: Upstream;
-    /** When the entry is dropped unless it comes back; undefined while it is listed. */
+    /** Time at which the entry is dropped unless it is restored; undefined while it is listed. */
     dropAtMs: number | undefined;
 }
 
 /**
- * The upstreams that may get requests.
+ * Stores the upstreams that may receive requests.
  *
- * An entry that disappears is dropped at once, except around an outage of the key-value service: entries lapse then
- * although their upstreams live, and stay for a grace period.
+ * An entry that disappears is dropped immediately, except around an outage of the key-value service. Entries expire
+ * during an outage although their upstreams are running, so they are kept for a grace period.
  */
 export class UpstreamDirectory {
     private readonly entries = new Map<UpstreamId, DirectoryEntry>();
     private outageEndedAtMs = -Infinity;
 
-    /** Tells that the key-value service answers again after it was out of reach. */
+    /** Records that the key-value service is reachable again after an outage. */
     onKeyValueReconnected(nowMs: number): void {
         this.outageEndedAtMs = nowMs;
     }
 
+    /**
+     * Adds or updates the entry of an upstream.
+     *
+     * @returns the change; undefined if neither the process nor its state is new
+     */
     put(upstream: Upstream): UpstreamChange | undefined {
         const previous = this.entries.get(upstream.id);
         this.entries.set(upstream.id, { upstream, dropAtMs: undefined });
@@ -40,10 +45,14 @@
         return previous.upstream.state !== upstream.state ? { kind: "changed", upstream } : undefined;
     }
 
-    /** Handles entries that are no longer listed. @returns what was dropped at once, shape [changes] */
+    /**
+     * Handles entries that are no longer listed: drops them or keeps them for a grace period.
+     *
+     * @returns changes for the entries dropped immediately, shape [changes]
+     */
     remove(ids: readonly UpstreamId[], nowMs: number): UpstreamChange[] {
         const removedIds = ids.filter(id => this.entries.has(id));
-        // Counted from the outage, not from the removal: an upstream that really left must not be kept for longer.
+        // Measured from the outage, not from the removal, so that an upstream that has left isn't kept for longer.
         const graceEndsAtMs = this.outageEndedAtMs + EXPIRY_GRACE_MS;
         const dropAtMs = this.isMassExpiry(removedIds)
             ? Math.max(graceEndsAtMs, nowMs + MASS_EXPIRY_GRACE_MS)
@@ -57,7 +66,11 @@
         return [];
     }
 
-    /** Drops lapsed entries that did not come back. @returns what was dropped, shape [changes] */
+    /**
+     * Drops entries that were not restored within their grace period.
+     *
+     * @returns changes for the dropped entries, shape [changes]
+     */
     dropExpired(nowMs: number): UpstreamChange[] {
         return [...this.entries]
             .filter(([, entry]) => entry.dropAtMs !== undefined && entry.dropAtMs <= nowMs)
@@ -68,12 +81,12 @@
         return this.entries.get(id)?.upstream;
     }
 
-    /** Ids of all upstreams known, shape [upstreams]. */
+    /** Returns the ids of all stored upstreams, shape [upstreams]. */
     ids(): UpstreamId[] {
         return [...this.entries.keys()];
     }
 
-    /** Upstreams of a service that take new requests, shape [upstreams]. */
+    /** Returns the upstreams of a service that accept new requests, shape [upstreams]. */
     ready(service: ServiceName): Upstream[] {
         return [...this.entries.values()]
             .map(entry => entry.upstream)
@@ -89,9 +102,9 @@
     private isMassExpiry(ids: readonly UpstreamId[]): boolean {
         const services = new Set(ids.map(id => this.entries.get(id)!.upstream.service));
         return [...services].some(service => {
-            const listed = [...this.entries.values()].filter(entry => entry.upstream.service === service);
+            const entriesOfService = [...this.entries.values()].filter(entry => entry.upstream.service === service);
             const leaving = ids.filter(id => this.entries.get(id)!.upstream.service === service);
-            return leaving.length > 1 && leaving.length >= listed.length * MASS_EXPIRY_SHARE;
+            return leaving.length > 1 && leaving.length >= entriesOfService.length * MASS_EXPIRY_SHARE;
         });
     }
 }
--- a/fleet/view/test/routeTable.test.ts
+++ b/fleet/view/test/routeTable.test.ts
@@ -13,7 +13,7 @@
     return { version, routes, services: [], limits };
 }
 
-test("the longest prefix of the host wins", () => {
+test("matches the route with the longest prefix on the host", () => {
     const activeConfiguration = new ActiveConfiguration();
     activeConfiguration.adopt(configurationOf(1, route("short", "/a/"), route("long", "/a/b/"), route("root", "/")));
     const matches = ["/a/b/c", "/a/b/", "/a/b", "/a/x", "/x"].map(path =>
@@ -23,7 +23,7 @@
     assert.equal(activeConfiguration.match("b.example", "/a/"), undefined);
 });
 
-test("an older version never replaces a newer one", () => {
+test("rejects a configuration older than the active one", () => {
     const activeConfiguration = new ActiveConfiguration();
     assert.equal(activeConfiguration.adopt(configurationOf(7, route("new", "/a/"))), true);
     assert.equal(activeConfiguration.adopt(configurationOf(5, route("old", "/a/"))), false);
--- a/fleet/view/test/upstreamDirectory.test.ts
+++ b/fleet/view/test/upstreamDirectory.test.ts
@@ -27,13 +27,13 @@
     return directory;
 }
 
-test("an upstream that disappears in calm gets nothing more", () => {
+test("drops an upstream immediately when its entry disappears without an outage", () => {
     const directory = directoryOf(8);
     assert.deepEqual(directory.remove(["0" as UpstreamId], 10_000).map(change => change.kind), ["left"]);
     assert.equal(directory.ready(service).length, 7);
 });
 
-test("entries that lapse around an outage stay for a grace period", () => {
+test("keeps entries that expire around an outage for a grace period", () => {
     const directory = directoryOf(8);
     directory.onKeyValueReconnected(10_000);
     assert.deepEqual(directory.remove(["0" as UpstreamId], 10_500), []);
@@ -44,28 +44,28 @@
     assert.equal(directory.dropExpired(20_000).length, 1);
 });
 
-test("most upstreams of a service disappear at once only by a lapse", () => {
+test("keeps the entries when most upstreams of a service disappear at once", () => {
     const directory = directoryOf(8);
     const ids = directory.ids().slice(0, 5);
     assert.deepEqual(directory.remove(ids, 10_000), []);
     assert.equal(directory.ready(service).length, 8);
 });
 
-test("a draining upstream takes no new requests; another start of an id is news", () => {
+test("excludes a draining upstream from new requests and reports a restarted upstream as joined", () => {
     const directory = directoryOf(2);
     assert.equal(directory.put(upstream("0", { state: "draining" }))?.kind, "changed");
     assert.equal(directory.ready(service).length, 1);
     assert.equal(directory.put(upstream("0", { startedAtMs: 2 }))?.kind, "joined");
 });
 
-test("an upstream removed soon after an outage is not kept beyond the time in which lapsed entries come back", () => {
+test("drops an upstream removed soon after an outage once the grace period of the outage ends", () => {
     const directory = directoryOf(8);
     directory.onKeyValueReconnected(10_000);
     directory.remove(["0" as UpstreamId], 11_400);
     assert.equal(directory.dropExpired(12_300).length, 1);
 });
 
-test("where half of a service disappears without an outage, it gets nothing after two seconds", () => {
+test("drops half of a service's upstreams within two seconds if they disappear without an outage", () => {
     const directory = directoryOf(8);
     directory.remove(directory.ids().slice(0, 5), 10_000);
     assert.equal(directory.dropExpired(12_000).length, 5);
