--- a/fleet/upstreams/src/eventSplitter.ts
+++ b/fleet/upstreams/src/eventSplitter.ts
@@ -3,16 +3,16 @@
 const LINE_FEED = 0x0a;
 const CARRIAGE_RETURN = 0x0d;
 
-/** Splits the bytes of an event stream into whole events. */
+/** Splits the bytes of a server-sent event stream into complete events. */
 export class EventSplitter {
     private pending: Buffer = Buffer.alloc(0);
 
-    /** Whether bytes of an unfinished event have arrived. */
+    /** Whether bytes of an incomplete event have arrived. */
     get hasPartialEvent(): boolean {
         return this.pending.length > 0;
     }
 
-    /** @returns the events that `chunk` completes, shape [events] */
+    /** Returns the events that `chunk` completes, shape [events]. */
     push(chunk: Buffer): StreamEvent[] {
         const bytes = this.pending.length === 0 ? chunk : Buffer.concat([this.pending, chunk]);
         const events: StreamEvent[] = [];
@@ -26,7 +26,7 @@
     }
 }
 
-/** @returns the offset after the blank line that ends the event at `start`; 0 where there is none yet */
+/** Returns the offset after the blank line that ends the event at `start`; 0 if the event is incomplete. */
 function endOfEvent(bytes: Buffer, start: number): number {
     for (let feed = bytes.indexOf(LINE_FEED, start); feed >= 0; feed = bytes.indexOf(LINE_FEED, feed + 1)) {
         const next = bytes[feed + 1] === CARRIAGE_RETURN ? feed + 2 : feed + 1;
--- a/fleet/upstreams/src/exchange.ts
+++ b/fleet/upstreams/src/exchange.ts
@@ -1,7 +1,9 @@
-/** A request on its way. */
+/** An in-flight request to an upstream. */
 export interface Exchange {
-    /** Ends the exchange by closing its connection, which ends the run at the upstream. */
+    /** Closes the connection of the exchange, which ends the run at the upstream. */
     abort(): void;
+    /** Stops reading the response. */
     pause(): void;
+    /** Continues reading the response. */
     resume(): void;
 }
--- a/fleet/upstreams/src/exchangeFailure.ts
+++ b/fleet/upstreams/src/exchangeFailure.ts
@@ -1,8 +1,8 @@
-/** Why an exchange ended without a whole answer. */
+/** The reason why an exchange ended without a complete response. */
 export interface ExchangeFailure {
-    /** False where the upstream certainly got nothing of the request. */
+    /** False only if the upstream certainly received nothing of the request. */
     mayHaveRun: boolean;
-    /** Whether no connection could be made. */
+    /** Whether no connection could be established. */
     isUnreachable: boolean;
     code: string;
 }
--- a/fleet/upstreams/src/exchangeHandler.ts
+++ b/fleet/upstreams/src/exchangeHandler.ts
@@ -1,7 +1,10 @@
 import type { ExchangeFailure } from "./exchangeFailure.js";
 import type { ResponseHead } from "./responseHead.js";
 
-/** Gets the parts of an answer, in order; `onEnd` or `onFailure` comes last, once. Nothing comes after an abort. */
+/**
+ * Receives the parts of a response in order. `onEnd` or `onFailure` is called last, once. Nothing is called after an
+ * abort.
+ */
 export interface ExchangeHandler {
     onHead(head: ResponseHead): void;
     onData(chunk: Buffer): void;
--- a/fleet/upstreams/src/exchangeRequest.ts
+++ b/fleet/upstreams/src/exchangeRequest.ts
@@ -3,10 +3,10 @@
 /** A request to one upstream. */
 export interface ExchangeRequest {
     method: string;
-    /** With the query. */
+    /** Includes the query. */
     path: string;
     headers: HeaderList;
     body: Buffer | undefined;
-    /** The id that the answer has to bear, if it bears one. */
+    /** Id that the response must carry if it carries a request id. */
     requestId: string;
 }
--- a/fleet/upstreams/src/headerList.ts
+++ b/fleet/upstreams/src/headerList.ts
@@ -1,2 +1,2 @@
-/** Header names and values by turns, shape [2 * headers]. */
+/** Alternating header names and values, shape [2 * headers]. */
 export type HeaderList = string[];
--- a/fleet/upstreams/src/responseHead.ts
+++ b/fleet/upstreams/src/responseHead.ts
@@ -1,10 +1,10 @@
 import type { HeaderList } from "./headerList.js";
 
-/** Status and headers of an answer. */
+/** Status and headers of an HTTP response. */
 export interface ResponseHead {
     statusCode: number;
-    /** Without those that concern only the connection. */
+    /** Excludes hop-by-hop headers. */
     headers: HeaderList;
-    /** The first value of a header; undefined where it is absent. */
+    /** Returns the first value of a header; undefined if it is absent. */
     header(name: string): string | undefined;
 }
--- a/fleet/upstreams/src/streamEvent.ts
+++ b/fleet/upstreams/src/streamEvent.ts
@@ -1,9 +1,9 @@
-/** An event of a stream. */
+/** One event of a server-sent event stream. */
 export interface StreamEvent {
-    /** Grows within a stream; undefined where the event bears none. */
+    /** Increases within a stream; undefined if the event has no numeric id. */
     id: number | undefined;
-    /** Lines of data, joined by line feeds. */
+    /** Data lines, joined by line feeds. */
     data: string;
-    /** The event as it came, with the blank line that ends it. */
+    /** The event as received, including the blank line that ends it. */
     bytes: Buffer;
 }
--- a/fleet/upstreams/src/toResponseHead.ts
+++ b/fleet/upstreams/src/toResponseHead.ts
@@ -2,7 +2,7 @@
 import type { IncomingHttpHeaders } from "node:http";
 import type { ResponseHead } from "./responseHead.js";
 
-/** Keeps the headers of an answer that are passed on. */
+/** Converts the status and headers of a response, keeping the headers that are forwarded. */
 export function toResponseHead(statusCode: number, headers: IncomingHttpHeaders): ResponseHead {
     const raw = Object.entries(headers)
         .flatMap(([name, value]) => [value ?? []].flat().flatMap(single => [name, single]));
--- a/fleet/upstreams/src/upstreamConnection.ts
+++ b/fleet/upstreams/src/upstreamConnection.ts
@@ -7,21 +7,21 @@
 import type { ExchangeRequest } from "./exchangeRequest.js";
 import { toResponseHead } from "./toResponseHead.js";
 
-/** The opening packet of a connection to a full queue is sent again only after seconds. */
+/** If the upstream's accept queue is full, TCP resends the first packet of a connection only after seconds. */
 const CONNECT_TIMEOUT_MS = 400;
-/** Idle time after which a connection is closed where the upstream names none, in milliseconds. */
+/** Idle time after which a connection is closed if the upstream sends no keep-alive timeout, in milliseconds. */
 const IDLE_TIMEOUT_MS = 4000;
 const REQUEST_ID_HEADER = "x-request-id";
 
-/** One connection to an upstream, for one exchange at a time. */
+/** A connection to an upstream that carries one exchange at a time. */
 export class UpstreamConnection {
     private readonly client: Client;
     private readonly onIdle: () => void;
     private isOpen = true;
 
     /**
-     * @param opts.onIdle called when an exchange has ended and the connection may carry another
-     * @param opts.onClosed called once, when the connection can't be used any more
+     * @param opts.onIdle called when an exchange has ended and the connection can carry another
+     * @param opts.onClosed called once, when the connection can no longer be used
      */
     constructor(opts: { address: HostPort; onIdle: () => void; onClosed: () => void; }) {
         this.onIdle = opts.onIdle;
@@ -43,6 +43,10 @@
         this.client.on("connectionError", close);
     }
 
+    /**
+     * Sends a request; the handler receives the response. Fails with `mayHaveRun` and the code `RESENT` if the HTTP
+     * client sends the request a second time, `ANSWER_OF_ANOTHER_REQUEST` if the response has another request id.
+     */
     send(request: ExchangeRequest, handler: ExchangeHandler): Exchange {
         let controller: Dispatcher.DispatchController | undefined;
         let isEnded = false;
@@ -56,7 +60,7 @@
         const dispatchHandler: Dispatcher.DispatchHandler = {
             onRequestStart: started => {
                 if (controller !== undefined) {
-                    // The library would send the request again on another connection.
+                    // The HTTP client is about to send the request again on another connection.
                     fail({ mayHaveRun: true, isUnreachable: false, code: "RESENT" });
                     started.abort(new Error("resent"));
                     return;
@@ -110,7 +114,7 @@
         };
     }
 
-    /** Closes the connection at once. */
+    /** Closes the connection immediately. */
     destroy(): void {
         void this.client.destroy(new Error("connection closed"));
     }
--- a/fleet/upstreams/src/upstreamConnections.ts
+++ b/fleet/upstreams/src/upstreamConnections.ts
@@ -5,29 +5,30 @@
 import { UpstreamConnection } from "./upstreamConnection.js";
 
 interface Pool {
-    /** Connections that may carry a request, the last used one last. */
+    /** Idle connections, the most recently used last. */
     idle: UpstreamConnection[];
     all: Set<UpstreamConnection>;
 }
 
-/** The connections of this process to upstreams; kept open between requests, since new ones cost both ends. */
+/** Pools the connections of this process to upstreams, since opening a connection costs time on both sides. */
 export class UpstreamConnections {
     private readonly pools = new Map<string, Pool>();
 
-    /** Sends a request to the upstream, on an idle connection where there is one. */
+    /** Sends a request to the upstream on an idle connection, or on a new one if none is idle. */
     send(upstream: Upstream, request: ExchangeRequest, handler: ExchangeHandler): Exchange {
         const pool = this.poolOf(upstream);
         const connection = pool.idle.pop() ?? this.open(upstream, pool);
         return connection.send(request, handler);
     }
 
-    /** Closes the idle connections to an upstream that left; those in use close when their exchanges end. */
+    /** Closes the idle connections to a removed upstream; those in use close when their exchanges end. */
     forget(upstream: Upstream): void {
         const key = keyOf(upstream);
         this.pools.get(key)?.idle.splice(0).forEach(connection => connection.destroy());
         this.pools.delete(key);
     }
 
+    /** Closes all connections. */
     close(): void {
         [...this.pools.values()].flatMap(pool => [...pool.all]).forEach(connection => connection.destroy());
         this.pools.clear();
@@ -61,7 +62,7 @@
     }
 }
 
-/** Another start of a process under the same id and address gets connections of its own. */
+/** Includes the start time, so that a restarted process with the same id and address gets its own connections. */
 function keyOf(upstream: Upstream): string {
     return `${upstream.id} ${upstream.startedAtMs}`;
 }
--- a/fleet/upstreams/test/eventSplitter.test.ts
+++ b/fleet/upstreams/test/eventSplitter.test.ts
@@ -4,7 +4,7 @@
 
 const STREAM = "id: 1\ndata: a\n\nid: 2\nx-weight-versions: 3\ndata: b\ndata: c\n\n";
 
-test("events come out whole however the bytes are cut", () => {
+test("returns complete events regardless of chunk boundaries", () => {
     const bytes = Buffer.from(STREAM);
     Array.from({ length: bytes.length }, (_, cut) => cut).forEach(cut => {
         const splitter = new EventSplitter();
@@ -15,7 +15,7 @@
     });
 });
 
-test("a stream that stops in the middle of an event shows it", () => {
+test("reports a partial event when a stream stops in the middle of one", () => {
     const splitter = new EventSplitter();
     splitter.push(Buffer.from("id: 1\ndata: a\n\nid: 2\nda"));
     assert.equal(splitter.hasPartialEvent, true);
