--- a/fleet/load/src/admissionInputs.ts
+++ b/fleet/load/src/admissionInputs.ts
@@ -1,15 +1,15 @@
-/** What the decision on one request is made from. */
+/** Inputs of the admission decision on one request. */
 export interface AdmissionInputs {
-    /** Requests that wait for the same service, over all processes. */
+    /** Number of requests ahead of this one for the same service, over all processes. */
     waitingAhead: number;
-    /** Slots of the service over all usable upstreams. */
+    /** Number of slots of the service over all usable upstreams. */
     slots: number;
     /** Mean time that a request holds a slot, in milliseconds. */
     meanHoldMs: number;
-    /** Time left until an answer is late; negative where it is late already. */
+    /** Time left until a response misses the route's objective, in milliseconds; negative once it has. */
     objectiveLeftMs: number;
-    /** Time left until the caller gives up. */
+    /** Time left until the caller times out, in milliseconds. */
     callerTimeLeftMs: number;
-    /** Whether the caller was refused before and has come back. */
+    /** Whether the caller retries a request that was rejected before. */
     isRetry: boolean;
 }
--- a/fleet/load/src/decideAdmission.ts
+++ b/fleet/load/src/decideAdmission.ts
@@ -3,12 +3,13 @@
 import { FIRST_RESPONSE_MS } from "./firstResponseMs.js";
 
 const MIN_RETRY_AFTER_MS = 150;
-/** Longest wait after which a caller is told to come back, in milliseconds. */
+/** Longest retry delay that a rejected caller is given, in milliseconds. */
 const MAX_RETRY_AFTER_MS = 1600;
 
 /**
- * Answers lasting overload: a request that can't be on time is refused at once, with the time after which a slot is
- * likely free; one that has come back waits as long as its caller does, since it would not come a third time.
+ * Decides whether a request waits, to limit the queue under sustained overload. A first request that would miss its
+ * objective is rejected immediately, with the time after which a slot is likely to be free. A retry may wait until its
+ * caller times out, since the caller would not retry a second time.
  */
 export function decideAdmission(inputs: AdmissionInputs): AdmissionDecision {
     const expectedWaitMs = expectedWaitOf(inputs);
@@ -20,7 +21,7 @@
     return { kind: "reject", expectedWaitMs, retryAfterMs };
 }
 
-/** Slots come free one after the other, each after a share of the mean hold. */
+/** Returns the expected wait in milliseconds, assuming that slots become free at even intervals of the mean hold. */
 function expectedWaitOf(inputs: AdmissionInputs): number {
     return inputs.slots === 0 ? MAX_RETRY_AFTER_MS : (inputs.waitingAhead + 1) * inputs.meanHoldMs / inputs.slots;
 }
--- a/fleet/load/src/firstResponseMs.ts
+++ b/fleet/load/src/firstResponseMs.ts
@@ -1,2 +1,2 @@
-/** Time from the start at an upstream to the first event, in milliseconds. */
+/** Expected time from the start of a request at an upstream to its first event, in milliseconds. */
 export const FIRST_RESPONSE_MS = 60;
--- a/fleet/load/src/leastLoadedPlacement.ts
+++ b/fleet/load/src/leastLoadedPlacement.ts
@@ -5,16 +5,17 @@
 import type { LoadTracker } from "./loadTracker.js";
 import type { PlacementPolicy } from "./placementPolicy.js";
 
-/** A batch run gives way, at the price of a resume; hence it weighs little beside an online request. */
+/** Weight of a batch run, relative to an online request. It is low since a batch run can be preempted and resumed. */
 const BATCH_WEIGHT = 0.1;
-/** An upstream in another zone costs the way there; it is chosen where it has fewer requests. */
+/** Cost of the network path to another zone. An upstream there is chosen if it has fewer requests. */
 const OTHER_ZONE_WEIGHT = 0.6;
 /** Breaks ties between upstreams of equal load. */
 const RANDOM_WEIGHT = 0.05;
 
 /**
- * Answers bursts: an online request goes to the upstream with the fewest of them and never behind as many as there are
- * slots. Batch runs count little, because they are ended when their slot is wanted.
+ * Spreads bursts of online requests: chooses the upstream with the lowest load, counted over all processes, and none
+ * whose slots are all taken by online requests. Batch runs have a low weight, because they are ended when their slot
+ * is needed.
  */
 export class LeastLoadedPlacement implements PlacementPolicy {
     private readonly loadTracker: LoadTracker;
@@ -23,8 +24,8 @@
     private readonly connectionShare: (service: ServiceName) => number;
 
     /**
-     * @param opts.zone the zone of this process
-     * @param opts.connectionShare requests that this process may have at one upstream of a service
+     * @param opts.zone the availability zone of this process
+     * @param opts.connectionShare number of concurrent requests that this process may send to one upstream of a service
      */
     constructor(opts: {
         loadTracker: LoadTracker;
--- a/fleet/load/src/loadExchange.ts
+++ b/fleet/load/src/loadExchange.ts
@@ -8,9 +8,9 @@
 
 /** Shortest time between two reports, in milliseconds. */
 const MIN_INTERVAL_MS = 15;
-/** Time between reports where nothing changes, in milliseconds. */
+/** Time between reports while nothing changes, in milliseconds. */
 const HEARTBEAT_INTERVAL_MS = 300;
-/** Time between reports to processes that don't act on them, in milliseconds. */
+/** Time between reports to distant peers, which don't act on the load, in milliseconds. */
 const DISTANT_INTERVAL_MS = 1000;
 
 interface LoadExchangeOptions {
@@ -18,18 +18,18 @@
     logger: Logger;
     host: string;
     port: number;
-    /** The processes that act on this one's load. */
+    /** Processes that act on this process's load. */
     peers: () => HostPort[];
-    /** Processes that only have to know that this one lives, and how far it is. */
+    /** Processes that only need to see that this process is running and which revisions it has reached. */
     distantPeers: () => HostPort[];
-    /** The report to send now. */
+    /** Returns the current report. */
     createReport: () => LoadReport;
     onReport: (report: LoadReport) => void;
 }
 
 /**
- * Tells the other processes of this one's load by datagram. Each report is whole, so that a lost one is made good by
- * the next.
+ * Sends this process's load reports to its peers as UDP datagrams and receives theirs. Each report contains the
+ * complete state, so the next report makes up for a lost one.
  */
 export class LoadExchange {
     private readonly opts: LoadExchangeOptions;
@@ -44,6 +44,7 @@
         this.opts = opts;
     }
 
+    /** Opens the socket and starts to send reports. Rejects if the address can't be bound. */
     async listen(): Promise<void> {
         const socket = createSocket("udp4");
         this.socket = socket;
@@ -57,7 +58,7 @@
         this.schedule(0);
     }
 
-    /** Sends a report soon. */
+    /** Schedules a report, at least `MIN_INTERVAL_MS` after the previous one. */
     markChanged(): void {
         if (!this.isDirty) {
             this.isDirty = true;
@@ -65,6 +66,7 @@
         }
     }
 
+    /** Stops sending and receiving reports. */
     close(): void {
         this.timer?.cancel();
         this.socket?.close();
--- a/fleet/load/src/loadReport.ts
+++ b/fleet/load/src/loadReport.ts
@@ -3,27 +3,27 @@
 import type { UpstreamId } from "@knapweedwood/core.ids/upstreamId";
 import type { UpstreamCount } from "./upstreamCount.js";
 
-/** What a process tells the others of its load and of how far it knows the keys that all follow. */
+/** Report of a process to its peers: its load, and the revisions up to which it has followed the shared keys. */
 export interface LoadReport {
     instanceName: InstanceName;
-    /** Start of the process, Unix ms; a report of an earlier start is dropped. */
+    /** Start of the process, Unix ms. Reports from before a restart are dropped. */
     startedAtMs: number;
-    /** Grows with each report of a start. */
+    /** Increases with each report since the start. */
     sequence: number;
-    /** Whether the key-value service answers this process. */
+    /** Whether this process can reach the key-value service. */
     isKeyValueReachable: boolean;
     /** Upstreams with requests of this process, shape [upstreams]. */
     counts: UpstreamCount[];
-    /** Upstreams that this process has ejected for what it has seen of them, shape [upstreams]. */
+    /** Upstreams ejected because of failures that this process has observed itself, shape [upstreams]. */
     ejected: UpstreamId[];
-    /** Online requests that wait for a slot, shape [services]. */
+    /** Number of online requests waiting for a slot, shape [services]. */
     waiting: { service: ServiceName; count: number; }[];
-    /** Revision of the key-value service at which the configuration in force was written. */
+    /** Revision of the key-value service at which the active configuration was written. */
     configurationRevision: number;
-    /** Revision of the last change of an upstream's entry that this process knows. */
+    /** Revision of the last change of an upstream's entry that this process has received. */
     upstreamsRevision: number;
-    /** The process that runs jobs, as far as this one knows; undefined where it knows none. */
+    /** The process that runs jobs, in this process's local view; undefined if there is none. */
     leader: { instanceName: InstanceName; fencingNumber: number; } | undefined;
-    /** Revision of the key-value service up to which jobs were written by this process. */
+    /** Revision of the key-value service at which this process last wrote a job. */
     jobsRevision: number;
 }
--- a/fleet/load/src/loadReportCodec.ts
+++ b/fleet/load/src/loadReportCodec.ts
@@ -4,7 +4,7 @@
 import { Packr } from "msgpackr";
 import type { LoadReport } from "./loadReport.js";
 
-/** Values in the order in which they are packed, without their names: reports are frequent and cross zones. */
+/** Values in their packed order. They are packed without names, since reports are frequent and cross zones. */
 type PackedReport = [
     instanceName: string,
     startedAtMs: number,
@@ -20,13 +20,14 @@
     ejected: string[],
 ];
 
-/** Position of the first revision in a packed report. */
+/** Index of the first revision in a packed report. */
 const REVISIONS_AT = 5;
 
-/** Packs load reports into datagrams. */
+/** Encodes load reports as msgpack datagrams. */
 export class LoadReportCodec {
     private readonly packr = new Packr({ useRecords: false });
 
+    /** Encodes a report. */
     encode(report: LoadReport): Buffer {
         const packed: PackedReport = [
             report.instanceName,
@@ -45,7 +46,7 @@
         return this.packr.pack(packed);
     }
 
-    /** Throws where the bytes are no report. */
+    /** Decodes a report. Throws if the bytes are not a report. */
     decode(bytes: Buffer): LoadReport {
         const packed = this.packr.unpack(bytes) as PackedReport;
         const [instanceName, startedAtMs, sequence, counts, waiting] = packed;
--- a/fleet/load/src/loadTracker.ts
+++ b/fleet/load/src/loadTracker.ts
@@ -4,7 +4,7 @@
 import type { LoadReport } from "./loadReport.js";
 import type { UpstreamCount } from "./upstreamCount.js";
 
-/** Time after which a process that reports nothing counts as gone, in milliseconds. */
+/** Time without a report after which a process counts as disconnected, in milliseconds. */
 const REPORT_VALID_MS = 1500;
 
 interface ReceivedReport {
@@ -12,13 +12,13 @@
     atMs: number;
 }
 
-/** Requests at each upstream over all processes: the own counts, and what the others last reported. */
+/** Tracks the requests at each upstream over all processes: this process's counts and the last reports of its peers. */
 export class LoadTracker {
     private readonly own = new Map<UpstreamId, UpstreamCount>();
     private readonly reports = new Map<InstanceName, ReceivedReport>();
     private readonly peerCounts = new Map<UpstreamId, UpstreamCount>();
 
-    /** Counts a request of this process at an upstream in, or out with `change` -1. */
+    /** Adds a request of this process at an upstream; a `change` of -1 removes it. */
     count(upstreamId: UpstreamId, kind: "online" | "batch", change: 1 | -1): void {
         const counts = this.own.get(upstreamId) ?? { upstreamId, online: 0, batch: 0 };
         counts[kind] = Math.max(0, counts[kind] + change);
@@ -28,7 +28,11 @@
         }
     }
 
-    /** @returns whether the report is news */
+    /**
+     * Applies a peer's report unless a newer one has been applied.
+     *
+     * @returns whether it was applied
+     */
     apply(report: LoadReport, nowMs: number): boolean {
         const previous = this.reports.get(report.instanceName)?.report;
         if (previous !== undefined && !isNewer(report, previous)) {
@@ -39,7 +43,7 @@
         return true;
     }
 
-    /** Drops the reports of processes that fell stale. */
+    /** Drops reports that are no longer valid. */
     expire(nowMs: number): void {
         const stale = [...this.reports].filter(([, received]) => received.atMs + REPORT_VALID_MS < nowMs);
         stale.forEach(([name]) => this.reports.delete(name));
@@ -48,25 +52,27 @@
         }
     }
 
+    /** Returns the number of online requests at an upstream over all processes. */
     onlineCount(upstreamId: UpstreamId): number {
         return (this.own.get(upstreamId)?.online ?? 0) + (this.peerCounts.get(upstreamId)?.online ?? 0);
     }
 
+    /** Returns the number of batch runs at an upstream over all processes. */
     batchCount(upstreamId: UpstreamId): number {
         return (this.own.get(upstreamId)?.batch ?? 0) + (this.peerCounts.get(upstreamId)?.batch ?? 0);
     }
 
-    /** Online requests of this process at an upstream. */
+    /** Returns the number of online requests of this process at an upstream. */
     ownOnlineCount(upstreamId: UpstreamId): number {
         return this.own.get(upstreamId)?.online ?? 0;
     }
 
-    /** Requests of this process, shape [upstreams]. */
+    /** Returns the requests of this process by upstream, shape [upstreams]. */
     ownCounts(): UpstreamCount[] {
         return [...this.own.values()];
     }
 
-    /** Online requests of a service that wait at other processes. */
+    /** Returns the number of online requests of a service that are queued at peers. */
     waitingAtPeers(service: ServiceName): number {
         return [...this.reports.values()]
             .flatMap(received => received.report.waiting)
@@ -74,7 +80,7 @@
             .reduce((sum, waiting) => sum + waiting.count, 0);
     }
 
-    /** Whether another process says that the key-value service answers it. */
+    /** Returns whether any peer reports that it can reach the key-value service. */
     isKeyValueReachableByPeer(): boolean {
         return [...this.reports.values()].some(received => received.report.isKeyValueReachable);
     }
--- a/fleet/load/src/placementPolicy.ts
+++ b/fleet/load/src/placementPolicy.ts
@@ -1,7 +1,7 @@
 import type { Upstream } from "@knapweedwood/fleet.view/upstream";
 
-/** Chooses where a request runs. */
+/** Chooses the upstream that runs a request. */
 export interface PlacementPolicy {
-    /** The upstream of a service for one more online request; undefined where none has a place. */
+    /** Returns the upstream of a service for another online request; undefined if none has a free slot. */
     placeOnline(candidates: readonly Upstream[]): Upstream | undefined;
 }
--- a/fleet/load/src/queuedRequest.ts
+++ b/fleet/load/src/queuedRequest.ts
@@ -2,21 +2,22 @@
 import type { UpstreamId } from "@knapweedwood/core.ids/upstreamId";
 import type { Upstream } from "@knapweedwood/fleet.view/upstream";
 
-/** An online request that wants a place at an upstream. */
+/** An online request to be placed at an upstream. */
 export interface QueuedRequest {
     service: ServiceName;
     /** 0 is the most urgent. */
     priority: number;
     arrivedAtMs: number;
-    /** Until when an answer is on time. */
+    /** Time until which a response meets the route's objective, on the clock of the queue in milliseconds. */
     objectiveAtMs: number;
-    /** When the caller gives up. */
+    /** Time at which the caller times out, on the same clock. */
     callerTimeoutAtMs: number;
-    /** Whether the caller was refused before and has come back. */
+    /** Whether the caller retries a request that was rejected before. */
     isRetry: boolean;
-    /** Upstreams that must not get the request again. */
+    /** Upstreams that must not receive the request again. */
     excluded: ReadonlySet<UpstreamId>;
+    /** Called when the request may be sent to the upstream. */
     onPlaced(upstream: Upstream): void;
-    /** The request has not run; the caller may come back in `retryAfterMs`. */
+    /** Called when the request is rejected without having run. The caller may retry after `retryAfterMs`. */
     onRejected(retryAfterMs: number, reason: string): void;
 }
--- a/fleet/load/src/requestQueue.ts
+++ b/fleet/load/src/requestQueue.ts
@@ -9,7 +9,7 @@
 import type { PlacementPolicy } from "./placementPolicy.js";
 import type { QueuedRequest } from "./queuedRequest.js";
 
-/** Spread of the times at which refused callers come back, as a share. */
+/** Maximum jitter added to the retry delay of rejected callers, as a share of the delay. */
 const RETRY_JITTER = 0.3;
 
 interface RequestQueueOptions {
@@ -18,13 +18,13 @@
     loadTracker: LoadTracker;
     holdTimes: HoldTimes;
     placement: PlacementPolicy;
-    /** Upstreams of a service that may get requests now. */
+    /** Returns the upstreams of a service that may receive requests now, shape [upstreams]. */
     usableUpstreams: (service: ServiceName) => Upstream[];
 }
 
 /**
- * Where online requests wait for a slot: here, and not in the queue of an upstream, where they could neither be placed
- * elsewhere nor be refused.
+ * Queues online requests until a slot is free. Requests wait here and not in the queue of an upstream, where they could
+ * neither be placed at another upstream nor be rejected.
  */
 export class RequestQueue {
     private readonly opts: RequestQueueOptions;
@@ -34,7 +34,7 @@
         this.opts = opts;
     }
 
-    /** Places the request, lets it wait or refuses it. */
+    /** Places, queues or rejects the request. */
     submit(request: QueuedRequest): void {
         const nowMs = this.opts.clock.nowMs();
         const isFirstInLine = !this.requests.some(other =>
@@ -53,19 +53,19 @@
         this.requests.push(request);
     }
 
-    /** Takes out a request whose caller left. */
+    /** Removes a request whose caller has disconnected. */
     remove(request: QueuedRequest): void {
         this.requests = this.requests.filter(other => other !== request);
     }
 
-    /** Places waiting requests where slots have come free, and refuses those whose callers give up. */
+    /** Places queued requests at upstreams with free slots and rejects the requests whose callers have timed out. */
     dispatch(): void {
         const nowMs = this.opts.clock.nowMs();
         this.requests.filter(request => request.callerTimeoutAtMs <= nowMs).forEach(request => {
             this.remove(request);
             this.reject(request, 0, "the caller's time is up");
         });
-        // A service without a free place can't take a later request either.
+        // A service without a free slot can't accept a later request either.
         const full = new Set<ServiceName>();
         this.requests.sort((left, right) => compareByUrgency(left, right, nowMs));
         [...this.requests].forEach(request => {
@@ -79,7 +79,7 @@
         });
     }
 
-    /** Waiting requests by service, shape [services]. */
+    /** Returns the number of queued requests by service, shape [services]. */
     waitingCounts(): { service: ServiceName; count: number; }[] {
         return [...new Set(this.requests.map(request => request.service))].map(service => ({
             service,
@@ -98,7 +98,7 @@
         const nowMs = this.opts.clock.nowMs();
         const same = this.requests.filter(other => other.service === request.service);
         const ahead = same.filter(other => compareByUrgency(other, request, nowMs) <= 0);
-        // The others tell how many wait, not which; they are taken to be as those here.
+        // Peers report only the number of their queued requests; the same mix as in this queue is assumed.
         const shareAhead = same.length === 0 ? 1 : ahead.length / same.length;
         return {
             waitingAhead: ahead.length + this.opts.loadTracker.waitingAtPeers(request.service) * shareAhead,
@@ -116,8 +116,8 @@
 }
 
 /**
- * The urgent first; among equals those that can still be on time, then those that came back, then the earlier ones. Late
- * requests ahead of the others would make each of these late in turn.
+ * Compares requests by priority, then requests that can still meet their objective first, then first attempts before
+ * retries, then by arrival. Late requests at the front of the queue would make the others late in turn.
  */
 function compareByUrgency(left: QueuedRequest, right: QueuedRequest, nowMs: number): number {
     const isLate = (request: QueuedRequest) => Number(nowMs + FIRST_RESPONSE_MS > request.objectiveAtMs);
--- a/fleet/load/src/upstreamCount.ts
+++ b/fleet/load/src/upstreamCount.ts
@@ -1,6 +1,6 @@
 import type { UpstreamId } from "@knapweedwood/core.ids/upstreamId";
 
-/** How many requests a process runs at an upstream. */
+/** Numbers of requests that a process has running at an upstream. */
 export interface UpstreamCount {
     upstreamId: UpstreamId;
     online: number;
--- a/fleet/load/src/upstreamHealth.ts
+++ b/fleet/load/src/upstreamHealth.ts
@@ -1,21 +1,21 @@
 import type { UpstreamId } from "@knapweedwood/core.ids/upstreamId";
 
-/** What a failure adds to the score of an upstream. */
+/** Added to the score of an upstream for each failure. */
 const FAILURE_WEIGHT = 0.35;
-/** What an unanswered request adds while the upstream answers others: some requests are long. */
+/** Added for a request without a response while the upstream responds to others; some requests take long. */
 const NO_RESPONSE_WEIGHT = 0.15;
-/** Share of the score that is left after a success. */
+/** Factor applied to the score on each success. */
 const SUCCESS_DECAY = 0.7;
-/** Two failures in a row reach it, and so does failing every other request. */
+/** Score that ejects an upstream. Two consecutive failures reach it, and so do failures of every other request. */
 const EJECTION_SCORE = 0.6;
-/** What the ejection by a process of the same zone adds, and by one of another: an upstream may be ill for some only. */
+/** Added when a peer in the same or in another zone ejects the upstream. It may be failing for some processes only. */
 const SAME_ZONE_EJECTION_WEIGHT = 0.35;
 const OTHER_ZONE_EJECTION_WEIGHT = 0.2;
-/** An answer of its own that is no older counts for more than what others say, in milliseconds. */
+/** Time after a local success during which ejections by peers are ignored, in milliseconds. */
 const LOCAL_SUCCESS_VALID_MS = 1000;
 const FIRST_EJECTION_MS = 400;
 const MAX_EJECTION_MS = 4000;
-/** Requests that have to succeed after an ejection, one at a time, before the upstream gets its full share again. */
+/** Requests that must succeed after an ejection, one at a time, before the upstream gets its full share again. */
 const PROBE_REQUESTS = 3;
 
 interface HealthRecord {
@@ -23,15 +23,19 @@
     ejections: number;
     ejectedUntilMs: number;
     probesLeft: number;
-    /** Whether failures seen here led to the last ejection, and not only what others told. */
+    /** Whether failures observed by this process led to the last ejection, and not only reports of peers. */
     isEjectedLocally: boolean;
 }
 
-/** Judges upstreams by what became of the requests that this process sent them. */
+/**
+ * Tracks the health of upstreams by the outcomes of this process's requests and the ejections reported by peers.
+ * Failing upstreams are ejected for a time that doubles with each ejection, then probed with single requests.
+ */
 export class UpstreamHealth {
     private readonly records = new Map<UpstreamId, HealthRecord>();
     private readonly succeededAtMs = new Map<UpstreamId, number>();
 
+    /** Records a successful request. */
     onSuccess(id: UpstreamId, nowMs: number): void {
         this.succeededAtMs.set(id, nowMs);
         const record = this.records.get(id);
@@ -45,16 +49,20 @@
         }
     }
 
-    /** @returns whether the upstream is ejected by this failure */
+    /**
+     * Records a failed request.
+     *
+     * @returns whether this failure ejects the upstream
+     */
     onFailure(id: UpstreamId, nowMs: number): boolean {
         return this.addFailure(id, FAILURE_WEIGHT, nowMs);
     }
 
     /**
-     * Judges a request that has no answer yet: as a failure where the upstream has answered nothing else since the
-     * request was sent, as a weak sign otherwise.
+     * Records a request without a response so far. It counts as a failure if no other request has succeeded at the
+     * upstream since it was sent, otherwise with a lower weight.
      *
-     * @returns whether the upstream is ejected
+     * @returns whether this ejects the upstream
      */
     onNoResponse(id: UpstreamId, sentAtMs: number, nowMs: number): boolean {
         const hasSucceededSince = (this.succeededAtMs.get(id) ?? -Infinity) >= sentAtMs;
@@ -62,9 +70,9 @@
     }
 
     /**
-     * Takes in that another process has ejected the upstream, so that not each has to find that out by failures.
+     * Records that a peer has ejected the upstream, so that not every process has to observe the failures itself.
      *
-     * @param opts.isSameZone whether that process is in the zone of this one
+     * @param opts.isSameZone whether the peer is in the zone of this process
      */
     onPeerEjection(id: UpstreamId, opts: { isSameZone: boolean; nowMs: number; }): void {
         const { isSameZone, nowMs } = opts;
@@ -80,26 +88,30 @@
         }
     }
 
-    /** Upstreams that get no requests now for what this process has seen of them, shape [upstreams]. */
+    /** Returns the upstreams now ejected because of failures observed by this process, shape [upstreams]. */
     locallyEjectedIds(nowMs: number): UpstreamId[] {
         return [...this.records]
             .filter(([, record]) => record.isEjectedLocally && nowMs < record.ejectedUntilMs)
             .map(([id]) => id);
     }
 
-    /** Another process answers at the upstream's address: it gets nothing until its entry may have been removed. */
+    /**
+     * Records that another process responds at the upstream's address. Ejects the upstream for the maximum time, so
+     * that its entry can be removed meanwhile.
+     */
     onMisdirected(id: UpstreamId, nowMs: number): void {
         const record = this.recordOf(id);
         record.probesLeft = PROBE_REQUESTS;
         record.ejectedUntilMs = nowMs + MAX_EJECTION_MS;
     }
 
+    /** Removes the records of an upstream. */
     forget(id: UpstreamId): void {
         this.records.delete(id);
         this.succeededAtMs.delete(id);
     }
 
-    /** Whether a new request may go to the upstream, which runs `ownRequests` of this process. */
+    /** Returns whether a new request may be sent to the upstream, which runs `ownRequests` requests of this process. */
     isUsable(id: UpstreamId, nowMs: number, ownRequests: number): boolean {
         const record = this.records.get(id);
         if (record === undefined) {
--- a/fleet/load/test/loadReportCodec.test.ts
+++ b/fleet/load/test/loadReportCodec.test.ts
@@ -23,11 +23,11 @@
     leader: { instanceName: "runner-1" as InstanceName, fencingNumber: 31 },
 };
 
-test("a report comes back as it was", () => {
+test("decodes an encoded report unchanged", () => {
     const codec = new LoadReportCodec();
     assert.deepEqual(codec.decode(codec.encode(report)), report);
 });
 
-test("bytes that are no report are refused", () => {
+test("throws when the bytes are not a report", () => {
     assert.throws(() => new LoadReportCodec().decode(Buffer.from([0x01])));
 });
--- a/fleet/load/test/loadTracker.test.ts
+++ b/fleet/load/test/loadTracker.test.ts
@@ -24,7 +24,7 @@
     };
 }
 
-test("own and reported requests add up", () => {
+test("adds up own and reported requests", () => {
     const tracker = new LoadTracker();
     tracker.count(id, "online", 1);
     tracker.apply(reportOf({}), 0);
@@ -32,7 +32,7 @@
     assert.deepEqual([tracker.onlineCount(id), tracker.batchCount(id)], [7, 2]);
 });
 
-test("a report that was overtaken changes nothing, one of a new start counts", () => {
+test("ignores a report older than the last one and applies a report from a restarted process", () => {
     const tracker = new LoadTracker();
     tracker.apply(reportOf({ sequence: 5 }), 0);
     assert.equal(tracker.apply(reportOf({ sequence: 4, counts: [] }), 0), false);
@@ -41,14 +41,14 @@
     assert.equal(tracker.onlineCount(id), 0);
 });
 
-test("a process that fell silent counts as gone", () => {
+test("drops the counts of a process that sends no more reports", () => {
     const tracker = new LoadTracker();
     tracker.apply(reportOf({}), 0);
     tracker.expire(5000);
     assert.equal(tracker.onlineCount(id), 0);
 });
 
-test("a process knows whether the key-value service answers others", () => {
+test("reports whether a peer can reach the key-value service", () => {
     const tracker = new LoadTracker();
     assert.equal(tracker.isKeyValueReachableByPeer(), false);
     tracker.apply(reportOf({ isKeyValueReachable: false }), 0);
--- a/fleet/load/test/peerEjections.test.ts
+++ b/fleet/load/test/peerEjections.test.ts
@@ -9,7 +9,7 @@
     return { instanceName: instanceName as InstanceName, ejected: ejected as UpstreamId[] } as LoadReport;
 }
 
-test("an ejection counts once for each process, and again after it had ended", () => {
+test("returns an ejection once for each process, and again after it ended", () => {
     const ejections = new PeerEjections();
     const received = [
         reportOf("a", ["u"]),
--- a/fleet/load/test/requestQueue.test.ts
+++ b/fleet/load/test/requestQueue.test.ts
@@ -68,21 +68,21 @@
     return requests;
 }
 
-test("a burst spreads over the upstreams and never goes beyond their slots", () => {
+test("spreads a burst over the upstreams without exceeding their slots", () => {
     const { loadTracker, queue, request } = setUp(["a", "b", "c"].map(id => upstreamOf(id)));
     const requests = submitAll(queue, Array.from({ length: 7 }, () => request()));
     assert.equal(requests.filter(one => one.placedAt !== undefined).length, 6);
     ["a", "b", "c"].forEach(id => assert.equal(loadTracker.onlineCount(upstreamOf(id).id), 2));
 });
 
-test("what can't be on time is refused at once, with a time after which a slot is likely free", () => {
+test("immediately rejects a request that would miss its objective, with a delay after which a slot is likely free", () => {
     const { queue, request } = setUp([upstreamOf("a", 1)]);
     const [running, late] = submitAll(queue, [request(), request()]);
     assert.notEqual(running!.placedAt, undefined);
-    assert.ok(late!.rejectedForMs! >= 500, `told to return after ${late!.rejectedForMs} ms`);
+    assert.ok(late!.rejectedForMs! >= 500, `told to retry after ${late!.rejectedForMs} ms`);
 });
 
-test("of the waiting, fresh requests go first, then those that came back, and those that are late already last", async () => {
+test("dispatches first attempts before retries and late requests last", async () => {
     const { clock, queue, request, finish } = setUp([upstreamOf("a", 8)]);
     const running = submitAll(queue, Array.from({ length: 8 }, () => request()));
     const [late] = submitAll(queue, [request()]);
@@ -96,7 +96,7 @@
     assert.equal(late!.placedAt?.id, "a");
 });
 
-test("a less urgent request never passes a more urgent one of its service", () => {
+test("never dispatches a less urgent request before a more urgent request of its service", () => {
     const { queue, request, finish } = setUp([upstreamOf("a", 8)]);
     const running = submitAll(queue, Array.from({ length: 8 }, () => request()));
     const [low, high] = submitAll(queue, [request({ priority: 2 }), request({ isRetry: true })]);
@@ -104,7 +104,7 @@
     assert.deepEqual([low!.placedAt?.id, high!.placedAt?.id], [undefined, "a"]);
 });
 
-test("a waiting request is refused when its caller gives up, not later", async () => {
+test("rejects a queued request as soon as its caller times out", async () => {
     const { clock, queue, request } = setUp([upstreamOf("a", 1)]);
     const [, waiting] = submitAll(queue, [request(), request({ isRetry: true })]);
     await clock.advance(1999);
@@ -115,21 +115,21 @@
     assert.notEqual(waiting!.rejectedForMs, undefined);
 });
 
-test("an upstream that must not get the request again is left out", () => {
+test("does not place a request at an excluded upstream", () => {
     const { queue, request } = setUp([upstreamOf("a"), upstreamOf("b")]);
     const [retried] = submitAll(queue, [request({ excluded: new Set([upstreamOf("a").id]) })]);
     assert.equal(retried!.placedAt?.id, "b");
 });
 
-test("a request stays in its zone while no upstream elsewhere has fewer", () => {
-    const away = { ...upstreamOf("away", 8), zone: "y" as Upstream["zone"] };
-    const { loadTracker, queue, request } = setUp([away, upstreamOf("near", 8)]);
+test("places a request in its own zone unless an upstream in another zone has fewer requests", () => {
+    const otherZone = { ...upstreamOf("other-zone", 8), zone: "y" as Upstream["zone"] };
+    const { loadTracker, queue, request } = setUp([otherZone, upstreamOf("same-zone", 8)]);
     const requests = submitAll(queue, Array.from({ length: 3 }, () => request()));
-    assert.deepEqual(requests.map(one => one.placedAt?.id), ["near", "away", "near"]);
-    assert.equal(loadTracker.onlineCount(away.id), 1);
+    assert.deepEqual(requests.map(one => one.placedAt?.id), ["same-zone", "other-zone", "same-zone"]);
+    assert.equal(loadTracker.onlineCount(otherZone.id), 1);
 });
 
-test("a process never takes more than its share of an upstream's connections", () => {
+test("never exceeds the process's share of an upstream's connections", () => {
     const loadTracker = new LoadTracker();
     const placement = new LeastLoadedPlacement({
         loadTracker,
@@ -144,5 +144,9 @@
         return chosen !== undefined;
     });
     assert.deepEqual(placed.slice(0, 3), [true, true, false]);
-    assert.equal(connectionShareOf({ maxConnections: 2, processes: 40 }), 1, "a fleet that is too large still serves");
+    assert.equal(
+        connectionShareOf({ maxConnections: 2, processes: 40 }),
+        1,
+        "a process always has a share of at least one connection",
+    );
 });
--- a/fleet/load/test/upstreamHealth.test.ts
+++ b/fleet/load/test/upstreamHealth.test.ts
@@ -5,7 +5,7 @@
 
 const id = "u" as UpstreamId;
 
-test("one failure is forgiven, two in a row take the upstream out for a while", () => {
+test("tolerates one failure and ejects the upstream for a while after two consecutive failures", () => {
     const health = new UpstreamHealth();
     assert.equal(health.onFailure(id, 0), false);
     [1, 2, 3, 4].forEach(nowMs => health.onSuccess(id, nowMs));
@@ -15,7 +15,7 @@
     assert.equal(health.isUsable(id, 500, 0), true);
 });
 
-test("an upstream that fails every other request is taken out within a few of them", () => {
+test("ejects an upstream that fails every other request within a few requests", () => {
     const health = new UpstreamHealth();
     const ejectedAt = Array.from({ length: 10 }).findIndex((_, index) => {
         health.onSuccess(id, index);
@@ -24,19 +24,19 @@
     assert.ok(ejectedAt >= 1 && ejectedAt <= 3, `after ${ejectedAt + 1} failures`);
 });
 
-test("after an ejection it gets one request at a time until three have succeeded", () => {
+test("probes an upstream after an ejection with one request at a time until three have succeeded", () => {
     const health = new UpstreamHealth();
     [0, 1].forEach(nowMs => health.onFailure(id, nowMs));
     assert.equal(health.isUsable(id, 500, 1), false);
     health.onFailure(id, 500);
-    assert.equal(health.isUsable(id, 1000, 0), false, "a failed trial takes it out for longer");
+    assert.equal(health.isUsable(id, 1000, 0), false, "a failed probe ejects it for longer");
     [1400, 1500].forEach(nowMs => health.onSuccess(id, nowMs));
     assert.equal(health.isUsable(id, 1600, 5), false);
     health.onSuccess(id, 1600);
     assert.equal(health.isUsable(id, 1600, 5), true);
 });
 
-test("long requests don't take out an upstream that answers others meanwhile", () => {
+test("does not eject an upstream for long requests while it responds to others", () => {
     const health = new UpstreamHealth();
     [100, 200, 300, 400].forEach(sentAtMs => {
         [0, 1, 2].forEach(() => health.onSuccess(id, sentAtMs + 500));
@@ -45,20 +45,20 @@
     assert.equal(health.isUsable(id, 2000, 5), true);
 });
 
-test("an upstream that answers nothing any more is taken out", () => {
+test("ejects an upstream that no longer responds", () => {
     const health = new UpstreamHealth();
     health.onSuccess(id, 500);
     assert.deepEqual([600, 700].map(sentAtMs => health.onNoResponse(id, sentAtMs, 1500)), [false, true]);
 });
 
-test("an upstream whose address another process has taken gets nothing at once", () => {
+test("ejects an upstream immediately when another process responds at its address", () => {
     const health = new UpstreamHealth();
     health.onMisdirected(id, 0);
     assert.equal(health.isUsable(id, 1000, 0), false);
     assert.equal(health.isUsable(id, 5000, 0), true);
 });
 
-test("two ejections by others of the zone, or three by those of other zones, take an upstream out here too", () => {
+test("ejects an upstream after two ejections by peers of the same zone or three by peers of other zones", () => {
     const [sameZone, otherZone] = [new UpstreamHealth(), new UpstreamHealth()];
     const usableAfter = [1, 2, 3].map(nowMs => {
         sameZone.onPeerEjection(id, { isSameZone: true, nowMs });
@@ -66,17 +66,17 @@
         return [sameZone.isUsable(id, nowMs, 0), otherZone.isUsable(id, nowMs, 0)];
     });
     assert.deepEqual(usableAfter, [[true, true], [false, true], [false, false]]);
-    assert.deepEqual(sameZone.locallyEjectedIds(10), [], "what others told is not told on");
+    assert.deepEqual(sameZone.locallyEjectedIds(10), [], "ejections reported by peers are not passed on");
 });
 
-test("an upstream that answers here is not taken out for what others say", () => {
+test("ignores ejections by peers while the upstream responds to this process", () => {
     const health = new UpstreamHealth();
     health.onSuccess(id, 0);
     [1, 2, 3].forEach(nowMs => health.onPeerEjection(id, { isSameZone: true, nowMs }));
     assert.equal(health.isUsable(id, 4, 0), true);
 });
 
-test("a trial that fails elsewhere ends the trial here", () => {
+test("ends the probing of an upstream when a peer ejects it", () => {
     const health = new UpstreamHealth();
     [0, 1].forEach(nowMs => health.onFailure(id, nowMs));
     assert.deepEqual(health.locallyEjectedIds(2), [id]);
@@ -85,7 +85,11 @@
     assert.equal(health.isUsable(id, 501, 0), false);
 });
 
-/** Plays an upstream that fails all, before many processes. @returns failures until none sends there any more */
+/**
+ * Simulates an upstream that fails all requests of many processes.
+ *
+ * @returns the number of failures until no process sends requests to it
+ */
 function failuresUntilEjectedEverywhere(processes: number, isReported: boolean): number {
     const healths = Array.from({ length: processes }, () => new UpstreamHealth());
     let failures = 0;
@@ -104,7 +108,7 @@
     return failures;
 }
 
-test("of 25 processes only a few have to fail before all know that an upstream fails", () => {
+test("ejects a failing upstream at all 25 processes after failures at only a few of them", () => {
     assert.ok(failuresUntilEjectedEverywhere(25, true) <= 32, String(failuresUntilEjectedEverywhere(25, true)));
     assert.equal(failuresUntilEjectedEverywhere(25, false), 50);
 });
--- a/fleet/load/test/upstreamOf.ts
+++ b/fleet/load/test/upstreamOf.ts
@@ -3,7 +3,7 @@
 import type { ZoneName } from "@knapweedwood/core.ids/zoneName";
 import type { Upstream } from "@knapweedwood/fleet.view/upstream";
 
-/** An upstream with `slots` places, for tests. */
+/** Creates a ready upstream with `slots` slots for tests. */
 export function upstreamOf(id: string, slots = 2): Upstream {
     return {
         id: id as UpstreamId,
--- a/fleet/upstreams/src/upstreamConnections.ts
+++ b/fleet/upstreams/src/upstreamConnections.ts
@@ -10,7 +10,7 @@
     all: Set<UpstreamConnection>;
 }
 
-/** Pools the connections of this process to upstreams, since opening a connection costs time on both sides. */
+/** Pools the connections of this process to upstreams, since opening a connection costs both sides. */
 export class UpstreamConnections {
     private readonly pools = new Map<string, Pool>();
 
