--- a/fleet/load/test/requestQueue.test.ts
+++ b/fleet/load/test/requestQueue.test.ts
@@ -75,7 +75,7 @@
     ["a", "b", "c"].forEach(id => assert.equal(loadTracker.onlineCount(upstreamOf(id).id), 2));
 });
 
-test("immediately rejects a request that would miss its objective, with a delay after which a slot is likely free", () => {
+test("immediately rejects a request that would miss its objective, with a delay until a slot is likely free", () => {
     const { queue, request } = setUp([upstreamOf("a", 1)]);
     const [running, late] = submitAll(queue, [request(), request()]);
     assert.notEqual(running!.placedAt, undefined);
