--- a/fleet/gateway/src/bufferedResponseWriter.ts
+++ b/fleet/gateway/src/bufferedResponseWriter.ts
@@ -2,7 +2,7 @@
 import type { ServerResponse } from "node:http";
 import type { ResponseWriter } from "./responseWriter.js";
 
-/** Holds an answer until it is whole, so that a broken one can be replaced by that of another upstream. */
+/** Buffers a response until it is complete, so that a truncated response can be replaced by another upstream's. */
 export class BufferedResponseWriter implements ResponseWriter {
     readonly hasStarted = false;
     readonly lastEventId = undefined;
--- a/fleet/gateway/src/callerProtocol.ts
+++ b/fleet/gateway/src/callerProtocol.ts
@@ -4,14 +4,15 @@
 import type { IncomingMessage } from "node:http";
 import type { JobCall } from "./jobCall.js";
 
-/** How callers' requests are spelled. */
+/** Decodes callers' requests and encodes responses in the callers' wire format. */
 export interface CallerProtocol {
     readonly headers: CallHeaderNames;
-    /** Path of the balancer's question whether this process takes callers. */
+    /** Path of the load balancer's readiness check. */
     readonly readinessPath: string;
-    /** Reads a call about a job; undefined where the request is none. */
+    /** Decodes a call about a job; returns undefined for any other request. */
     parseJobCall(request: IncomingMessage): JobCall | undefined;
-    /** Decodes a submission. Throws `SUBMISSION_INVALID`. */
+    /** Decodes a job submission. Throws `SUBMISSION_INVALID`. */
     decodeSubmission(jobId: string, body: Buffer): JobSubmission;
+    /** Encodes a page of results as a JSON response body. */
     encodeResultsPage(page: ResultsPage): string;
 }
--- a/fleet/gateway/src/gatewayContext.ts
+++ b/fleet/gateway/src/gatewayContext.ts
@@ -10,7 +10,7 @@
 import type { Logger } from "@knapweedwood/observability.logs/logger";
 import type { Metrics } from "@knapweedwood/observability.metrics/metrics";
 
-/** What requests of one gateway share. */
+/** State and services shared by the requests of one gateway. */
 export interface GatewayContext {
     clock: Clock;
     random: Random;
@@ -23,10 +23,10 @@
     holdTimes: HoldTimes;
     requestQueue: RequestQueue;
     headers: CallHeaderNames;
-    /** Tells the other processes that the load has changed. */
+    /** Notifies the other processes that the load has changed. */
     onLoadChanged: () => void;
-    /** Resolves once configuration and upstreams are known, or after a short while without them. */
+    /** Resolves once the configuration and the upstreams are loaded, or after a short timeout. */
     whenInitialized: () => Promise<void>;
-    /** Whether answers ask callers to close their connections. */
+    /** Returns whether this process is stopping, so that responses ask callers to close their connections. */
     isStopping: () => boolean;
 }
--- a/fleet/gateway/src/gatewayServer.ts
+++ b/fleet/gateway/src/gatewayServer.ts
@@ -18,7 +18,7 @@
     idleTimeoutMs: 15_000,
 };
 
-/** The HTTP server for callers. */
+/** HTTP server for callers: dispatches requests to routes and calls about jobs to the job routes. */
 export class GatewayServer {
     private readonly context: GatewayContext;
     private readonly protocol: CallerProtocol;
@@ -37,11 +37,12 @@
         this.applyLimits(DEFAULT_LIMITS);
     }
 
-    /** Requests that have not been answered yet. */
+    /** Number of requests whose responses are not complete. */
     get openRequestCount(): number {
         return this.openRequests;
     }
 
+    /** Starts to accept connections. Rejects if the address can't be bound. */
     async listen(address: HostPort): Promise<void> {
         await new Promise<void>((resolve, reject) => {
             this.server.once("error", reject);
@@ -49,15 +50,15 @@
         });
     }
 
-    /** Applies limits to connections from now on. */
+    /** Applies the limits to connections from now on. */
     applyLimits(limits: CallerLimits): void {
         this.server.keepAliveTimeout = limits.idleTimeoutMs;
         this.server.headersTimeout = limits.headerTimeoutMs;
-        // Read by the server for each new connection.
+        // The server reads this property for each new connection.
         (this.server as Server & { maxHeaderSize: number; }).maxHeaderSize = limits.maxHeaderBytes;
     }
 
-    /** Accepts no more connections; open ones go on. */
+    /** Stops accepting connections; open connections continue. */
     stopAccepting(): void {
         this.server.close();
     }
@@ -66,6 +67,7 @@
         this.server.closeIdleConnections();
     }
 
+    /** Closes all connections, including those with open requests. */
     close(): void {
         this.server.closeAllConnections();
     }
--- a/fleet/gateway/src/jobReader.ts
+++ b/fleet/gateway/src/jobReader.ts
@@ -2,10 +2,14 @@
 import type { JobId } from "@knapweedwood/core.ids/jobId";
 import type { ResultsPage } from "@knapweedwood/fleet.jobs/resultsPage";
 
-/** Reads jobs where they are run. */
+/** Reads results and items of jobs from the process that runs them. */
 export interface JobReader {
-    /** @returns undefined where there certainly is no such job. Throws where that can't be told. */
+    /**
+     * Returns results of a job; undefined only if the job certainly does not exist. Rejects if that is unknown.
+     *
+     * @param opts.waitMs time to wait for results, in milliseconds
+     */
     results(opts: { jobId: JobId; after: number; waitMs: number; }): Promise<ResultsPage | undefined>;
-    /** @returns undefined where there certainly is no such item. Throws where that can't be told. */
+    /** Returns the body of an item; undefined only if the item certainly does not exist. Rejects if that is unknown. */
     itemBody(jobId: JobId, itemId: ItemId): Promise<Uint8Array | undefined>;
 }
--- a/fleet/gateway/src/jobRoutes.ts
+++ b/fleet/gateway/src/jobRoutes.ts
@@ -12,7 +12,7 @@
 
 const RETRY_AFTER_MS = 300;
 
-/** Answers the calls about batch jobs. */
+/** Handles the HTTP calls about batch jobs. */
 export class JobRoutes {
     private readonly opts: {
         logger: Logger;
@@ -33,6 +33,10 @@
         this.opts = opts;
     }
 
+    /**
+     * Handles a submission. Responds with 202 once the job is stored, 504 if it is unknown whether it is, 429 or 503 if
+     * the job was rejected, 400 if the submission is invalid.
+     */
     async submit(route: Route, jobId: string, body: Buffer, response: ServerResponse): Promise<void> {
         try {
             const submission = this.opts.protocol.decodeSubmission(jobId, body);
@@ -44,6 +48,7 @@
         }
     }
 
+    /** Handles a call about an existing job; responds with 503 and a retry delay if it fails. */
     async handle(call: JobCall, response: ServerResponse): Promise<void> {
         try {
             await this.dispatch(call, response);
@@ -103,9 +108,9 @@
     }
 }
 
-/** The job may have been kept: nothing is promised. */
+/** Responds without a retry delay, since the job may have been stored. */
 function sendOutcomeUnknown(response: ServerResponse): void {
-    const error = new KnapweedError("JOB_UNSETTLED", "It is not known whether the job was kept", {
+    const error = new KnapweedError("JOB_UNSETTLED", "It is not known whether the job was stored", {
         outcome: "unknown",
     });
     sendFailure(response, { statusCode: 504, message: error.message });
--- a/fleet/gateway/src/onlineCall.ts
+++ b/fleet/gateway/src/onlineCall.ts
@@ -19,15 +19,16 @@
 const HTTP_MULTIPLE_CHOICES = 300;
 const HTTP_MISDIRECTED = 421;
 const HTTP_SERVER_ERROR = 500;
-/** Callers of streams leave when nothing arrives for this long, in milliseconds. */
+/** Time without data after which callers of streams disconnect, in milliseconds. */
 const STREAM_CALLER_TIMEOUT_MS = 1950;
-/** Share of the route's timeout below which a request counts as one that came back. */
+/** Share of the route's timeout below which the remaining time identifies a request as a retry. */
 const RETRY_REMAINING_SHARE = 0.97;
-/** Time without any answer after which an upstream counts as failing, in milliseconds. */
+/** Bounds of the time without a response after which an upstream counts as failing, in milliseconds. */
 const MIN_STALL_MS = 350;
 const MAX_STALL_MS = 1000;
+/** Time without a response after which an upstream counts as failing, in units of the route's objective. */
 const STALL_OBJECTIVE_FACTOR = 2.5;
-/** Pauses between events of a stream, in units of the longest that is on time, after which it counts as broken. */
+/** Gap between events after which a stream counts as broken, in units of the route's maximum event gap. */
 const STALL_EVENT_GAP_FACTOR = 2;
 const FAILED_RETRY_AFTER_MS = 100;
 
@@ -37,12 +38,12 @@
     startedAtMs: number;
     stallTimer: Timer;
     hasResponded: boolean;
-    /** When the newest part of the answer came; undefined before the first. */
+    /** Arrival time of the latest response data; undefined before the first. */
     lastDataAtMs: number | undefined;
     isNotRun: boolean;
 }
 
-/** One online request, from its arrival to its answer. */
+/** Handles one online request from its arrival to its response, with retries at other upstreams. */
 export class OnlineCall implements QueuedRequest {
     readonly service: ServiceName;
     readonly priority: number;
@@ -98,6 +99,7 @@
         opts.response.on("close", () => this.onCallerDisconnected());
     }
 
+    /** Submits the request to the request queue. */
     start(): void {
         this.context.requestQueue.submit(this);
     }
@@ -164,7 +166,7 @@
         });
     }
 
-    /** 503 says that the request has not run; it is never said where it may have. */
+    /** Returns 503 only if the request has not run, since callers rely on that; 502 if it may have run. */
     private rejectionStatusCode(): number {
         return this.mayHaveRun ? 502 : 503;
     }
@@ -228,7 +230,7 @@
         this.writer.end();
     }
 
-    /** An upstream that answers with failures of its own fails some callers while it looks alive. */
+    /** Counts server errors as failures, since an upstream that returns them seems alive but fails its callers. */
     private recordHealth(attempt: Attempt): void {
         const nowMs = this.context.clock.nowMs();
         if (this.writer.statusCode < HTTP_SERVER_ERROR) {
@@ -299,7 +301,7 @@
         this.log("upstream-silent", { upstream: attempt.upstream.id, isEjected });
     }
 
-    /** The answer has begun: where it can go on elsewhere, a long pause ends this attempt. */
+    /** Handles a gap in a started response: ends the attempt after a long gap if another upstream can resume it. */
     private onEventGap(attempt: Attempt, lastDataAtMs: number): void {
         const canResume = this.route.kind === "stream" && this.isRepeatable() && this.attempts < this.route.maxAttempts;
         if (!canResume) {
@@ -307,7 +309,7 @@
         }
         const { clock } = this.context;
         const stallGapMs = this.stallGapMs();
-        // A caller that reads too slowly holds the upstream up.
+        // A caller that reads too slowly delays the upstream, so the gap isn't the upstream's fault.
         const gapLeftMs = this.response.writableNeedDrain
             ? stallGapMs
             : lastDataAtMs + stallGapMs - clock.nowMs();
@@ -359,7 +361,7 @@
         this.attempt = undefined;
         this.context.loadTracker.count(attempt.upstream.id, "online", -1);
         this.context.onLoadChanged();
-        // After the caller of this method is done with the request itself.
+        // Runs after the caller of this method has finished with the request.
         queueMicrotask(() => this.context.requestQueue.dispatch());
     }
 
--- a/fleet/gateway/src/readBody.ts
+++ b/fleet/gateway/src/readBody.ts
@@ -1,7 +1,10 @@
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 import type { IncomingMessage } from "node:http";
 
-/** Reads the body of a request. Throws `BODY_TOO_LARGE` with status 413, `BODY_BROKEN_OFF` where the caller left. */
+/**
+ * Reads the body of a request. Rejects with `BODY_TOO_LARGE` (status 413) above `maxBytes`, `BODY_BROKEN_OFF` if the
+ * caller disconnects.
+ */
 export async function readBody(request: IncomingMessage, maxBytes: number): Promise<Buffer> {
     const chunks: Buffer[] = [];
     let sizeBytes = 0;
@@ -18,7 +21,9 @@
         if (error instanceof KnapweedError) {
             throw error;
         }
-        throw new KnapweedError("BODY_BROKEN_OFF", "The caller left before its body was read", { cause: error });
+        throw new KnapweedError("BODY_BROKEN_OFF", "The caller disconnected before the body was read", {
+            cause: error,
+        });
     }
     return chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks);
 }
--- a/fleet/gateway/src/readinessServer.ts
+++ b/fleet/gateway/src/readinessServer.ts
@@ -1,7 +1,7 @@
 import type { HostPort } from "@knapweedwood/fleet.view/hostPort";
 import { createServer, type Server } from "node:http";
 
-/** Tells the balancer whether this process takes new connections of callers. */
+/** HTTP server for the load balancer's readiness check: responds with 200 while ready for new connections, else 503. */
 export class ReadinessServer {
     private readonly server: Server;
 
@@ -13,6 +13,7 @@
         });
     }
 
+    /** Starts to accept connections. Rejects if the address can't be bound. */
     async listen(address: HostPort): Promise<void> {
         await new Promise<void>((resolve, reject) => {
             this.server.once("error", reject);
--- a/fleet/gateway/src/responseWriter.ts
+++ b/fleet/gateway/src/responseWriter.ts
@@ -1,18 +1,21 @@
 import type { ResponseHead } from "@knapweedwood/fleet.upstreams/responseHead";
 
-/** Passes an upstream's answer on to the caller. */
+/** Forwards an upstream's response to the caller. */
 export interface ResponseWriter {
-    /** Whether the caller has got a part of the answer. */
+    /** Whether a part of the response has been sent to the caller. */
     readonly hasStarted: boolean;
+    /** Status of the response; 0 before its head has arrived. */
     readonly statusCode: number;
-    /** Id of the last event that the caller got; undefined where a new run begins from the start. */
+    /** Id of the last event sent to the caller; undefined if a new attempt starts from the beginning. */
     readonly lastEventId: number | undefined;
+    /** @param isStopping whether the response has to ask the caller to close its connection */
     onHead(head: ResponseHead, isStopping: () => boolean): void;
-    /** @returns false where the caller reads too slowly; it emits `drain` when it has caught up */
+    /** Returns false if the caller reads too slowly; its response emits `drain` when it has caught up. */
     onData(chunk: Buffer): boolean;
-    /** Whether what has come is a whole answer, now that the upstream has ended it. */
+    /** Returns whether the data received is a complete response, after the upstream has ended it. */
     isComplete(): boolean;
+    /** Sends the remaining data and ends the response to the caller. */
     end(): void;
-    /** Prepares for the answer of another attempt. */
+    /** Prepares for the response of another attempt. */
     restart(): void;
 }
--- a/fleet/gateway/src/sendFailure.ts
+++ b/fleet/gateway/src/sendFailure.ts
@@ -3,7 +3,12 @@
 const MS_PER_SECOND = 1000;
 const RETRY_AFTER_DIGITS = 3;
 
-/** Answers with a failure of this process's own. */
+/**
+ * Responds with a JSON error of this process. Closes the connection instead if a response has already been started.
+ *
+ * @param opts.retryAfterMs sent as the `retry-after` header, in seconds
+ * @param opts.mustClose asks the caller to close its connection
+ */
 export function sendFailure(
     response: ServerResponse,
     opts: { statusCode: number; message: string; retryAfterMs?: number; mustClose?: boolean; },
--- a/fleet/gateway/src/streamResponseWriter.ts
+++ b/fleet/gateway/src/streamResponseWriter.ts
@@ -7,8 +7,8 @@
 const EVENT_END = "\n\n";
 
 /**
- * Passes a stream on as its parts arrive. Where the stream may be resumed, only whole events are passed on, so that
- * another run can go on after the last one within the same answer.
+ * Forwards a stream as its data arrives. For a resumable stream it forwards only complete events, so that another run
+ * can continue after the last event within the same response.
  */
 export class StreamResponseWriter implements ResponseWriter {
     hasStarted = false;
@@ -66,7 +66,7 @@
     }
 
     private writeEvents(chunk: Buffer): boolean {
-        // A run that ignores the id to resume from would repeat events that the caller has.
+        // A run that ignores the id to resume from would repeat events that the caller has received.
         const events = this.splitter
             .push(chunk)
             .filter(event => event.id === undefined || this.lastEventId === undefined || event.id > this.lastEventId);
@@ -79,7 +79,7 @@
         return this.response.write(chunk);
     }
 
-    /** The head goes out with the first part, so that a run that breaks before it can be replaced. */
+    /** Sends the head with the first data only, so that a run that fails before can be replaced. */
     private writeHeadOnce(): void {
         if (this.hasStarted) {
             return;
--- a/fleet/gateway/src/upstreamHeadersOf.ts
+++ b/fleet/gateway/src/upstreamHeadersOf.ts
@@ -5,14 +5,14 @@
 
 const MIN_REMAINING_MS = 1;
 
-/** The headers of a caller's request as an upstream gets them: its own, and the terms of this attempt. */
+/** Returns the headers for an upstream: the caller's forwardable headers and the headers of this attempt. */
 export function upstreamHeadersOf(opts: {
-    /** Names and values in turn. */
+    /** Alternating names and values, shape [2 * headers]. */
     rawHeaders: readonly string[];
     names: CallHeaderNames;
     upstreamId: UpstreamId;
     remainingMs: number;
-    /** Id of the event after which the attempt goes on; undefined where it begins from the start. */
+    /** Id of the event after which the attempt resumes; undefined if it starts from the beginning. */
     lastEventId: number | undefined;
 }): HeaderList {
     const { names, lastEventId } = opts;
--- a/fleet/gateway/test/forwarding.test.ts
+++ b/fleet/gateway/test/forwarding.test.ts
@@ -49,7 +49,7 @@
     };
 }
 
-test("a request goes on unchanged, with what is left of its time and the upstream that is meant", async () => {
+test("forwards a request unchanged, with its remaining time and the id of the expected upstream", async () => {
     const respond: Responder = (_request, response) => response.writeHead(201, PROOF).end("hello");
     await withGateway({ responders: [respond] }, async (testBed, [standin]) => {
         const received = await testBed.send({
@@ -67,7 +67,7 @@
     });
 });
 
-test("a stream that breaks never looks complete", async () => {
+test("never ends a broken stream as if it were complete", async () => {
     await withGateway({ responders: [cutStream(2)], route: { kind: "stream" } }, async testBed => {
         const received = await testBed.send();
         assert.equal(received.isComplete, false);
@@ -75,7 +75,7 @@
     });
 });
 
-test("a resumable stream goes on at another upstream within the same answer", async () => {
+test("resumes a broken resumable stream at another upstream within the same response", async () => {
     const route = { kind: "stream", isResumable: true, maxAttempts: 2 } as const;
     const resume: Responder = (request, response) => {
         const last = Number(request.headers["last-event-id"] ?? 0);
@@ -89,7 +89,7 @@
     });
 });
 
-test("an upstream that did not run the request makes a refusal that says when to come back", async () => {
+test("responds with 503 and a retry delay when the upstream did not run the request", async () => {
     const full: Responder = (_request, response) => response.writeHead(503, { "x-not-run": "1" }).end();
     await withGateway({ responders: [full], route: { kind: "non-idempotent" } }, async testBed => {
         const received = await testBed.send();
@@ -98,7 +98,7 @@
     });
 });
 
-test("a request that may have run is never said not to have run, nor sent again", async () => {
+test("neither retries a non-idempotent request that may have run nor reports it as not run", async () => {
     const reset: Responder = (_request, response) => response.destroy();
     const route = { kind: "non-idempotent", maxAttempts: 3 } as const;
     await withGateway({ responders: [reset, reset], route }, async (testBed, standins) => {
@@ -108,7 +108,7 @@
     });
 });
 
-test("an idempotent request whose answer is cut gets the whole one of another upstream", async () => {
+test("replaces a truncated response to an idempotent request by another upstream's complete response", async () => {
     const cut: Responder = (_request, response) => {
         response.writeHead(200, { ...PROOF, "content-length": "10" });
         response.write("hal");
@@ -126,14 +126,14 @@
     });
 });
 
-test("a success without the upstream's proof is not passed on", async () => {
+test("does not forward a successful response without the upstream's proof header", async () => {
     const bare: Responder = (_request, response) => response.writeHead(200).end("forged");
     await withGateway({ responders: [bare] }, async testBed => {
         assert.equal((await testBed.send()).statusCode, 502);
     });
 });
 
-test("an answer to another request is not passed on", async () => {
+test("does not forward a response to another request", async () => {
     const foreign: Responder = (_request, response) => {
         response.setHeader("x-request-id", "someone-else");
         response.writeHead(200, PROOF).end("theirs");
@@ -143,7 +143,7 @@
     });
 });
 
-test("the run ends at the upstream when the caller leaves", async () => {
+test("ends the run at the upstream when the caller disconnects", async () => {
     const slow: Responder = (_request, response) => {
         response.writeHead(200, PROOF);
         events(response, 1, 1);
@@ -157,14 +157,14 @@
     });
 });
 
-test("a request is answered when its route's time is up", async () => {
+test("responds with 504 when the route's timeout expires", async () => {
     const silent: Responder = () => undefined;
     await withGateway({ responders: [silent], route: { timeoutMs: 200, kind: "non-idempotent" } }, async testBed => {
         assert.equal((await testBed.send()).statusCode, 504);
     });
 });
 
-test("a process without a configuration refuses, one with it says what has no route or is too large", async () => {
+test("responds with 503 without a configuration, 404 without a route and 413 to a body that is too large", async () => {
     const respond: Responder = (_request, response) => response.writeHead(200, PROOF).end();
     await withGateway({ responders: [respond], isConfigured: false }, async testBed => {
         assert.equal((await testBed.send()).statusCode, 503);
@@ -175,7 +175,7 @@
     });
 });
 
-test("bytes after a whole answer close the connection and reach no other request", async () => {
+test("closes a connection that sends bytes after a complete response and forwards them to no request", async () => {
     let connections = 0;
     const server = createServer((socket: Socket) => {
         connections += 1;
@@ -211,7 +211,7 @@
     }
 }
 
-test("headers that concern one connection are not passed on, those that Connection names among them", async () => {
+test("does not forward hop-by-hop headers, including those listed in the Connection header", async () => {
     const respond: Responder = (_request, response) =>
         response.writeHead(200, { ...PROOF, "connection": "x-hop", "x-hop": "1", "x-end": "2" }).end("hello");
     await withGateway({ responders: [respond] }, async (testBed, [standin]) => {
@@ -224,7 +224,7 @@
     });
 });
 
-test("a resumable stream that falls silent midway goes on at another upstream", async () => {
+test("resumes a resumable stream at another upstream when its events stop", async () => {
     const silent: Responder = (_request, response) => {
         response.writeHead(200, PROOF);
         events(response, 1, 3);
@@ -236,6 +236,6 @@
         const ids = [...received.body.matchAll(/^id: (\d+)$/gmu)].map(match => Number(match[1]));
         assert.deepEqual([ids, received.isComplete], [[1, 2, 3, 4, 5, 6], true]);
         assert.equal(standins[1]!.requests[0]!.headers["last-event-id"], "3");
-        assert.equal(standins[0]!.closedEarlyCount, 1, "the silent run is ended");
+        assert.equal(standins[0]!.closedEarlyCount, 1, "the stalled run is ended");
     });
 });
--- a/fleet/gateway/test/gatewayTestBed.ts
+++ b/fleet/gateway/test/gatewayTestBed.ts
@@ -47,16 +47,16 @@
     maxWaitingTokens: undefined,
 };
 
-/** A whole answer as a caller saw it. */
+/** A response as received by a caller. */
 interface ReceivedResponse {
     statusCode: number;
     headers: IncomingMessage["headers"];
     body: string;
-    /** Whether the answer ended as HTTP wants it. */
+    /** Whether the response ended properly according to HTTP. */
     isComplete: boolean;
 }
 
-/** A gateway before stand-ins of upstreams. */
+/** A gateway in front of stand-ins of upstreams. */
 export class GatewayTestBed {
     readonly connections = new UpstreamConnections();
     readonly loadTracker = new LoadTracker();
--- a/fleet/gateway/test/upstreamStandin.ts
+++ b/fleet/gateway/test/upstreamStandin.ts
@@ -11,7 +11,7 @@
 } from "node:http";
 import type { AddressInfo } from "node:net";
 
-/** An upstream that answers as a test says, and remembers what it got. */
+/** An upstream that responds as a test specifies and records the requests that it receives. */
 export class UpstreamStandin {
     readonly requests: { method: string; url: string; headers: IncomingHttpHeaders; body: string; }[] = [];
     connectionCount = 0;
