--- a/fleet/gateway/src/jobRoutes.ts
+++ b/fleet/gateway/src/jobRoutes.ts
@@ -35,7 +35,7 @@
 
     /**
      * Handles a submission. Responds with 202 once the job is stored, 504 if it is unknown whether it is, 429 or 503 if
-     * the job was rejected, 400 if the submission is invalid.
+     * it was rejected, 400 if decoding or accepting it fails.
      */
     async submit(route: Route, jobId: string, body: Buffer, response: ServerResponse): Promise<void> {
         try {
--- a/fleet/gateway/src/onlineCall.ts
+++ b/fleet/gateway/src/onlineCall.ts
@@ -230,7 +230,7 @@
         this.writer.end();
     }
 
-    /** Counts server errors as failures, since an upstream that returns them seems alive but fails its callers. */
+    /** Counts server errors as failures, since an upstream that returns them seems alive but fails some callers. */
     private recordHealth(attempt: Attempt): void {
         const nowMs = this.context.clock.nowMs();
         if (this.writer.statusCode < HTTP_SERVER_ERROR) {
