--- a/fleet/load/src/leastLoadedPlacement.ts
+++ b/fleet/load/src/leastLoadedPlacement.ts
@@ -5,7 +5,7 @@
 import type { LoadTracker } from "./loadTracker.js";
 import type { PlacementPolicy } from "./placementPolicy.js";
 
-/** Weight of a batch run, relative to an online request. It is low since a batch run can be preempted and resumed. */
+/** Weight of a batch run, relative to an online request. It is low since preempting a run costs only its resumption. */
 const BATCH_WEIGHT = 0.1;
 /** Cost of the network path to another zone. An upstream there is chosen if it has fewer requests. */
 const OTHER_ZONE_WEIGHT = 0.6;
