--- a/bench/decisions/src/simulatedGateway.ts
+++ b/bench/decisions/src/simulatedGateway.ts
@@ -1,9 +1,9 @@
 import type { Clock } from "@knapweedwood/core.clock/clock";
 import type { ZoneName } from "@knapweedwood/core.ids/zoneName";
 import type { Random } from "@knapweedwood/core.random/random";
-import { FewestOnlinePlacement } from "@knapweedwood/fleet.load/fewestOnlinePlacement";
 import { HoldTimes } from "@knapweedwood/fleet.load/holdTimes";
-import { WaitingRoom } from "@knapweedwood/fleet.load/waitingRoom";
+import { LeastLoadedPlacement } from "@knapweedwood/fleet.load/leastLoadedPlacement";
+import { RequestQueue } from "@knapweedwood/fleet.load/requestQueue";
 import type { Upstream } from "@knapweedwood/fleet.view/upstream";
 import { BoardReporter } from "./boardReporter.js";
 import type { CallQueue } from "./callQueue.js";
@@ -26,10 +26,22 @@
         upstreams: () => Upstream[];
     }) {
         const { clock, random, zone, upstreams } = opts;
-        this.reporter = new BoardReporter(`gateway-${opts.index}`, () => room.waiting());
+        this.reporter = new BoardReporter(`gateway-${opts.index}`, () => room.waitingCounts());
         const { board } = this.reporter;
-        const placement = new FewestOnlinePlacement({ board, random, zone, connectionShare: () => Infinity });
-        const room = new WaitingRoom({ clock, random, board, holdTimes: this.holdTimes, placement, usable: upstreams });
+        const placement = new LeastLoadedPlacement({
+            loadTracker: board,
+            random,
+            zone,
+            connectionShare: () => Infinity,
+        });
+        const room = new RequestQueue({
+            clock,
+            random,
+            loadTracker: board,
+            holdTimes: this.holdTimes,
+            placement,
+            usableUpstreams: upstreams,
+        });
         switch (opts.policy) {
             case "ours":
                 this.queue = room;
--- a/fleet/gateway/src/bufferedAnswerWriter.ts
+++ b/fleet/gateway/src/bufferedResponseWriter.ts
@@ -1,13 +1,13 @@
-import type { AnswerHead } from "@knapweedwood/fleet.upstreams/answerHead";
+import type { ResponseHead } from "@knapweedwood/fleet.upstreams/responseHead";
 import type { ServerResponse } from "node:http";
-import type { AnswerWriter } from "./answerWriter.js";
+import type { ResponseWriter } from "./responseWriter.js";
 
-/** Holds an answer until it is whole, so that a broken one can be replaced by that of another upstream. */
-export class BufferedAnswerWriter implements AnswerWriter {
-    readonly hasBegun = false;
+/** Buffers a response until it is complete, so that a truncated response can be replaced by another upstream's. */
+export class BufferedResponseWriter implements ResponseWriter {
+    readonly hasStarted = false;
     readonly lastEventId = undefined;
     private readonly response: ServerResponse;
-    private head: AnswerHead | undefined;
+    private head: ResponseHead | undefined;
     private isStopping: () => boolean = () => false;
     private chunks: Buffer[] = [];
 
@@ -19,7 +19,7 @@
         return this.head?.statusCode ?? 0;
     }
 
-    onHead(head: AnswerHead, isStopping: () => boolean): void {
+    onHead(head: ResponseHead, isStopping: () => boolean): void {
         this.head = head;
         this.isStopping = isStopping;
     }
@@ -29,7 +29,7 @@
         return true;
     }
 
-    isWhole(): boolean {
+    isComplete(): boolean {
         return this.head !== undefined;
     }
 
--- a/fleet/gateway/src/chooseService.ts
+++ b/fleet/gateway/src/chooseService.ts
@@ -2,12 +2,12 @@
 import type { Random } from "@knapweedwood/core.random/random";
 import type { Route } from "@knapweedwood/fleet.view/route";
 
-/** Draws a service of the route by weight; undefined where the route has none. */
+/** Returns a service of the route, chosen at random by weight; undefined if the route has no services. */
 export function chooseService(route: Route, random: Random): ServiceName | undefined {
     const total = route.services.reduce((sum, part) => sum + part.weight, 0);
-    let left = random.next() * total;
+    let remaining = random.next() * total;
     return route.services.find(part => {
-        left -= part.weight;
-        return left < 0;
+        remaining -= part.weight;
+        return remaining < 0;
     })?.service ?? route.services[0]?.service;
 }
--- a/fleet/gateway/src/gatewayContext.ts
+++ b/fleet/gateway/src/gatewayContext.ts
@@ -1,32 +1,32 @@
 import type { Clock } from "@knapweedwood/core.clock/clock";
 import type { Random } from "@knapweedwood/core.random/random";
 import type { HoldTimes } from "@knapweedwood/fleet.load/holdTimes";
-import type { LoadBoard } from "@knapweedwood/fleet.load/loadBoard";
+import type { LoadTracker } from "@knapweedwood/fleet.load/loadTracker";
+import type { RequestQueue } from "@knapweedwood/fleet.load/requestQueue";
 import type { UpstreamHealth } from "@knapweedwood/fleet.load/upstreamHealth";
-import type { WaitingRoom } from "@knapweedwood/fleet.load/waitingRoom";
 import type { UpstreamConnections } from "@knapweedwood/fleet.upstreams/upstreamConnections";
-import type { CallHeaders } from "@knapweedwood/fleet.view/callHeaders";
-import type { ConfigurationInForce } from "@knapweedwood/fleet.view/configurationInForce";
+import type { ActiveConfiguration } from "@knapweedwood/fleet.view/activeConfiguration";
+import type { CallHeaderNames } from "@knapweedwood/fleet.view/callHeaderNames";
 import type { Logger } from "@knapweedwood/observability.logs/logger";
 import type { Metrics } from "@knapweedwood/observability.metrics/metrics";
 
-/** What requests of one gateway share. */
+/** State and services shared by the requests of one gateway. */
 export interface GatewayContext {
     clock: Clock;
     random: Random;
     logger: Logger;
     metrics: Metrics;
-    configuration: ConfigurationInForce;
+    configuration: ActiveConfiguration;
     connections: UpstreamConnections;
-    board: LoadBoard;
+    loadTracker: LoadTracker;
     health: UpstreamHealth;
     holdTimes: HoldTimes;
-    waitingRoom: WaitingRoom;
-    headers: CallHeaders;
-    /** Tells the other processes that the load has changed. */
+    requestQueue: RequestQueue;
+    headers: CallHeaderNames;
+    /** Notifies the other processes that the load has changed. */
     onLoadChanged: () => void;
-    /** Resolves once configuration and upstreams are known, or after a short while without them. */
-    whenInformed: () => Promise<void>;
-    /** Whether answers ask callers to close their connections. */
+    /** Resolves once the configuration and the upstreams are loaded, or after a short timeout. */
+    whenInitialized: () => Promise<void>;
+    /** Returns whether this process is stopping, so that responses ask callers to close their connections. */
     isStopping: () => boolean;
 }
--- a/fleet/gateway/src/streamAnswerWriter.ts
+++ b/fleet/gateway/src/streamResponseWriter.ts
@@ -1,21 +1,21 @@
-import type { AnswerHead } from "@knapweedwood/fleet.upstreams/answerHead";
 import { EventSplitter } from "@knapweedwood/fleet.upstreams/eventSplitter";
+import type { ResponseHead } from "@knapweedwood/fleet.upstreams/responseHead";
 import type { ServerResponse } from "node:http";
-import type { AnswerWriter } from "./answerWriter.js";
+import type { ResponseWriter } from "./responseWriter.js";
 
 const HTTP_OK = 200;
 const EVENT_END = "\n\n";
 
 /**
- * Passes a stream on as its parts arrive. Where the stream may be resumed, only whole events are passed on, so that
- * another run can go on after the last one within the same answer.
+ * Forwards a stream as its data arrives. For a resumable stream it forwards only complete events, so that another run
+ * can continue after the last event within the same response.
  */
-export class StreamAnswerWriter implements AnswerWriter {
-    hasBegun = false;
+export class StreamResponseWriter implements ResponseWriter {
+    hasStarted = false;
     lastEventId: number | undefined;
     private readonly response: ServerResponse;
     private readonly isResumable: boolean;
-    private head: AnswerHead | undefined;
+    private head: ResponseHead | undefined;
     private isStopping: () => boolean = () => false;
     private splitter = new EventSplitter();
     private tail = "";
@@ -29,20 +29,20 @@
         return this.head?.statusCode ?? 0;
     }
 
-    onHead(head: AnswerHead, isStopping: () => boolean): void {
+    onHead(head: ResponseHead, isStopping: () => boolean): void {
         this.head = head;
         this.isStopping = isStopping;
     }
 
     onData(chunk: Buffer): boolean {
         if (this.isResumable && this.statusCode === HTTP_OK) {
-            return this.passEvents(chunk);
+            return this.writeEvents(chunk);
         }
         this.tail = (this.tail + chunk.toString("latin1")).slice(-EVENT_END.length);
         return this.write(chunk);
     }
 
-    isWhole(): boolean {
+    isComplete(): boolean {
         if (this.head === undefined) {
             return false;
         }
@@ -53,20 +53,20 @@
     }
 
     end(): void {
-        this.begin();
+        this.writeHeadOnce();
         this.response.end();
     }
 
     restart(): void {
-        if (!this.hasBegun) {
+        if (!this.hasStarted) {
             this.head = undefined;
         }
         this.splitter = new EventSplitter();
         this.tail = "";
     }
 
-    private passEvents(chunk: Buffer): boolean {
-        // A run that ignores the id to resume from would repeat events that the caller has.
+    private writeEvents(chunk: Buffer): boolean {
+        // A run that ignores the id to resume from would repeat events that the caller has received.
         const events = this.splitter
             .push(chunk)
             .filter(event => event.id === undefined || this.lastEventId === undefined || event.id > this.lastEventId);
@@ -75,16 +75,16 @@
     }
 
     private write(chunk: Buffer): boolean {
-        this.begin();
+        this.writeHeadOnce();
         return this.response.write(chunk);
     }
 
-    /** The head goes out with the first part, so that a run that breaks before it can be replaced. */
-    private begin(): void {
-        if (this.hasBegun) {
+    /** Sends the head with the first data only, so that a run that fails before can be replaced. */
+    private writeHeadOnce(): void {
+        if (this.hasStarted) {
             return;
         }
-        this.hasBegun = true;
+        this.hasStarted = true;
         const headers = [...this.head!.headers];
         if (this.isStopping()) {
             headers.push("connection", "close");
--- a/fleet/gateway/test/gatewayBed.ts
+++ b/fleet/gateway/test/gatewayTestBed.ts
@@ -1,12 +1,12 @@
 import { SystemClock } from "@knapweedwood/core.clock/systemClock";
 import { SeededRandom } from "@knapweedwood/core.random/seededRandom";
-import { FewestOnlinePlacement } from "@knapweedwood/fleet.load/fewestOnlinePlacement";
 import { HoldTimes } from "@knapweedwood/fleet.load/holdTimes";
-import { LoadBoard } from "@knapweedwood/fleet.load/loadBoard";
+import { LeastLoadedPlacement } from "@knapweedwood/fleet.load/leastLoadedPlacement";
+import { LoadTracker } from "@knapweedwood/fleet.load/loadTracker";
+import { RequestQueue } from "@knapweedwood/fleet.load/requestQueue";
 import { UpstreamHealth } from "@knapweedwood/fleet.load/upstreamHealth";
-import { WaitingRoom } from "@knapweedwood/fleet.load/waitingRoom";
 import { UpstreamConnections } from "@knapweedwood/fleet.upstreams/upstreamConnections";
-import { ConfigurationInForce } from "@knapweedwood/fleet.view/configurationInForce";
+import { ActiveConfiguration } from "@knapweedwood/fleet.view/activeConfiguration";
 import type { Route } from "@knapweedwood/fleet.view/route";
 import type { Upstream } from "@knapweedwood/fleet.view/upstream";
 import { silentLogger } from "@knapweedwood/observability.logs/silentLogger";
@@ -47,19 +47,19 @@
     maxWaitingTokens: undefined,
 };
 
-/** A whole answer as a caller saw it. */
-interface SeenAnswer {
+/** A response as received by a caller. */
+interface ReceivedResponse {
     statusCode: number;
     headers: IncomingMessage["headers"];
     body: string;
-    /** Whether the answer ended as HTTP wants it. */
+    /** Whether the response ended properly according to HTTP. */
     isComplete: boolean;
 }
 
-/** A gateway before stand-ins of upstreams. */
-export class GatewayBed {
+/** A gateway in front of stand-ins of upstreams. */
+export class GatewayTestBed {
     readonly connections = new UpstreamConnections();
-    readonly board = new LoadBoard();
+    readonly loadTracker = new LoadTracker();
     isStopping = false;
     private readonly server: GatewayServer;
     private port = 0;
@@ -69,7 +69,7 @@
     ) {
         const clock = new SystemClock();
         const random = new SeededRandom(1);
-        const configuration = new ConfigurationInForce();
+        const configuration = new ActiveConfiguration();
         if (opts.isConfigured !== false) {
             const limits = {
                 maxHeaderBytes: 4096,
@@ -79,20 +79,20 @@
             };
             configuration.adopt({ version: 1, routes: [{ ...defaultRoute, ...opts.route }], services: [], limits });
         }
-        const { board, connections } = this;
+        const { loadTracker, connections } = this;
         const holdTimes = new HoldTimes();
-        const waitingRoom = new WaitingRoom({
+        const requestQueue = new RequestQueue({
             clock,
             random,
-            board,
+            loadTracker,
             holdTimes,
-            placement: new FewestOnlinePlacement({
-                board,
+            placement: new LeastLoadedPlacement({
+                loadTracker,
                 random,
                 zone: "z" as Upstream["zone"],
                 connectionShare: () => Infinity,
             }),
-            usable: () => opts.upstreams,
+            usableUpstreams: () => opts.upstreams,
         });
         const context: GatewayContext = {
             clock,
@@ -101,13 +101,13 @@
             metrics: silentMetrics,
             configuration,
             connections,
-            board,
+            loadTracker,
             health: new UpstreamHealth(),
             holdTimes,
-            waitingRoom,
+            requestQueue,
             headers,
             onLoadChanged: () => undefined,
-            whenInformed: () => Promise.resolve(),
+            whenInitialized: () => Promise.resolve(),
             isStopping: () => this.isStopping,
         };
         const protocol = { headers, readinessPath: "/ready", parseJobCall: () => undefined } as Partial<CallerProtocol>;
@@ -136,7 +136,7 @@
         return request;
     }
 
-    send(opts: Parameters<GatewayBed["open"]>[0] = {}): Promise<SeenAnswer> {
+    send(opts: Parameters<GatewayTestBed["open"]>[0] = {}): Promise<ReceivedResponse> {
         return new Promise((resolve, reject) => {
             const request = this.open(opts);
             request.on("error", reject);
--- a/fleet/gateway/test/upstreamStandin.ts
+++ b/fleet/gateway/test/upstreamStandin.ts
@@ -11,14 +11,14 @@
 } from "node:http";
 import type { AddressInfo } from "node:net";
 
-/** An upstream that answers as a test says, and remembers what it got. */
+/** An upstream that responds as a test specifies and records the requests that it receives. */
 export class UpstreamStandin {
     readonly requests: { method: string; url: string; headers: IncomingHttpHeaders; body: string; }[] = [];
     connectionCount = 0;
     closedEarlyCount = 0;
     private readonly server: Server;
 
-    constructor(answer: (request: IncomingMessage, response: ServerResponse) => void) {
+    constructor(respond: (request: IncomingMessage, response: ServerResponse) => void) {
         this.server = createServer((request, response) => {
             const chunks: Buffer[] = [];
             request.on("data", (chunk: Buffer) => chunks.push(chunk));
@@ -27,7 +27,7 @@
                 const { method = "", url = "", headers } = request;
                 this.requests.push({ method, url, headers, body });
                 response.setHeader("x-request-id", String(headers["x-request-id"]));
-                answer(request, response);
+                respond(request, response);
             });
             response.on("close", () => {
                 this.closedEarlyCount += response.writableFinished ? 0 : 1;
--- a/fleet/jobs/src/inFlightItems.ts
+++ b/fleet/jobs/src/inFlightItems.ts
@@ -55,8 +55,8 @@
             itemId: item.id,
             upstream: upstream.id,
             resumedAfter: item.lastEventId,
-            online: this.opts.loadTracker.online(upstream.id),
-            batch: this.opts.loadTracker.batch(upstream.id),
+            online: this.opts.loadTracker.onlineCount(upstream.id),
+            batch: this.opts.loadTracker.batchCount(upstream.id),
         });
         run.start(this.opts.connections, { host: job.record.host, body: job.bodyOf(item) });
     }
@@ -79,7 +79,7 @@
                     jobId: inFlightItem.job.record.jobId,
                     itemId: inFlightItem.run.item.id,
                     upstream: inFlightItem.run.upstream.id,
-                    online: this.opts.loadTracker.online(inFlightItem.run.upstream.id),
+                    online: this.opts.loadTracker.onlineCount(inFlightItem.run.upstream.id),
                     events: inFlightItem.run.item.lastEventId,
                 });
                 this.opts.metrics.increment("items_displaced_total");
@@ -103,8 +103,8 @@
     candidateOf(upstream: Upstream): BatchCandidate {
         return {
             upstream,
-            online: this.opts.loadTracker.online(upstream.id),
-            batch: this.opts.loadTracker.batch(upstream.id),
+            online: this.opts.loadTracker.onlineCount(upstream.id),
+            batch: this.opts.loadTracker.batchCount(upstream.id),
         };
     }
 
--- a/fleet/jobs/src/itemRunHeaders.ts
+++ b/fleet/jobs/src/itemRunHeaders.ts
@@ -1,7 +1,7 @@
-import type { CallHeaders } from "@knapweedwood/fleet.view/callHeaders";
+import type { CallHeaderNames } from "@knapweedwood/fleet.view/callHeaderNames";
 
 /** Names of the headers used by a run of an item. */
 export type ItemRunHeaders = Pick<
-    CallHeaders,
+    CallHeaderNames,
     "requestId" | "expectedUpstream" | "lastEventId" | "notRun" | "upstreamProof"
 >;
--- a/fleet/jobs/src/jobRunner.ts
+++ b/fleet/jobs/src/jobRunner.ts
@@ -246,7 +246,7 @@
 
     /** Returns the upstreams that may take items. There are none while an online request of the service waits. */
     private candidates(service: ServiceName, nowMs: number): BatchCandidate[] {
-        if (this.opts.loadTracker.waitingElsewhere(service) > 0) {
+        if (this.opts.loadTracker.waitingAtPeers(service) > 0) {
             return [];
         }
         return this.opts.directory
--- a/fleet/jobs/src/jobRunnerOptions.ts
+++ b/fleet/jobs/src/jobRunnerOptions.ts
@@ -1,11 +1,11 @@
 import type { Clock } from "@knapweedwood/core.clock/clock";
 import type { SnapshotKeyValueService } from "@knapweedwood/core.key-value/snapshotKeyValueService";
 import type { Random } from "@knapweedwood/core.random/random";
-import type { LoadBoard } from "@knapweedwood/fleet.load/loadBoard";
+import type { LoadTracker } from "@knapweedwood/fleet.load/loadTracker";
 import type { UpstreamHealth } from "@knapweedwood/fleet.load/upstreamHealth";
 import type { Leadership } from "@knapweedwood/fleet.sync/leadership";
 import type { UpstreamConnections } from "@knapweedwood/fleet.upstreams/upstreamConnections";
-import type { ConfigurationInForce } from "@knapweedwood/fleet.view/configurationInForce";
+import type { ActiveConfiguration } from "@knapweedwood/fleet.view/activeConfiguration";
 import type { UpstreamDirectory } from "@knapweedwood/fleet.view/upstreamDirectory";
 import type { Logger } from "@knapweedwood/observability.logs/logger";
 import type { Metrics } from "@knapweedwood/observability.metrics/metrics";
@@ -20,10 +20,10 @@
     logger: Logger;
     metrics: Metrics;
     leadership: Leadership;
-    configuration: ConfigurationInForce;
+    configuration: ActiveConfiguration;
     directory: UpstreamDirectory;
     connections: UpstreamConnections;
-    loadTracker: LoadBoard;
+    loadTracker: LoadTracker;
     health: UpstreamHealth;
     headers: ItemRunHeaders;
     /** Returns how long an ended job stays readable after its acceptance, in milliseconds. */
--- /dev/null
+++ b/fleet/load/src/loadTracker.ts
@@ -0,0 +1,102 @@
+import type { InstanceName } from "@knapweedwood/core.ids/instanceName";
+import type { ServiceName } from "@knapweedwood/core.ids/serviceName";
+import type { UpstreamId } from "@knapweedwood/core.ids/upstreamId";
+import type { LoadReport } from "./loadReport.js";
+import type { UpstreamCount } from "./upstreamCount.js";
+
+/** Time without a report after which a process counts as disconnected, in milliseconds. */
+const REPORT_VALID_MS = 1500;
+
+interface ReceivedReport {
+    report: LoadReport;
+    atMs: number;
+}
+
+/** Tracks the requests at each upstream over all processes: this process's counts and the last reports of its peers. */
+export class LoadTracker {
+    private readonly own = new Map<UpstreamId, UpstreamCount>();
+    private readonly reports = new Map<InstanceName, ReceivedReport>();
+    private readonly peerCounts = new Map<UpstreamId, UpstreamCount>();
+
+    /** Adds a request of this process at an upstream; a `change` of -1 removes it. */
+    count(upstreamId: UpstreamId, kind: "online" | "batch", change: 1 | -1): void {
+        const counts = this.own.get(upstreamId) ?? { upstreamId, online: 0, batch: 0 };
+        counts[kind] = Math.max(0, counts[kind] + change);
+        this.own.set(upstreamId, counts);
+        if (counts.online + counts.batch === 0) {
+            this.own.delete(upstreamId);
+        }
+    }
+
+    /**
+     * Applies a peer's report unless a newer one has been applied.
+     *
+     * @returns whether it was applied
+     */
+    apply(report: LoadReport, nowMs: number): boolean {
+        const previous = this.reports.get(report.instanceName)?.report;
+        if (previous !== undefined && !isNewer(report, previous)) {
+            return false;
+        }
+        this.reports.set(report.instanceName, { report, atMs: nowMs });
+        this.sumPeerCounts();
+        return true;
+    }
+
+    /** Drops reports that are no longer valid. */
+    expire(nowMs: number): void {
+        const stale = [...this.reports].filter(([, received]) => received.atMs + REPORT_VALID_MS < nowMs);
+        stale.forEach(([name]) => this.reports.delete(name));
+        if (stale.length > 0) {
+            this.sumPeerCounts();
+        }
+    }
+
+    /** Returns the number of online requests at an upstream over all processes. */
+    onlineCount(upstreamId: UpstreamId): number {
+        return (this.own.get(upstreamId)?.online ?? 0) + (this.peerCounts.get(upstreamId)?.online ?? 0);
+    }
+
+    /** Returns the number of batch runs at an upstream over all processes. */
+    batchCount(upstreamId: UpstreamId): number {
+        return (this.own.get(upstreamId)?.batch ?? 0) + (this.peerCounts.get(upstreamId)?.batch ?? 0);
+    }
+
+    /** Returns the number of online requests of this process at an upstream. */
+    ownOnlineCount(upstreamId: UpstreamId): number {
+        return this.own.get(upstreamId)?.online ?? 0;
+    }
+
+    /** Returns the requests of this process by upstream, shape [upstreams]. */
+    ownCounts(): UpstreamCount[] {
+        return [...this.own.values()];
+    }
+
+    /** Returns the number of online requests of a service that are queued at peers. */
+    waitingAtPeers(service: ServiceName): number {
+        return [...this.reports.values()]
+            .flatMap(received => received.report.waiting)
+            .filter(waiting => waiting.service === service)
+            .reduce((sum, waiting) => sum + waiting.count, 0);
+    }
+
+    /** Returns whether any peer reports that it can reach the key-value service. */
+    isKeyValueReachableByPeer(): boolean {
+        return [...this.reports.values()].some(received => received.report.isKeyValueReachable);
+    }
+
+    private sumPeerCounts(): void {
+        this.peerCounts.clear();
+        [...this.reports.values()].flatMap(received => received.report.counts).forEach(count => {
+            const sum = this.peerCounts.get(count.upstreamId) ?? { upstreamId: count.upstreamId, online: 0, batch: 0 };
+            sum.online += count.online;
+            sum.batch += count.batch;
+            this.peerCounts.set(count.upstreamId, sum);
+        });
+    }
+}
+
+function isNewer(report: LoadReport, previous: LoadReport): boolean {
+    return report.startedAtMs > previous.startedAtMs
+        || (report.startedAtMs === previous.startedAtMs && report.sequence > previous.sequence);
+}
--- /dev/null
+++ b/fleet/load/src/requestQueue.ts
@@ -0,0 +1,128 @@
+import type { Clock } from "@knapweedwood/core.clock/clock";
+import type { ServiceName } from "@knapweedwood/core.ids/serviceName";
+import type { Random } from "@knapweedwood/core.random/random";
+import type { Upstream } from "@knapweedwood/fleet.view/upstream";
+import { decideAdmission } from "./decideAdmission.js";
+import { FIRST_RESPONSE_MS } from "./firstResponseMs.js";
+import type { HoldTimes } from "./holdTimes.js";
+import type { LoadTracker } from "./loadTracker.js";
+import type { PlacementPolicy } from "./placementPolicy.js";
+import type { QueuedRequest } from "./queuedRequest.js";
+
+/** Maximum jitter added to the retry delay of rejected callers, as a share of the delay. */
+const RETRY_JITTER = 0.3;
+
+interface RequestQueueOptions {
+    clock: Clock;
+    random: Random;
+    loadTracker: LoadTracker;
+    holdTimes: HoldTimes;
+    placement: PlacementPolicy;
+    /** Returns the upstreams of a service that may receive requests now, shape [upstreams]. */
+    usableUpstreams: (service: ServiceName) => Upstream[];
+}
+
+/**
+ * Queues online requests until a slot is free. Requests wait here and not in the queue of an upstream, where they could
+ * neither be placed at another upstream nor be rejected.
+ */
+export class RequestQueue {
+    private readonly opts: RequestQueueOptions;
+    private requests: QueuedRequest[] = [];
+
+    constructor(opts: RequestQueueOptions) {
+        this.opts = opts;
+    }
+
+    /** Places, queues or rejects the request. */
+    submit(request: QueuedRequest): void {
+        const nowMs = this.opts.clock.nowMs();
+        const isFirstInLine = !this.requests.some(other =>
+            other.service === request.service && compareByUrgency(other, request, nowMs) < 0
+        );
+        const upstream = isFirstInLine ? this.place(request) : undefined;
+        if (upstream !== undefined) {
+            request.onPlaced(upstream);
+            return;
+        }
+        const decision = decideAdmission(this.inputsOf(request));
+        if (decision.kind === "reject") {
+            this.reject(request, decision.retryAfterMs, "no slot in time");
+            return;
+        }
+        this.requests.push(request);
+    }
+
+    /** Removes a request whose caller has disconnected. */
+    remove(request: QueuedRequest): void {
+        this.requests = this.requests.filter(other => other !== request);
+    }
+
+    /** Places queued requests at upstreams with free slots and rejects the requests whose callers have timed out. */
+    dispatch(): void {
+        const nowMs = this.opts.clock.nowMs();
+        this.requests.filter(request => request.callerTimeoutAtMs <= nowMs).forEach(request => {
+            this.remove(request);
+            this.reject(request, 0, "the caller's time is up");
+        });
+        // A service without a free slot can't accept a later request either.
+        const full = new Set<ServiceName>();
+        this.requests.sort((left, right) => compareByUrgency(left, right, nowMs));
+        [...this.requests].forEach(request => {
+            const upstream = full.has(request.service) ? undefined : this.place(request);
+            if (upstream === undefined) {
+                full.add(request.service);
+                return;
+            }
+            this.remove(request);
+            request.onPlaced(upstream);
+        });
+    }
+
+    /** Returns the number of queued requests by service, shape [services]. */
+    waitingCounts(): { service: ServiceName; count: number; }[] {
+        return [...new Set(this.requests.map(request => request.service))].map(service => ({
+            service,
+            count: this.requests.filter(request => request.service === service).length,
+        }));
+    }
+
+    private place(request: QueuedRequest): Upstream | undefined {
+        const candidates = this.opts.usableUpstreams(request.service).filter(upstream =>
+            !request.excluded.has(upstream.id)
+        );
+        return this.opts.placement.placeOnline(candidates);
+    }
+
+    private inputsOf(request: QueuedRequest) {
+        const nowMs = this.opts.clock.nowMs();
+        const same = this.requests.filter(other => other.service === request.service);
+        const ahead = same.filter(other => compareByUrgency(other, request, nowMs) <= 0);
+        // Peers report only the number of their queued requests; the same mix as in this queue is assumed.
+        const shareAhead = same.length === 0 ? 1 : ahead.length / same.length;
+        return {
+            waitingAhead: ahead.length + this.opts.loadTracker.waitingAtPeers(request.service) * shareAhead,
+            slots: this.opts.usableUpstreams(request.service).reduce((sum, upstream) => sum + upstream.slots, 0),
+            meanHoldMs: this.opts.holdTimes.meanMs(request.service),
+            objectiveLeftMs: request.objectiveAtMs - nowMs,
+            callerTimeLeftMs: request.callerTimeoutAtMs - nowMs,
+            isRetry: request.isRetry,
+        };
+    }
+
+    private reject(request: QueuedRequest, retryAfterMs: number, reason: string): void {
+        request.onRejected(retryAfterMs * (1 + this.opts.random.next() * RETRY_JITTER), reason);
+    }
+}
+
+/**
+ * Compares requests by priority, then requests that can still meet their objective first, then first attempts before
+ * retries, then by arrival. Late requests at the front of the queue would make the others late in turn.
+ */
+function compareByUrgency(left: QueuedRequest, right: QueuedRequest, nowMs: number): number {
+    const isLate = (request: QueuedRequest) => Number(nowMs + FIRST_RESPONSE_MS > request.objectiveAtMs);
+    return left.priority - right.priority
+        || isLate(left) - isLate(right)
+        || Number(left.isRetry) - Number(right.isRetry)
+        || left.arrivedAtMs - right.arrivedAtMs;
+}
--- a/fleet/load/test/loadReportCodec.test.ts
+++ b/fleet/load/test/loadReportCodec.test.ts
@@ -10,7 +10,7 @@
     instanceName: "entry-1" as InstanceName,
     startedAtMs: 1_777_167_943_056,
     sequence: 7,
-    isInTouch: true,
+    isKeyValueReachable: true,
     ejected: ["u-2" as UpstreamId],
     counts: [
         { upstreamId: "u-1" as UpstreamId, online: 3, batch: 4 },
@@ -23,11 +23,11 @@
     leader: { instanceName: "runner-1" as InstanceName, fencingNumber: 31 },
 };
 
-test("a report comes back as it was", () => {
+test("decodes an encoded report unchanged", () => {
     const codec = new LoadReportCodec();
     assert.deepEqual(codec.decode(codec.encode(report)), report);
 });
 
-test("bytes that are no report are refused", () => {
+test("throws when the bytes are not a report", () => {
     assert.throws(() => new LoadReportCodec().decode(Buffer.from([0x01])));
 });
