--- a/links/endpoint/src/acceptedLink.ts
+++ b/links/endpoint/src/acceptedLink.ts
@@ -5,7 +5,7 @@
 import type { LinkConnection } from "./linkConnection.js";
 import type { LinkTools } from "./linkTools.js";
 import type { MessageOf } from "./messageOf.js";
-import { PingWatch } from "./pingWatch.js";
+import { PingMonitor } from "./pingMonitor.js";
 import { protocolVersion } from "./protocolVersion.js";
 
 interface AcceptedLinkOptions {
@@ -18,14 +18,14 @@
 /** The end of a link that accepts. It keeps the session for a while when its connection is lost. */
 export class AcceptedLink extends BaseLink {
     private readonly opts: AcceptedLinkOptions;
-    private watch: PingWatch;
+    private pingMonitor: PingMonitor;
     private timer: Timer | undefined;
     private timerDueMs = 0;
 
     constructor(opts: AcceptedLinkOptions) {
         super(opts.tools);
         this.opts = opts;
-        this.watch = this.createWatch();
+        this.pingMonitor = this.createPingMonitor();
     }
 
     /** Whether a connection is in use. */
@@ -36,7 +36,7 @@
     /** Takes over a connection whose `hello` named this session. */
     accept(connection: LinkConnection, hello: MessageOf<"hello">, isNew: boolean): void {
         this.detach();
-        this.watch = this.createWatch();
+        this.pingMonitor = this.createPingMonitor();
         this.transition("welcomed");
         connection.sendMessage({
             type: "welcome",
@@ -48,7 +48,7 @@
         });
         this.attach(connection, hello.identity, isNew ? 0 : hello.received, hello.maxMessageBytes);
         this.report(isNew ? "link.accepted" : "link.accepted_again");
-        this.setTimer(this.tools.limits.heartbeatIntervalMs, () => this.look());
+        this.setTimer(this.tools.limits.heartbeatIntervalMs, () => this.checkLiveness());
     }
 
     /** Takes in a message from `from`; one from a connection that was replaced is dropped. */
@@ -58,7 +58,7 @@
             return;
         }
         if (message.type === "ping") {
-            this.watch.onPing(this.tools.clock.nowMs(), message.intervalMs);
+            this.pingMonitor.onPing(this.tools.clock.nowMs(), message.intervalMs);
             this.transition("beatAnswered");
             this.connection.sendMessage({
                 type: "pong",
@@ -79,7 +79,7 @@
             this.end(reason);
             return;
         }
-        this.lose(reason);
+        this.dropConnection(reason);
     }
 
     onConnectionDrained(from: LinkConnection): void {
@@ -119,20 +119,20 @@
         this.end(new KnapweedError("LINK_CLOSED", "The other end closed the link"));
     }
 
-    private look(): void {
+    private checkLiveness(): void {
         const nowMs = this.tools.clock.nowMs();
-        this.watch.excuse(Math.max(0, nowMs - this.timerDueMs));
-        const verdict = this.watch.verdict(nowMs);
-        if (verdict === "silent") {
-            this.lose(new KnapweedError("LINK_SILENT", "The connection went silent"));
+        this.pingMonitor.excludeStall(Math.max(0, nowMs - this.timerDueMs));
+        const liveness = this.pingMonitor.liveness(nowMs);
+        if (liveness === "silent") {
+            this.dropConnection(new KnapweedError("LINK_SILENT", "The connection went silent"));
             return;
         }
-        this.transition(verdict === "suspect" ? "beatMissed" : "beatAnswered");
+        this.transition(liveness === "suspect" ? "beatMissed" : "beatAnswered");
         const { heartbeatIntervalMs, idleHeartbeatIntervalMs } = this.tools.limits;
-        this.setTimer(this.callCount > 0 ? heartbeatIntervalMs : idleHeartbeatIntervalMs, () => this.look());
+        this.setTimer(this.callCount > 0 ? heartbeatIntervalMs : idleHeartbeatIntervalMs, () => this.checkLiveness());
     }
 
-    private lose(reason: KnapweedError): void {
+    private dropConnection(reason: KnapweedError): void {
         this.detach();
         this.transition("lostByPeer");
         this.report("link.lost", reason);
@@ -141,8 +141,8 @@
         });
     }
 
-    private createWatch(): PingWatch {
-        return new PingWatch({ silentAfterMs: this.tools.limits.silentAfterMs }, this.tools.clock.nowMs());
+    private createPingMonitor(): PingMonitor {
+        return new PingMonitor({ silentAfterMs: this.tools.limits.silentAfterMs }, this.tools.clock.nowMs());
     }
 
     private setTimer(delayMs: number, action: () => void): void {
--- a/links/endpoint/src/baseLink.ts
+++ b/links/endpoint/src/baseLink.ts
@@ -29,7 +29,7 @@
 
     constructor(tools: LinkTools) {
         this.tools = tools;
-        this.session = new LinkSession({ ...tools, onWritable: () => this.onWritable() });
+        this.session = new LinkSession({ ...tools, onPendingMessages: () => this.onPendingMessages() });
     }
 
     get state(): Link["state"] {
@@ -85,8 +85,8 @@
     protected attach(connection: LinkConnection, peer: PeerIdentity, received: number, maxMessageBytes: number): void {
         this.connection = connection;
         this.session.attach(peer, received, maxMessageBytes);
-        this.pump();
-        this.session.onRoom();
+        this.writePending();
+        this.session.onCapacityAvailable();
     }
 
     /** Stops using the present connection. The session stays. */
@@ -105,7 +105,7 @@
     }
 
     /** Writes what is due while the connection has room. */
-    protected pump(): void {
+    protected writePending(): void {
         while (this.connection !== undefined && !this.connection.isFull) {
             const bytes = this.session.next();
             if (bytes === undefined) {
@@ -138,13 +138,13 @@
 
     protected onAcknowledged(received: number): void {
         this.session.acknowledge(received);
-        this.pump();
+        this.writePending();
     }
 
     /** Called when a connection has room again. */
     protected onDrained(): void {
-        this.pump();
-        this.session.onRoom();
+        this.writePending();
+        this.session.onCapacityAvailable();
     }
 
     /** Counts and logs an event in the life of the link. */
@@ -154,8 +154,8 @@
         this.tools.logger.info(event, { ...fields, peer: this.peer?.instanceId, protocolVersion });
     }
 
-    private onWritable(): void {
-        this.pump();
+    private onPendingMessages(): void {
+        this.writePending();
     }
 
     private onNotification(name: string, payload: unknown): void {
--- a/links/endpoint/src/dialedLink.ts
+++ b/links/endpoint/src/dialedLink.ts
@@ -28,7 +28,7 @@
     private readonly opts: DialedLinkOptions;
     private sessionId = randomUUID();
     private readonly backoff: Backoff;
-    private heartbeat: HeartbeatMonitor | undefined;
+    private heartbeatMonitor: HeartbeatMonitor | undefined;
     private attempt: LinkConnection | undefined;
     private timers: { [name: string]: Timer | undefined; } = {};
     private refusals = 0;
@@ -64,7 +64,7 @@
             this.awaitOpen();
             return;
         }
-        this.beat();
+        this.runHeartbeat();
     }
 
     protected onGoodbye(): void {
@@ -117,7 +117,7 @@
             return;
         }
         if (message.type === "pong") {
-            this.heartbeat?.onPong(message.sequence);
+            this.heartbeatMonitor?.onPong(message.sequence);
             this.transition("beatAnswered");
             this.onAcknowledged(message.received);
             return;
@@ -135,7 +135,7 @@
         this.refusals = 0;
         this.backoff.reset();
         this.transition("welcomed");
-        this.heartbeat = new HeartbeatMonitor({
+        this.heartbeatMonitor = new HeartbeatMonitor({
             intervalMs: limits.heartbeatIntervalMs,
             idleIntervalMs: limits.idleHeartbeatIntervalMs,
             silentAfterMs: limits.silentAfterMs,
@@ -143,7 +143,7 @@
         });
         this.attach(from, message.identity, message.received, message.maxMessageBytes);
         this.report(message.resumed ? "link.resumed" : "link.opened");
-        this.beat();
+        this.runHeartbeat();
     }
 
     private onRefusal(message: MessageOf<"refusal">): void {
@@ -152,20 +152,20 @@
         this.session.failUnwritten(error.code, error.message);
     }
 
-    private beat(): void {
-        if (this.connection === undefined || this.heartbeat === undefined) {
+    private runHeartbeat(): void {
+        if (this.connection === undefined || this.heartbeatMonitor === undefined) {
             return;
         }
-        const decision = this.heartbeat.tick(this.tools.clock.nowMs(), this.callCount > 0);
-        if (decision.verdict === "silent") {
+        const decision = this.heartbeatMonitor.tick(this.tools.clock.nowMs(), this.callCount > 0);
+        if (decision.liveness === "silent") {
             this.replace(new KnapweedError("LINK_SILENT", "The connection went silent"));
             return;
         }
-        this.transition(decision.verdict === "suspect" ? "beatMissed" : "beatAnswered");
+        this.transition(decision.liveness === "suspect" ? "beatMissed" : "beatAnswered");
         if (decision.ping !== undefined) {
             this.connection.sendMessage({ type: "ping", ...decision.ping, received: this.session.received });
         }
-        this.setTimer("heartbeat", decision.nextTickMs, () => this.beat());
+        this.setTimer("heartbeat", decision.nextTickMs, () => this.runHeartbeat());
     }
 
     private onConnectionClosed(from: LinkConnection, reason: KnapweedError): void {
@@ -185,7 +185,7 @@
         }
         this.detach();
         this.attempt = undefined;
-        this.heartbeat = undefined;
+        this.heartbeatMonitor = undefined;
         this.transition("lost");
         ["connect", "heartbeat"].forEach(name => this.clearTimer(name));
         if (wasOpen) {
--- a/links/endpoint/src/heartbeatMonitor.ts
+++ b/links/endpoint/src/heartbeatMonitor.ts
@@ -39,7 +39,7 @@
     }
 
     tick(nowMs: number, isBusy: boolean): HeartbeatDecision {
-        this.excuseStall(nowMs);
+        this.excludeStall(nowMs);
         const intervalMs = isBusy ? this.opts.intervalMs : this.opts.idleIntervalMs;
         const dueAfterMs = Math.min(intervalMs, this.announcedIntervalMs);
         const ping = nowMs - this.lastPingAtMs >= dueAfterMs - TIMER_TOLERANCE_MS
@@ -47,7 +47,7 @@
             : undefined;
         const nextTickMs = this.nextTickMs(nowMs, Math.min(intervalMs, this.announcedIntervalMs));
         this.nextTickAtMs = nowMs + nextTickMs;
-        return { verdict: this.verdict(nowMs), ping, nextTickMs };
+        return { liveness: this.liveness(nowMs), ping, nextTickMs };
     }
 
     private sendPing(nowMs: number, intervalMs: number): { sequence: number; intervalMs: number; } {
@@ -58,7 +58,7 @@
         return { sequence: this.sequence, intervalMs: intervalMs * (1 + ALIGNMENT_SHARE) };
     }
 
-    private verdict(nowMs: number): HeartbeatDecision["verdict"] {
+    private liveness(nowMs: number): HeartbeatDecision["liveness"] {
         const oldest = this.unanswered.at(0);
         const ageMs = oldest === undefined ? 0 : nowMs - oldest.sentAtMs;
         if (ageMs >= this.opts.silentAfterMs) {
@@ -68,7 +68,7 @@
     }
 
     private nextTickMs(nowMs: number, intervalMs: number): number {
-        const nextPingMs = Math.max(1, this.aligned(this.lastPingAtMs + intervalMs, intervalMs) - nowMs);
+        const nextPingMs = Math.max(1, this.alignTime(this.lastPingAtMs + intervalMs, intervalMs) - nowMs);
         const oldest = this.unanswered.at(0);
         if (oldest === undefined) {
             return nextPingMs;
@@ -77,12 +77,12 @@
         return Math.min(nextPingMs, silentInMs, this.opts.intervalMs);
     }
 
-    private excuseStall(nowMs: number): void {
+    private excludeStall(nowMs: number): void {
         const stallMs = Math.max(0, nowMs - this.nextTickAtMs);
         this.unanswered = this.unanswered.map(ping => ({ ...ping, sentAtMs: ping.sentAtMs + stallMs }));
     }
 
-    private aligned(timeMs: number, intervalMs: number): number {
+    private alignTime(timeMs: number, intervalMs: number): number {
         const alignmentMs = intervalMs * ALIGNMENT_SHARE;
         const phaseMs = this.opts.phaseMs;
         return Math.ceil((timeMs - phaseMs) / alignmentMs) * alignmentMs + phaseMs;
--- a/links/endpoint/src/incomingCall.ts
+++ b/links/endpoint/src/incomingCall.ts
@@ -31,7 +31,7 @@
 
     raiseCredit(creditBytes: number): void {
         this.creditBytes = Math.max(this.creditBytes, creditBytes);
-        this.onRoom();
+        this.onCapacityAvailable();
     }
 
     /** Counts bytes of frames as they are written to a connection. */
@@ -40,8 +40,8 @@
     }
 
     /** Looks again whether the next frame may be sent. */
-    onRoom(): void {
-        if (this.hasRoom()) {
+    onCapacityAvailable(): void {
+        if (this.canSendFrame()) {
             this.wake?.();
         }
     }
@@ -60,7 +60,7 @@
     ): Promise<void> {
         try {
             for await (const frame of handler(request, { ...context, signal: this.signal })) {
-                await this.room();
+                await this.waitForCapacity();
                 if (this.signal.aborted) {
                     return;
                 }
@@ -80,12 +80,12 @@
         }
     }
 
-    private hasRoom(): boolean {
+    private canSendFrame(): boolean {
         return this.sentBytes < this.creditBytes && !this.opts.isCongested();
     }
 
-    private async room(): Promise<void> {
-        while (!this.hasRoom() && !this.signal.aborted) {
+    private async waitForCapacity(): Promise<void> {
+        while (!this.canSendFrame() && !this.signal.aborted) {
             await new Promise<void>(resolve => {
                 this.wake = resolve;
             });
--- a/links/endpoint/src/incomingCalls.ts
+++ b/links/endpoint/src/incomingCalls.ts
@@ -66,8 +66,8 @@
     }
 
     /** Lets handlers that wait for room on the link go on. */
-    onRoom(): void {
-        this.running.forEach(call => call.onRoom());
+    onCapacityAvailable(): void {
+        this.running.forEach(call => call.onCapacityAvailable());
     }
 
     /** Stops one handler. */
--- a/links/endpoint/src/linkSession.ts
+++ b/links/endpoint/src/linkSession.ts
@@ -22,7 +22,7 @@
     limits: LinkLimits;
     registry: CallRegistry;
     /** Called when there may be something to write. */
-    onWritable: () => void;
+    onPendingMessages: () => void;
 }
 
 /**
@@ -50,7 +50,7 @@
             maxCalls: limits.maxCalls,
             send,
             isCongested: () => this.stream.isCongested,
-            onEnded: opts.onWritable,
+            onEnded: opts.onPendingMessages,
         });
     }
 
@@ -86,7 +86,7 @@
 
     acknowledge(peerReceived: number): void {
         this.stream.acknowledge(peerReceived);
-        this.incoming.onRoom();
+        this.incoming.onCapacityAvailable();
     }
 
     /** The next bytes to write on the present connection. */
@@ -95,8 +95,8 @@
     }
 
     /** Lets handlers that wait for room on the link go on. */
-    onRoom(): void {
-        this.incoming.onRoom();
+    onCapacityAvailable(): void {
+        this.incoming.onCapacityAvailable();
     }
 
     /** Starts a call. Its request waits here until a connection is open. */
@@ -152,7 +152,7 @@
 
     private send(message: UnnumberedMessage): void {
         this.stream.enqueue(message);
-        this.opts.onWritable();
+        this.opts.onPendingMessages();
     }
 
     private withdraw(callId: number): void {
--- a/links/endpoint/src/pingWatch.ts
+++ b/links/endpoint/src/pingMonitor.ts
@@ -1,31 +1,31 @@
-interface PingWatchOptions {
+interface PingMonitorOptions {
     silentAfterMs: number;
 }
 
 /** Judges a connection, at the end that accepted it, by the pings that arrive. */
-export class PingWatch {
+export class PingMonitor {
     private readonly silentAfterMs: number;
-    private heardAtMs: number;
+    private lastPingAtMs: number;
     private intervalMs = 0;
 
-    constructor(opts: PingWatchOptions, nowMs: number) {
+    constructor(opts: PingMonitorOptions, nowMs: number) {
         this.silentAfterMs = opts.silentAfterMs;
-        this.heardAtMs = nowMs;
+        this.lastPingAtMs = nowMs;
     }
 
     /** @param intervalMs when the next ping is due, in milliseconds from now */
     onPing(nowMs: number, intervalMs: number): void {
-        this.heardAtMs = nowMs;
+        this.lastPingAtMs = nowMs;
         this.intervalMs = intervalMs;
     }
 
     /** Takes out time in which this process itself stood still, so that pings may wait unread. */
-    excuse(stallMs: number): void {
-        this.heardAtMs += stallMs;
+    excludeStall(stallMs: number): void {
+        this.lastPingAtMs += stallMs;
     }
 
-    verdict(nowMs: number): "alive" | "suspect" | "silent" {
-        const lateMs = nowMs - this.heardAtMs - this.intervalMs;
+    liveness(nowMs: number): "alive" | "suspect" | "silent" {
+        const lateMs = nowMs - this.lastPingAtMs - this.intervalMs;
         if (lateMs >= this.silentAfterMs) {
             return "silent";
         }
--- a/links/endpoint/src/reliableStream.ts
+++ b/links/endpoint/src/reliableStream.ts
@@ -8,7 +8,7 @@
 }
 
 /** What to do with a numbered message that arrived. */
-type Arrival = "deliver" | "duplicate";
+type ReceiveResult = "deliver" | "duplicate";
 
 interface ReliableStreamOptions<Message> {
     /** Packs a message when it is written for the first time; undefined where it is not to be written after all. */
@@ -79,7 +79,7 @@
 
     /** The next message to write on the present connection, or undefined where none is due. */
     next(): Uint8Array | undefined {
-        if (this.nextToWrite === this.unacknowledged.length && !this.numberNext()) {
+        if (this.nextToWrite === this.unacknowledged.length && !this.encodeNextPending()) {
             return undefined;
         }
         const { bytes } = this.unacknowledged[this.nextToWrite];
@@ -88,7 +88,7 @@
     }
 
     /** @throws KnapweedError ERR_KNAPWEED_LINK_BAD_MESSAGE where a message is missing before this one */
-    receive(number: number): Arrival {
+    receive(number: number): ReceiveResult {
         if (number <= this.lastReceived) {
             return "duplicate";
         }
@@ -108,19 +108,19 @@
         }
         const firstKept = this.unacknowledged.findIndex(entry => entry.number > peerReceived);
         const count = firstKept === -1 ? this.unacknowledged.length : firstKept;
-        const forgotten = this.unacknowledged.splice(0, count);
+        const acknowledged = this.unacknowledged.splice(0, count);
         this.nextToWrite = Math.max(0, this.nextToWrite - count);
-        this.unacknowledgedBytes -= forgotten.reduce((sum, entry) => sum + entry.bytes.length, 0);
+        this.unacknowledgedBytes -= acknowledged.reduce((sum, entry) => sum + entry.bytes.length, 0);
     }
 
-    private numberNext(): boolean {
+    private encodeNextPending(): boolean {
         if (this.pending.length === 0 || this.unacknowledgedBytes >= this.maxUnacknowledgedBytes) {
             return false;
         }
         const message = this.pending.shift()!;
         const bytes = this.encode(message, this.lastNumber + 1);
         if (bytes === undefined) {
-            return this.numberNext();
+            return this.encodeNextPending();
         }
         this.lastNumber += 1;
         this.unacknowledged.push({ number: this.lastNumber, bytes });
--- a/links/endpoint/test/heartbeat.test.ts
+++ b/links/endpoint/test/heartbeat.test.ts
@@ -2,7 +2,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { HeartbeatMonitor } from "../src/heartbeatMonitor.js";
-import { PingWatch } from "../src/pingWatch.js";
+import { PingMonitor } from "../src/pingMonitor.js";
 
 const SEED = 20_261_203;
 const INTERVAL_MS = 100;
@@ -24,14 +24,14 @@
         fc.property(fc.record(inputs), ({ phaseMs, isBusy, stopMs }) => {
             const monitor = createMonitor(phaseMs);
             const intervalMs = isBusy ? INTERVAL_MS : IDLE_INTERVAL_MS;
-            const verdicts = new Set<string>();
+            const livenessSeen = new Set<string>();
             for (let nowMs = 0; nowMs < 10_000;) {
                 const decision = monitor.tick(nowMs, isBusy);
-                verdicts.add(decision.verdict);
-                if (decision.verdict === "silent") {
+                livenessSeen.add(decision.liveness);
+                if (decision.liveness === "silent") {
                     assert.ok(nowMs - stopMs <= intervalMs * 1.25 + SILENT_AFTER_MS + 1);
                     assert.ok(nowMs - stopMs >= SILENT_AFTER_MS - INTERVAL_MS);
-                    assert.ok(verdicts.has("suspect"));
+                    assert.ok(livenessSeen.has("suspect"));
                     return;
                 }
                 if (decision.ping !== undefined && nowMs < stopMs) {
@@ -69,15 +69,15 @@
     fc.assert(
         fc.property(fc.nat(999), changes, (phaseMs, changesMs) => {
             const monitor = createMonitor(phaseMs);
-            const watch = new PingWatch({ silentAfterMs: SILENT_AFTER_MS }, 0);
+            const pingMonitor = new PingMonitor({ silentAfterMs: SILENT_AFTER_MS }, 0);
             let isBusy = false;
             let nowMs = 0;
             let nextTickAtMs = 0;
-            const beat = () => {
+            const sendHeartbeat = () => {
                 const decision = monitor.tick(nowMs, isBusy);
-                assert.equal(decision.verdict, "alive");
+                assert.equal(decision.liveness, "alive");
                 if (decision.ping !== undefined) {
-                    watch.onPing(nowMs, decision.ping.intervalMs);
+                    pingMonitor.onPing(nowMs, decision.ping.intervalMs);
                     monitor.onPong(decision.ping.sequence);
                 }
                 nextTickAtMs = nowMs + decision.nextTickMs;
@@ -86,13 +86,13 @@
                 const changeAtMs = nowMs + afterMs;
                 while (nextTickAtMs <= changeAtMs) {
                     nowMs = nextTickAtMs;
-                    assert.notEqual(watch.verdict(nowMs), "silent");
-                    beat();
+                    assert.notEqual(pingMonitor.liveness(nowMs), "silent");
+                    sendHeartbeat();
                 }
                 nowMs = changeAtMs;
-                assert.notEqual(watch.verdict(nowMs), "silent");
+                assert.notEqual(pingMonitor.liveness(nowMs), "silent");
                 isBusy = !isBusy;
-                beat();
+                sendHeartbeat();
             });
         }),
         { seed: SEED },
@@ -102,18 +102,18 @@
 test("time in which this process stood still is not held against the connection", () => {
     const monitor = createMonitor(1);
     const { nextTickMs } = monitor.tick(0, true);
-    assert.notEqual(monitor.tick(nextTickMs + 5000, true).verdict, "silent");
+    assert.notEqual(monitor.tick(nextTickMs + 5000, true).liveness, "silent");
 });
 
 test("the accepting end waits for as long as the last ping announced", () => {
-    const watch = new PingWatch({ silentAfterMs: SILENT_AFTER_MS }, 0);
-    watch.onPing(1000, IDLE_INTERVAL_MS);
-    assert.equal(watch.verdict(2000), "alive");
-    assert.equal(watch.verdict(2300), "suspect");
-    assert.equal(watch.verdict(2400), "silent");
-    watch.excuse(300);
-    assert.equal(watch.verdict(2400), "alive");
-    watch.onPing(2401, INTERVAL_MS);
-    assert.equal(watch.verdict(2450), "alive");
-    assert.equal(watch.verdict(2560), "suspect");
+    const pingMonitor = new PingMonitor({ silentAfterMs: SILENT_AFTER_MS }, 0);
+    pingMonitor.onPing(1000, IDLE_INTERVAL_MS);
+    assert.equal(pingMonitor.liveness(2000), "alive");
+    assert.equal(pingMonitor.liveness(2300), "suspect");
+    assert.equal(pingMonitor.liveness(2400), "silent");
+    pingMonitor.excludeStall(300);
+    assert.equal(pingMonitor.liveness(2400), "alive");
+    pingMonitor.onPing(2401, INTERVAL_MS);
+    assert.equal(pingMonitor.liveness(2450), "alive");
+    assert.equal(pingMonitor.liveness(2560), "suspect");
 });
--- a/links/endpoint/test/sessionPair.ts
+++ b/links/endpoint/test/sessionPair.ts
@@ -90,11 +90,11 @@
         const answered = acceptor.session.received;
         acceptor.attached = true;
         acceptor.session.attach(testIdentity("dialer"), dialer.session.received, defaultLinkLimits.maxMessageBytes);
-        this.pump(acceptor);
+        this.writePending(acceptor);
         if (!isAnswerLost) {
             dialer.attached = true;
             dialer.session.attach(testIdentity("acceptor"), answered, defaultLinkLimits.maxMessageBytes);
-            this.pump(dialer);
+            this.writePending(dialer);
         }
         await this.settle();
     }
@@ -114,7 +114,7 @@
     acknowledge(at: number): void {
         if (this.ends.every(end => end.attached)) {
             this.ends[1 - at].session.acknowledge(this.ends[at].session.received);
-            this.pump(this.ends[1 - at]);
+            this.writePending(this.ends[1 - at]);
         }
     }
 
@@ -137,7 +137,7 @@
             codec: this.codec,
             limits: { ...defaultLinkLimits, callWindowBytes: WINDOW_BYTES, maxUnacknowledgedBytes: 2000 },
             registry,
-            onWritable: () => this.pump(end),
+            onPendingMessages: () => this.writePending(end),
         });
         const end: End = { session, registry, onTheWire: [], attached: false };
         return end;
@@ -166,7 +166,7 @@
         this.codec.decode(bytes).forEach(decoded => this.ends[at].session.receive(decoded));
     }
 
-    private pump(end: End): void {
+    private writePending(end: End): void {
         for (let bytes = this.nextOf(end); bytes !== undefined; bytes = this.nextOf(end)) {
             end.onTheWire.push(bytes);
         }
