--- a/links/endpoint/src/acceptedLink.ts
+++ b/links/endpoint/src/acceptedLink.ts
@@ -3,13 +3,13 @@
 import { BaseLink } from "./baseLink.js";
 import type { DecodedMessage } from "./decodedMessage.js";
 import type { LinkConnection } from "./linkConnection.js";
-import type { LinkTools } from "./linkTools.js";
+import type { LinkContext } from "./linkContext.js";
 import type { MessageOf } from "./messageOf.js";
 import { PingMonitor } from "./pingMonitor.js";
 import { protocolVersion } from "./protocolVersion.js";
 
 interface AcceptedLinkOptions {
-    tools: LinkTools;
+    context: LinkContext;
     onClosed: () => void;
 }
 
@@ -23,7 +23,7 @@
     private timerDueMs = 0;
 
     constructor(opts: AcceptedLinkOptions) {
-        super(opts.tools);
+        super(opts.context);
         this.opts = opts;
         this.pingMonitor = this.createPingMonitor();
     }
@@ -41,14 +41,14 @@
         connection.sendMessage({
             type: "welcome",
             version: Math.min(protocolVersion, hello.version),
-            identity: this.tools.identity,
+            identity: this.context.identity,
             resumed: !isNew,
             received: this.session.received,
-            maxMessageBytes: this.tools.limits.maxMessageBytes,
+            maxMessageBytes: this.context.limits.maxMessageBytes,
         });
         this.attach(connection, hello.identity, isNew ? 0 : hello.received, hello.maxMessageBytes);
-        this.report(isNew ? "link.accepted" : "link.accepted_again");
-        this.setTimer(this.tools.limits.heartbeatIntervalMs, () => this.checkLiveness());
+        this.recordEvent(isNew ? "link.accepted" : "link.accepted_again");
+        this.setTimer(this.context.limits.heartbeatIntervalMs, () => this.checkLiveness());
     }
 
     /** Takes in a message from `from`; one from a connection that was replaced is dropped. */
@@ -58,7 +58,7 @@
             return;
         }
         if (message.type === "ping") {
-            this.pingMonitor.onPing(this.tools.clock.nowMs(), message.intervalMs);
+            this.pingMonitor.onPing(this.context.clock.nowMs(), message.intervalMs);
             this.transition("beatAnswered");
             this.connection.sendMessage({
                 type: "pong",
@@ -93,14 +93,14 @@
     }
 
     /** Ends the session for good. */
-    end(reason: KnapweedError, sayGoodbye = false): void {
+    end(reason: KnapweedError, sendGoodbye = false): void {
         if (this.state === "closed") {
             return;
         }
         this.transition("closed");
         this.timer?.cancel();
         this.session.end(reason);
-        if (sayGoodbye && this.connection !== undefined) {
+        if (sendGoodbye && this.connection !== undefined) {
             this.connection.sendMessage({ type: "goodbye" });
             this.connection.close();
             this.connection = undefined;
@@ -120,7 +120,7 @@
     }
 
     private checkLiveness(): void {
-        const nowMs = this.tools.clock.nowMs();
+        const nowMs = this.context.clock.nowMs();
         this.pingMonitor.excludeStall(Math.max(0, nowMs - this.timerDueMs));
         const liveness = this.pingMonitor.liveness(nowMs);
         if (liveness === "silent") {
@@ -128,26 +128,26 @@
             return;
         }
         this.transition(liveness === "suspect" ? "beatMissed" : "beatAnswered");
-        const { heartbeatIntervalMs, idleHeartbeatIntervalMs } = this.tools.limits;
+        const { heartbeatIntervalMs, idleHeartbeatIntervalMs } = this.context.limits;
         this.setTimer(this.callCount > 0 ? heartbeatIntervalMs : idleHeartbeatIntervalMs, () => this.checkLiveness());
     }
 
     private dropConnection(reason: KnapweedError): void {
         this.detach();
         this.transition("lostByPeer");
-        this.report("link.lost", reason);
-        this.setTimer(this.tools.limits.resumeGraceMs, () => {
+        this.recordEvent("link.lost", reason);
+        this.setTimer(this.context.limits.resumeGraceMs, () => {
             this.end(new KnapweedError("LINK_LOST", "The other end did not resume the link in time"));
         });
     }
 
     private createPingMonitor(): PingMonitor {
-        return new PingMonitor({ silentAfterMs: this.tools.limits.silentAfterMs }, this.tools.clock.nowMs());
+        return new PingMonitor({ silentAfterMs: this.context.limits.silentAfterMs }, this.context.clock.nowMs());
     }
 
     private setTimer(delayMs: number, action: () => void): void {
         this.timer?.cancel();
-        this.timerDueMs = this.tools.clock.nowMs() + delayMs;
-        this.timer = this.tools.clock.setTimer(delayMs, action);
+        this.timerDueMs = this.context.clock.nowMs() + delayMs;
+        this.timer = this.context.clock.setTimer(delayMs, action);
     }
 }
--- a/links/endpoint/src/baseLink.ts
+++ b/links/endpoint/src/baseLink.ts
@@ -7,9 +7,9 @@
 import type { DecodedMessage } from "./decodedMessage.js";
 import { linkChart } from "./linkChart.js";
 import type { LinkConnection } from "./linkConnection.js";
+import type { LinkContext } from "./linkContext.js";
 import type { LinkEvent } from "./linkEvent.js";
 import { LinkSession } from "./linkSession.js";
-import type { LinkTools } from "./linkTools.js";
 import { protocolVersion } from "./protocolVersion.js";
 
 const ACKNOWLEDGE_AFTER_MESSAGES = 64;
@@ -17,19 +17,19 @@
 
 /** What links have in common at the end that connects and at the end that accepts. */
 export abstract class BaseLink implements Link {
-    protected readonly tools: LinkTools;
+    protected readonly context: LinkContext;
     protected readonly session: LinkSession;
     /** The connection in use, once its handshake has ended. */
     protected connection: LinkConnection | undefined;
     private currentState: Link["state"] = linkChart.initial;
-    private endedSentBytes = 0;
-    private endedReceivedBytes = 0;
-    private unreportedMessages = 0;
-    private unreportedBytes = 0;
+    private previousSentBytes = 0;
+    private previousReceivedBytes = 0;
+    private unacknowledgedMessages = 0;
+    private unacknowledgedBytes = 0;
 
-    constructor(tools: LinkTools) {
-        this.tools = tools;
-        this.session = new LinkSession({ ...tools, onPendingMessages: () => this.onPendingMessages() });
+    constructor(context: LinkContext) {
+        this.context = context;
+        this.session = new LinkSession({ ...context, onPendingMessages: () => this.onPendingMessages() });
     }
 
     get state(): Link["state"] {
@@ -38,12 +38,12 @@
 
     /** Payload bytes sent over all connections of the link. */
     get sentBytes(): number {
-        return this.endedSentBytes + (this.connection?.sentBytes ?? 0);
+        return this.previousSentBytes + (this.connection?.sentBytes ?? 0);
     }
 
     /** Payload bytes received over all connections of the link. */
     get receivedBytes(): number {
-        return this.endedReceivedBytes + (this.connection?.receivedBytes ?? 0);
+        return this.previousReceivedBytes + (this.connection?.receivedBytes ?? 0);
     }
 
     get peer(): PeerIdentity | undefined {
@@ -67,7 +67,7 @@
 
     notify<Message>(definition: NotificationDefinition<Message>, message: Message): void {
         if (this.connection === undefined || this.connection.isFull) {
-            this.tools.metrics.increment("link.notification_dropped");
+            this.context.metrics.increment("link.notification_dropped");
             return;
         }
         this.connection.sendMessage({ type: "notification", name: definition.name, payload: message });
@@ -91,8 +91,8 @@
 
     /** Stops using the present connection. The session stays. */
     protected detach(): void {
-        this.endedSentBytes = this.sentBytes;
-        this.endedReceivedBytes = this.receivedBytes;
+        this.previousSentBytes = this.sentBytes;
+        this.previousReceivedBytes = this.receivedBytes;
         this.connection?.terminate();
         this.connection = undefined;
     }
@@ -131,7 +131,7 @@
             default:
                 if ("number" in message) {
                     this.session.receive(decoded);
-                    this.reportReceived(decoded.sizeBytes);
+                    this.acknowledgeReceived(decoded.sizeBytes);
                 }
         }
     }
@@ -148,10 +148,10 @@
     }
 
     /** Counts and logs an event in the life of the link. */
-    protected report(event: string, reason?: KnapweedError): void {
+    protected recordEvent(event: string, reason?: KnapweedError): void {
         const fields = reason === undefined ? {} : { code: reason.code, reason: reason.message };
-        this.tools.metrics.increment(event);
-        this.tools.logger.info(event, { ...fields, peer: this.peer?.instanceId, protocolVersion });
+        this.context.metrics.increment(event);
+        this.context.logger.info(event, { ...fields, peer: this.peer?.instanceId, protocolVersion });
     }
 
     private onPendingMessages(): void {
@@ -161,19 +161,20 @@
     private onNotification(name: string, payload: unknown): void {
         const peer = this.peer;
         if (peer !== undefined) {
-            this.tools.registry.receivers.get(name)?.(payload, peer);
+            this.context.registry.receivers.get(name)?.(payload, peer);
         }
     }
 
-    private reportReceived(sizeBytes: number): void {
-        this.unreportedMessages += 1;
-        this.unreportedBytes += sizeBytes;
+    private acknowledgeReceived(sizeBytes: number): void {
+        this.unacknowledgedMessages += 1;
+        this.unacknowledgedBytes += sizeBytes;
         if (
-            this.unreportedMessages >= ACKNOWLEDGE_AFTER_MESSAGES || this.unreportedBytes >= ACKNOWLEDGE_AFTER_BYTES
+            this.unacknowledgedMessages >= ACKNOWLEDGE_AFTER_MESSAGES
+            || this.unacknowledgedBytes >= ACKNOWLEDGE_AFTER_BYTES
         ) {
             this.connection?.sendMessage({ type: "acknowledgement", received: this.session.received });
-            this.unreportedMessages = 0;
-            this.unreportedBytes = 0;
+            this.unacknowledgedMessages = 0;
+            this.unacknowledgedBytes = 0;
         }
     }
 }
--- a/links/endpoint/src/dialedLink.ts
+++ b/links/endpoint/src/dialedLink.ts
@@ -8,20 +8,20 @@
 import { fromErrorRecord } from "./fromErrorRecord.js";
 import { HeartbeatMonitor } from "./heartbeatMonitor.js";
 import { LinkConnection } from "./linkConnection.js";
-import type { LinkTools } from "./linkTools.js";
+import type { LinkContext } from "./linkContext.js";
 import type { MessageOf } from "./messageOf.js";
 import { oldestProtocolVersion } from "./oldestProtocolVersion.js";
 import { protocolVersion } from "./protocolVersion.js";
 
 interface DialedLinkOptions {
-    tools: LinkTools;
+    context: LinkContext;
     /** Opens a socket to the other end. */
     openSocket: () => WebSocket;
     onClosed: () => void;
 }
 
 const BAD_MESSAGE_CODE = "ERR_KNAPWEED_LINK_BAD_MESSAGE";
-const REFUSALS_BEFORE_GIVING_UP = 2;
+const REFUSALS_BEFORE_NEW_SESSION = 2;
 
 /** The end of a link that connects. It replaces its connection whenever that closes or goes silent. */
 export class DialedLink extends BaseLink {
@@ -31,11 +31,11 @@
     private heartbeatMonitor: HeartbeatMonitor | undefined;
     private attempt: LinkConnection | undefined;
     private timers: { [name: string]: Timer | undefined; } = {};
-    private refusals = 0;
+    private connectionRefusals = 0;
 
     constructor(opts: DialedLinkOptions) {
-        super(opts.tools);
-        const { limits, random } = opts.tools;
+        super(opts.context);
+        const { limits, random } = opts.context;
         this.opts = opts;
         this.backoff = new Backoff({ baseMs: limits.reconnectBaseMs, maxMs: limits.reconnectMaxMs, random });
         this.dial();
@@ -61,45 +61,45 @@
             return;
         }
         if (this.connection === undefined) {
-            this.awaitOpen();
+            this.startOpenTimeout();
             return;
         }
         this.runHeartbeat();
     }
 
     protected onGoodbye(): void {
-        this.startAfresh(new KnapweedError("LINK_CLOSED", "The other end closed the link"));
-        this.replace(new KnapweedError("LINK_CLOSED", "The other end closed the link"));
+        this.startNewSession(new KnapweedError("LINK_CLOSED", "The other end closed the link"));
+        this.replaceConnection(new KnapweedError("LINK_CLOSED", "The other end closed the link"));
     }
 
     private dial(): void {
-        const { tools } = this.opts;
+        const { context } = this.opts;
         const socket = this.opts.openSocket();
         const attempt: LinkConnection = new LinkConnection({
             socket,
-            clock: tools.clock,
-            codec: tools.codec,
+            clock: context.clock,
+            codec: context.codec,
             onMessage: decoded => this.onMessage(attempt, decoded),
             onClosed: reason => this.onConnectionClosed(attempt, reason),
             onDrained: () => this.onDrained(),
         });
         this.attempt = attempt;
-        socket.on("open", () => attempt.sendMessage(this.hello()));
-        this.setTimer("connect", tools.limits.connectTimeoutMs, () => {
+        socket.on("open", () => attempt.sendMessage(this.createHello()));
+        this.setTimer("connect", context.limits.connectTimeoutMs, () => {
             attempt.terminate();
             this.onConnectionClosed(attempt, new KnapweedError("LINK_CONNECT_TIMEOUT", "No link in time"));
         });
     }
 
-    private hello(): MessageOf<"hello"> {
+    private createHello(): MessageOf<"hello"> {
         return {
             type: "hello",
             version: protocolVersion,
             oldestVersion: oldestProtocolVersion,
-            identity: this.tools.identity,
+            identity: this.context.identity,
             sessionId: this.sessionId,
             received: this.session.received,
-            maxMessageBytes: this.tools.limits.maxMessageBytes,
+            maxMessageBytes: this.context.limits.maxMessageBytes,
         };
     }
 
@@ -126,29 +126,29 @@
     }
 
     private onWelcome(from: LinkConnection, message: MessageOf<"welcome">): void {
-        const { limits } = this.tools;
+        const { limits } = this.context;
         if (!message.resumed && this.session.hasTraffic) {
             this.session.restart(new KnapweedError("LINK_PEER_REPLACED", "The other end has forgotten the session"));
         }
         ["connect", "open", "resume"].forEach(name => this.clearTimer(name));
         this.attempt = undefined;
-        this.refusals = 0;
+        this.connectionRefusals = 0;
         this.backoff.reset();
         this.transition("welcomed");
         this.heartbeatMonitor = new HeartbeatMonitor({
             intervalMs: limits.heartbeatIntervalMs,
             idleIntervalMs: limits.idleHeartbeatIntervalMs,
             silentAfterMs: limits.silentAfterMs,
-            phaseMs: this.tools.heartbeatPhaseMs,
+            phaseMs: this.context.heartbeatPhaseMs,
         });
         this.attach(from, message.identity, message.received, message.maxMessageBytes);
-        this.report(message.resumed ? "link.resumed" : "link.opened");
+        this.recordEvent(message.resumed ? "link.resumed" : "link.opened");
         this.runHeartbeat();
     }
 
     private onRefusal(message: MessageOf<"refusal">): void {
         const error = fromErrorRecord(message.error);
-        this.report("link.refused", error);
+        this.recordEvent("link.refused", error);
         this.session.failUnwritten(error.code, error.message);
     }
 
@@ -156,9 +156,9 @@
         if (this.connection === undefined || this.heartbeatMonitor === undefined) {
             return;
         }
-        const decision = this.heartbeatMonitor.tick(this.tools.clock.nowMs(), this.callCount > 0);
+        const decision = this.heartbeatMonitor.tick(this.context.clock.nowMs(), this.callCount > 0);
         if (decision.liveness === "silent") {
-            this.replace(new KnapweedError("LINK_SILENT", "The connection went silent"));
+            this.replaceConnection(new KnapweedError("LINK_SILENT", "The connection went silent"));
             return;
         }
         this.transition(decision.liveness === "suspect" ? "beatMissed" : "beatAnswered");
@@ -170,18 +170,18 @@
 
     private onConnectionClosed(from: LinkConnection, reason: KnapweedError): void {
         if (from === this.connection || from === this.attempt) {
-            this.replace(reason);
+            this.replaceConnection(reason);
         }
     }
 
     /** Gives up the present connection and opens another. */
-    private replace(reason: KnapweedError): void {
+    private replaceConnection(reason: KnapweedError): void {
         if (this.state === "closed") {
             return;
         }
         const wasOpen = this.connection !== undefined;
         if (reason.code === BAD_MESSAGE_CODE) {
-            this.startAfresh(reason);
+            this.startNewSession(reason);
         }
         this.detach();
         this.attempt = undefined;
@@ -189,46 +189,46 @@
         this.transition("lost");
         ["connect", "heartbeat"].forEach(name => this.clearTimer(name));
         if (wasOpen) {
-            this.report("link.lost", reason);
-            this.awaitResume();
-            this.awaitOpen();
+            this.recordEvent("link.lost", reason);
+            this.startResumeTimeout();
+            this.startOpenTimeout();
         }
-        this.countRefusal(reason);
+        this.countConnectionRefusal(reason);
         this.setTimer("dial", this.backoff.nextMs(), () => this.dial());
     }
 
-    private countRefusal(reason: KnapweedError): void {
+    private countConnectionRefusal(reason: KnapweedError): void {
         const cause = reason.cause as { code?: string; } | undefined;
-        this.refusals = cause?.code === "ECONNREFUSED" ? this.refusals + 1 : 0;
-        if (this.refusals === REFUSALS_BEFORE_GIVING_UP) {
-            this.startAfresh(new KnapweedError("LINK_PEER_GONE", "Nothing listens at the other end any more"));
+        this.connectionRefusals = cause?.code === "ECONNREFUSED" ? this.connectionRefusals + 1 : 0;
+        if (this.connectionRefusals === REFUSALS_BEFORE_NEW_SESSION) {
+            this.startNewSession(new KnapweedError("LINK_PEER_GONE", "Nothing listens at the other end any more"));
         }
     }
 
     /** Ends calls that wait for a first connection for too long. */
-    private awaitOpen(): void {
+    private startOpenTimeout(): void {
         if (this.timers["open"] === undefined) {
-            this.setTimer("open", this.tools.limits.openTimeoutMs, () => {
+            this.setTimer("open", this.context.limits.openTimeoutMs, () => {
                 this.session.failUnwritten("LINK_NOT_OPEN", "No connection could be opened in time");
             });
         }
     }
 
-    private awaitResume(): void {
-        this.setTimer("resume", this.tools.limits.resumeTimeoutMs, () => {
-            this.startAfresh(new KnapweedError("LINK_LOST", "The connection could not be resumed in time"));
+    private startResumeTimeout(): void {
+        this.setTimer("resume", this.context.limits.resumeTimeoutMs, () => {
+            this.startNewSession(new KnapweedError("LINK_LOST", "The connection could not be resumed in time"));
         });
     }
 
     /** Gives up the session for one that the other end can't mistake for it. */
-    private startAfresh(reason: KnapweedError): void {
+    private startNewSession(reason: KnapweedError): void {
         this.sessionId = randomUUID();
         this.session.restart(reason);
     }
 
     private setTimer(name: string, delayMs: number, action: () => void): void {
         this.clearTimer(name);
-        this.timers[name] = this.tools.clock.setTimer(delayMs, () => {
+        this.timers[name] = this.context.clock.setTimer(delayMs, () => {
             this.timers[name] = undefined;
             action();
         });
--- a/links/endpoint/src/linkTools.ts
+++ b/links/endpoint/src/linkContext.ts
@@ -8,7 +8,7 @@
 import type { MessageCodec } from "./messageCodec.js";
 
 /** What all links of an endpoint share. */
-export interface LinkTools {
+export interface LinkContext {
     identity: PeerIdentity;
     clock: Clock;
     random: Random;
--- a/links/endpoint/src/linkServer.ts
+++ b/links/endpoint/src/linkServer.ts
@@ -7,8 +7,8 @@
 import { AcceptedLink } from "./acceptedLink.js";
 import type { DecodedMessage } from "./decodedMessage.js";
 import { LinkConnection } from "./linkConnection.js";
+import type { LinkContext } from "./linkContext.js";
 import type { LinkTls } from "./linkTls.js";
-import type { LinkTools } from "./linkTools.js";
 import type { MessageOf } from "./messageOf.js";
 import { notRunError } from "./notRunError.js";
 import { oldestProtocolVersion } from "./oldestProtocolVersion.js";
@@ -16,7 +16,7 @@
 import { toErrorRecord } from "./toErrorRecord.js";
 
 interface LinkServerOptions {
-    tools: LinkTools;
+    context: LinkContext;
     host: string;
     port: number;
     tls: LinkTls | undefined;
@@ -34,7 +34,7 @@
         const webSockets = new WebSocketServer({
             server: this.server,
             perMessageDeflate: false,
-            maxPayload: opts.tools.limits.maxMessageBytes,
+            maxPayload: opts.context.limits.maxMessageBytes,
         });
         webSockets.on("connection", socket => this.onConnection(socket));
     }
@@ -69,7 +69,7 @@
     }
 
     private onConnection(socket: WebSocket): void {
-        const { clock, codec, limits } = this.opts.tools;
+        const { clock, codec, limits } = this.opts.context;
         let link: AcceptedLink | undefined;
         const connection: LinkConnection = new LinkConnection({
             socket,
@@ -103,10 +103,10 @@
             connection.close();
             return undefined;
         }
-        const known = this.sessions.get(message.sessionId);
-        const link = known ?? this.createLink(message);
+        const existing = this.sessions.get(message.sessionId);
+        const link = existing ?? this.createLink(message);
         try {
-            link.accept(connection, message, known === undefined);
+            link.accept(connection, message, existing === undefined);
         }
         catch (error) {
             link.end(toKnapweedError(error));
@@ -120,16 +120,16 @@
             const text = `The other end speaks versions ${oldestProtocolVersion} to ${protocolVersion}`;
             return notRunError("LINK_VERSION_UNSUPPORTED", text);
         }
-        if (this.opts.tools.registry.isClosing) {
+        if (this.opts.context.registry.isClosing) {
             return notRunError("LINK_CLOSING", "The process is shutting down");
         }
         return undefined;
     }
 
     private createLink(hello: MessageOf<"hello">): AcceptedLink {
-        this.endForgottenSessions(hello);
+        this.endStaleSessions(hello);
         const link = new AcceptedLink({
-            tools: this.opts.tools,
+            context: this.opts.context,
             onClosed: () => this.sessions.delete(hello.sessionId),
         });
         this.sessions.set(hello.sessionId, link);
@@ -137,7 +137,7 @@
     }
 
     /** Ends sessions that the other end can't mean to resume. */
-    private endForgottenSessions({ identity }: MessageOf<"hello">): void {
+    private endStaleSessions({ identity }: MessageOf<"hello">): void {
         const reason = notRunError("LINK_PEER_REPLACED", "The other end has begun another session");
         this.links
             .filter(link => link.peer?.instanceId === identity.instanceId)
--- a/links/endpoint/src/webSocketLinkEndpoint.ts
+++ b/links/endpoint/src/webSocketLinkEndpoint.ts
@@ -12,9 +12,9 @@
 import { CallRegistry } from "./callRegistry.js";
 import { defaultLinkLimits } from "./defaultLinkLimits.js";
 import { DialedLink } from "./dialedLink.js";
+import type { LinkContext } from "./linkContext.js";
 import { LinkServer } from "./linkServer.js";
 import type { LinkTls } from "./linkTls.js";
-import type { LinkTools } from "./linkTools.js";
 import type { LinkTraffic } from "./linkTraffic.js";
 import { MessageCodec } from "./messageCodec.js";
 import type { WebSocketLinkEndpointOptions } from "./webSocketLinkEndpointOptions.js";
@@ -27,7 +27,7 @@
 export class WebSocketLinkEndpoint implements LinkEndpoint {
     readonly identity: PeerIdentity;
     private readonly opts: WebSocketLinkEndpointOptions;
-    private readonly tools: LinkTools;
+    private readonly context: LinkContext;
     private readonly server: LinkServer;
     private readonly dialed = new Map<string, DialedLink>();
     private tls: LinkTls | undefined;
@@ -38,7 +38,7 @@
         this.tls = opts.tls;
         const limits = { ...defaultLinkLimits, ...opts.limits };
         const random = opts.random ?? new SeededRandom(randomInt(MAX_SEED));
-        this.tools = {
+        this.context = {
             identity: opts.identity,
             clock: opts.clock,
             random,
@@ -49,7 +49,7 @@
             registry: new CallRegistry(),
             heartbeatPhaseMs: random.next() * limits.idleHeartbeatIntervalMs,
         };
-        this.server = new LinkServer({ tools: this.tools, host: opts.host, port: opts.port, tls: opts.tls });
+        this.server = new LinkServer({ context: this.context, host: opts.host, port: opts.port, tls: opts.tls });
     }
 
     async listen(): Promise<string> {
@@ -58,26 +58,26 @@
     }
 
     handle<Request, Frame>(definition: CallDefinition<Request, Frame>, handler: CallHandler<Request, Frame>): void {
-        this.tools.registry.handlers.set(definition.name, handler as CallHandler<unknown, unknown>);
+        this.context.registry.handlers.set(definition.name, handler as CallHandler<unknown, unknown>);
     }
 
     receive<Message>(
         definition: NotificationDefinition<Message>,
         receiver: (message: Message, peer: PeerIdentity) => void,
     ): void {
-        this.tools.registry.receivers.set(
+        this.context.registry.receivers.set(
             definition.name,
             receiver as (message: unknown, peer: PeerIdentity) => void,
         );
     }
 
     connect(address: string): Link {
-        const known = this.dialed.get(address);
-        if (known !== undefined) {
-            return known;
+        const existing = this.dialed.get(address);
+        if (existing !== undefined) {
+            return existing;
         }
         const link = new DialedLink({
-            tools: this.tools,
+            context: this.context,
             openSocket: () => this.openSocket(address),
             onClosed: () => this.dialed.delete(address),
         });
@@ -105,10 +105,10 @@
     }
 
     async close(graceMs = DEFAULT_CLOSE_GRACE_MS): Promise<void> {
-        const { clock, registry } = this.tools;
-        const giveUpAtMs = clock.nowMs() + graceMs;
+        const { clock, registry } = this.context;
+        const graceEndsAtMs = clock.nowMs() + graceMs;
         registry.isClosing = true;
-        while (this.allLinks().some(link => link.callCount > 0) && clock.nowMs() < giveUpAtMs) {
+        while (this.allLinks().some(link => link.callCount > 0) && clock.nowMs() < graceEndsAtMs) {
             await sleep(clock, CLOSE_POLL_MS);
         }
         [...this.dialed.values()].forEach(link => link.close());
@@ -121,7 +121,7 @@
 
     private openSocket(address: string): WebSocket {
         const { tls } = this;
-        const common = { perMessageDeflate: false, maxPayload: this.tools.limits.maxMessageBytes };
+        const common = { perMessageDeflate: false, maxPayload: this.context.limits.maxMessageBytes };
         return tls === undefined
             ? new WebSocket(`ws://${address}`, common)
             : new WebSocket(`wss://${address}`, {
