--- a/config/distribution/src/distributedConfiguration.ts
+++ b/config/distribution/src/distributedConfiguration.ts
@@ -71,9 +71,12 @@
             });
         }
         handleDistributionCalls({ endpoint: opts.endpoint, holder: this.holder, members: () => this.members() });
-        opts.endpoint.receive(beatNotification, (beat, peer) => this.handleBeat(beat, peer));
-        opts.endpoint.receive(announceNotification, (message, peer) => this.handleAnnounce(message.revision, peer));
-        opts.endpoint.receive(deltaNotification, (delta, peer) => this.fetcher.takeDelta(delta, peer));
+        opts.endpoint.handleNotification(beatNotification, (beat, peer) => this.handleBeat(beat, peer));
+        opts.endpoint.handleNotification(
+            announceNotification,
+            (message, peer) => this.handleAnnounce(message.revision, peer),
+        );
+        opts.endpoint.handleNotification(deltaNotification, (delta, peer) => this.fetcher.takeDelta(delta, peer));
     }
 
     /** Starts following; resolves at once, whether or not a configuration has been found. */
--- a/daemons/entry/src/createDispatcher.ts
+++ b/daemons/entry/src/createDispatcher.ts
@@ -21,7 +21,7 @@
     const choosers = new ServiceChoosers({
         create: () => new AffinityChooser({ entryId: instanceId, zone, random, subsetSize: LINKED_SUBSET_SIZE }),
     });
-    endpoint.receive(cacheChangeNotification, change => choosers.of(change.service).onCacheChange?.(change));
+    endpoint.handleNotification(cacheChangeNotification, change => choosers.of(change.service).onCacheChange?.(change));
     return new Dispatcher({
         directory,
         choosers,
--- a/daemons/entry/src/upstreamDirectory.ts
+++ b/daemons/entry/src/upstreamDirectory.ts
@@ -25,7 +25,7 @@
 
     constructor(opts: UpstreamDirectory["opts"]) {
         this.opts = opts;
-        opts.endpoint.receive(sideStatusNotification, status => this.takeStatus(status));
+        opts.endpoint.handleNotification(sideStatusNotification, status => this.takeStatus(status));
         opts.watcher.subscribe(records => this.takeList(records));
     }
 
--- a/daemons/entry/test/upstreamDirectory.test.ts
+++ b/daemons/entry/test/upstreamDirectory.test.ts
@@ -42,7 +42,7 @@
     let sendStatus: (status: SideStatus) => void = () => undefined;
     let sendList: (records: InstanceRecord[]) => void = () => undefined;
     const endpoint = {
-        receive: (_definition: unknown, receiver: (message: SideStatus) => void) => {
+        handleNotification: (_definition: unknown, receiver: (message: SideStatus) => void) => {
             sendStatus = receiver;
         },
         connect: () => link,
--- a/daemons/side/src/sideProcess.ts
+++ b/daemons/side/src/sideProcess.ts
@@ -92,7 +92,7 @@
             engine: this.engine,
             service: this.service,
         });
-        this.endpoint.receive(cancelJobNotification, ({ jobId }) => this.cancelJob(jobId));
+        this.endpoint.handleNotification(cancelJobNotification, ({ jobId }) => this.cancelJob(jobId));
         this.configuration.subscribe(view => this.applyService(view.service(this.service)));
     }
 
--- a/fuzz/promises/src/memoryEndpoint.ts
+++ b/fuzz/promises/src/memoryEndpoint.ts
@@ -37,7 +37,7 @@
         this.handlers.set(definition.name, handler as AnyHandler);
     }
 
-    receive<Message>(
+    handleNotification<Message>(
         definition: NotificationDefinition<Message>,
         receiver: (message: Message, peer: PeerIdentity) => void,
     ): void {
--- a/fuzz/promises/src/simulatedSide.ts
+++ b/fuzz/promises/src/simulatedSide.ts
@@ -62,7 +62,7 @@
             gate: this.gate,
             network: opts.platform.network,
         });
-        endpoint.receive(cancelJobNotification, ({ jobId }) => {
+        endpoint.handleNotification(cancelJobNotification, ({ jobId }) => {
             this.cancelled.add(jobId);
         });
         this.source = new LinkBatchSource({
--- a/links/calls/src/linkEndpoint.ts
+++ b/links/calls/src/linkEndpoint.ts
@@ -12,9 +12,9 @@
     /** Registers the handler of a call, for links in both directions. */
     handle<Request, Frame>(definition: CallDefinition<Request, Frame>, handler: CallHandler<Request, Frame>): void;
     /** Registers the receiver of a one-way message. */
-    receive<Message>(
+    handleNotification<Message>(
         definition: NotificationDefinition<Message>,
-        receiver: (message: Message, peer: PeerIdentity) => void,
+        handler: (message: Message, peer: PeerIdentity) => void,
     ): void;
     /** The managed link to `address` (`host:port`); the same one for the same address. */
     connect(address: string): Link;
--- a/links/endpoint/src/baseLink.ts
+++ b/links/endpoint/src/baseLink.ts
@@ -161,7 +161,7 @@
     private onNotification(name: string, payload: unknown): void {
         const peer = this.peer;
         if (peer !== undefined) {
-            this.context.registry.receivers.get(name)?.(payload, peer);
+            this.context.registry.notificationHandlers.get(name)?.(payload, peer);
         }
     }
 
--- a/links/endpoint/src/incomingCalls.ts
+++ b/links/endpoint/src/incomingCalls.ts
@@ -34,19 +34,19 @@
     /** Refuses a request, or runs its handler. */
     onRequest(message: MessageOf<"request">, peer: PeerIdentity): void {
         const { callId, timeoutMs, traceParent } = message;
-        const refusal = this.refusalOf(message);
-        if (refusal !== undefined) {
-            this.opts.send({ type: "failure", callId, error: toErrorRecord(refusal) });
+        const rejection = this.rejectionOf(message);
+        if (rejection !== undefined) {
+            this.opts.send({ type: "failure", callId, error: toErrorRecord(rejection) });
             return;
         }
         const call = this.createCall(message);
         this.running.set(callId, call);
-        const release = this.limitTime(call, timeoutMs);
+        const release = this.applyDeadline(call, timeoutMs);
         const deadlineMs = timeoutMs === undefined ? undefined : this.opts.clock.nowMs() + timeoutMs;
         const handler = this.opts.registry.handlers.get(message.name)!;
         void call.run(handler, message.payload, { peer, deadlineMs, traceParent }).finally(() => {
             release();
-            this.forget(callId, call);
+            this.remove(callId, call);
         });
     }
 
@@ -91,14 +91,14 @@
         });
     }
 
-    private forget(callId: number, call: IncomingCall): void {
+    private remove(callId: number, call: IncomingCall): void {
         if (this.running.get(callId) === call) {
             this.running.delete(callId);
         }
         this.opts.onEnded();
     }
 
-    private refusalOf(message: MessageOf<"request">): KnapweedError | undefined {
+    private rejectionOf(message: MessageOf<"request">): KnapweedError | undefined {
         if (!this.opts.registry.handlers.has(message.name)) {
             return notRunError("LINK_UNKNOWN_CALL", `There is no call ${message.name}`);
         }
@@ -114,7 +114,7 @@
         return undefined;
     }
 
-    private limitTime(call: IncomingCall, timeoutMs: number | undefined): () => void {
+    private applyDeadline(call: IncomingCall, timeoutMs: number | undefined): () => void {
         if (timeoutMs === undefined) {
             return () => undefined;
         }
--- a/links/endpoint/src/linkSession.ts
+++ b/links/endpoint/src/linkSession.ts
@@ -169,13 +169,13 @@
     /** Packs a message that is written for the first time; a request that can't be sent ends as not run. */
     private encode(message: UnnumberedMessage, number: number): Uint8Array | undefined {
         try {
-            return this.pack(message, number);
+            return this.encodeWithinLimit(message, number);
         }
         catch (thrown) {
             const error = toKnapweedError(thrown, "LINK_UNSENDABLE");
             const { callId } = message;
             if (message.type === "request") {
-                this.outgoing.refuse(callId, notRunError(error.code, error.message));
+                this.outgoing.rejectUnwritten(callId, notRunError(error.code, error.message));
                 return undefined;
             }
             this.incoming.abort(callId, error);
@@ -183,7 +183,7 @@
         }
     }
 
-    private pack(message: UnnumberedMessage, number: number): Uint8Array {
+    private encodeWithinLimit(message: UnnumberedMessage, number: number): Uint8Array {
         const bytes = this.opts.codec.encode(
             message.type === "request"
                 ? { ...message, number, timeoutMs: this.outgoing.timeLeftMs(message.callId) }
--- a/links/endpoint/src/messageCodec.ts
+++ b/links/endpoint/src/messageCodec.ts
@@ -42,9 +42,9 @@
     if (layout === undefined) {
         throw badMessage("A message has an unknown type");
     }
-    const wrong = layout.fields.find(([, check], index) => !check(value[index + 1]));
-    if (wrong !== undefined) {
-        throw badMessage(`Field ${wrong[0]} of message ${layout.type} is wrong`);
+    const invalidField = layout.fields.find(([, check], index) => !check(value[index + 1]));
+    if (invalidField !== undefined) {
+        throw badMessage(`Field ${invalidField[0]} of message ${layout.type} is wrong`);
     }
     const message: Record<string, unknown> = { type: layout.type };
     layout.fields.forEach(([name], index) => {
--- a/links/endpoint/src/outgoingCall.ts
+++ b/links/endpoint/src/outgoingCall.ts
@@ -15,7 +15,7 @@
     /** Bytes of frames that may be on their way or unread here. */
     windowBytes: number;
     /** Tells the other end that it may have sent `creditBytes` bytes of frames since the start of the call. */
-    giveCredit: (creditBytes: number) => void;
+    grantCredit: (creditBytes: number) => void;
     /** Called once where the reader stops before the call has ended. */
     onAbandoned: () => void;
 }
@@ -55,7 +55,7 @@
         }
         this.frameCount += 1;
         this.buffered.push({ payload, sizeBytes });
-        this.serveWaiter();
+        this.resolveWaiter();
     }
 
     /** Takes in the end of the call, which states how many frames there were. */
@@ -69,7 +69,7 @@
             return;
         }
         this.ended = true;
-        this.serveWaiter();
+        this.resolveWaiter();
     }
 
     /** Ends the call with an error, which the reader gets after the frames that have arrived. */
@@ -79,13 +79,13 @@
         }
         this.ended = true;
         this.error = error;
-        this.serveWaiter();
+        this.resolveWaiter();
     }
 
     next(): Promise<IteratorResult<Frame>> {
         return new Promise((resolve, reject) => {
             this.waiter = { resolve, reject };
-            this.serveWaiter();
+            this.resolveWaiter();
         });
     }
 
@@ -96,7 +96,7 @@
             this.ended = true;
             this.opts.onAbandoned();
         }
-        this.serveWaiter();
+        this.resolveWaiter();
         return Promise.resolve({ done: true, value: undefined });
     }
 
@@ -104,7 +104,7 @@
         return this;
     }
 
-    private serveWaiter(): void {
+    private resolveWaiter(): void {
         if (this.waiter === undefined || (this.buffered.length === 0 && !this.ended)) {
             return;
         }
@@ -130,7 +130,7 @@
         const wantedBytes = this.readBytes + this.opts.windowBytes;
         if (!this.ended && wantedBytes - this.grantedBytes >= this.opts.windowBytes / 2) {
             this.grantedBytes = wantedBytes;
-            this.opts.giveCredit(wantedBytes);
+            this.opts.grantCredit(wantedBytes);
         }
     }
 }
--- a/links/endpoint/src/outgoingCalls.ts
+++ b/links/endpoint/src/outgoingCalls.ts
@@ -49,7 +49,7 @@
         const call = new OutgoingCall<unknown>({
             callId,
             windowBytes: limits.callWindowBytes,
-            giveCredit: creditBytes => send({ type: "credit", callId, creditBytes }),
+            grantCredit: creditBytes => send({ type: "credit", callId, creditBytes }),
             onAbandoned: () => this.cancel(callId),
         });
         if (callOptions.signal?.aborted === true) {
@@ -60,7 +60,7 @@
             call.fail(notRunError("LINK_TOO_MANY_CALLS", "The link has as many calls in flight as it may have"));
             return call;
         }
-        this.pending.set(callId, this.limitTime(call, callOptions));
+        this.pending.set(callId, this.applyDeadline(call, callOptions));
         send({
             type: "request",
             callId,
@@ -104,7 +104,7 @@
     }
 
     /** Ends one call that was never written. */
-    refuse(callId: number, error: KnapweedError): void {
+    rejectUnwritten(callId: number, error: KnapweedError): void {
         this.remove(callId)?.call.fail(error);
     }
 
@@ -114,7 +114,7 @@
             .filter(([, pending]) => !pending.written)
             .forEach(([callId]) => {
                 this.opts.withdraw(callId);
-                this.refuse(callId, notRunError(code, message));
+                this.rejectUnwritten(callId, notRunError(code, message));
             });
     }
 
@@ -146,15 +146,15 @@
     }
 
     /** Ends a call at its deadline, or when its caller aborts it. */
-    private limitTime(call: OutgoingCall<unknown>, callOptions: CallOptions): PendingCall {
+    private applyDeadline(call: OutgoingCall<unknown>, callOptions: CallOptions): PendingCall {
         const { signal, timeoutMs } = callOptions;
-        const stop = (code: string, message: string) => {
+        const endCall = (code: string, message: string) => {
             const outcome = pending.written ? "unknown" : "not-run";
             this.cancel(call.callId);
             call.fail(new KnapweedError(code, message, { outcome }));
         };
-        const onAbort = () => stop("LINK_CANCELLED", "The caller cancelled the call");
-        const onTimeout = () => stop("LINK_DEADLINE_EXCEEDED", "The call was not answered in time");
+        const onAbort = () => endCall("LINK_CANCELLED", "The caller cancelled the call");
+        const onTimeout = () => endCall("LINK_DEADLINE_EXCEEDED", "The call was not answered in time");
         const timer = timeoutMs === undefined ? undefined : this.opts.clock.setTimer(timeoutMs, onTimeout);
         signal?.addEventListener("abort", onAbort, { once: true });
         const pending: PendingCall = {
--- a/links/endpoint/src/webSocketLinkEndpoint.ts
+++ b/links/endpoint/src/webSocketLinkEndpoint.ts
@@ -61,13 +61,13 @@
         this.context.registry.handlers.set(definition.name, handler as CallHandler<unknown, unknown>);
     }
 
-    receive<Message>(
+    handleNotification<Message>(
         definition: NotificationDefinition<Message>,
-        receiver: (message: Message, peer: PeerIdentity) => void,
+        handler: (message: Message, peer: PeerIdentity) => void,
     ): void {
-        this.context.registry.receivers.set(
+        this.context.registry.notificationHandlers.set(
             definition.name,
-            receiver as (message: unknown, peer: PeerIdentity) => void,
+            handler as (message: unknown, peer: PeerIdentity) => void,
         );
     }
 
--- a/links/endpoint/test/linkFaults.test.ts
+++ b/links/endpoint/test/linkFaults.test.ts
@@ -38,7 +38,7 @@
     }
 }
 
-interface Setting {
+interface Fixture {
     server: WebSocketLinkEndpoint;
     counter: Counter;
     relay: TcpRelay;
@@ -46,13 +46,13 @@
     serverPort: number;
 }
 
-async function createSetting(context: TestContext): Promise<Setting> {
+async function createFixture(context: TestContext): Promise<Fixture> {
     const server = createTestEndpoint(context, "server");
     const client = createTestEndpoint(context, "client");
     const counter = new Counter();
-    const backCounter = new Counter();
+    const clientCounter = new Counter();
     server.handle(countCall, request => counter.handle(request));
-    client.handle(countCall, request => backCounter.handle(request));
+    client.handle(countCall, request => clientCounter.handle(request));
     const serverPort = Number((await server.listen()).split(":")[1]);
     const relay = new TcpRelay({ host: "127.0.0.1", port: serverPort });
     context.after(() => relay.close());
@@ -74,7 +74,7 @@
 
 silences.forEach(({ name, directions }) => {
     test(`a call goes on over a new connection when its own goes silent: ${name}`, async context => {
-        const { counter, relay, link } = await createSetting(context);
+        const { counter, relay, link } = await createFixture(context);
         const reading = collectFrames(link.call(countCall, slowCount));
         await pause(100);
         relay.silence(...directions);
@@ -84,14 +84,14 @@
     });
 
     test(`a call begun on a silent idle link reaches its handler once: ${name}`, async context => {
-        const { counter, relay, link } = await createSetting(context);
+        const { counter, relay, link } = await createFixture(context);
         relay.silence(...directions);
         assertComplete(await collectFrames(link.call(countCall, slowCount)));
         assert.equal(counter.runs, 1);
     });
 
     test(`the accepting end's call survives silence: ${name}`, async context => {
-        const { server, relay } = await createSetting(context);
+        const { server, relay } = await createFixture(context);
         const reading = collectFrames(server.links()[0].call(countCall, slowCount));
         await pause(100);
         relay.silence(...directions);
@@ -100,7 +100,7 @@
 });
 
 test("a link is suspect before it is replaced", async context => {
-    const { relay, link } = await createSetting(context);
+    const { relay, link } = await createFixture(context);
     const reading = collectFrames(link.call(countCall, slowCount));
     const states = new Set<string>();
     relay.silence("backward");
@@ -111,7 +111,7 @@
 });
 
 test("a connection that is cut again and again costs no frame", async context => {
-    const { counter, relay, link } = await createSetting(context);
+    const { counter, relay, link } = await createFixture(context);
     relay.cutEach(3000);
     relay.cut();
     const request = { count: 100, pauseMs: 1, paddingBytes: 300 };
@@ -121,7 +121,7 @@
 });
 
 test("a call in flight ends as unknown when another process stands at the address", async context => {
-    const { server, relay, link, serverPort } = await createSetting(context);
+    const { server, relay, link, serverPort } = await createFixture(context);
     const reading = collectFrames(link.call(countCall, { ...slowCount, pauseMs: 200 }));
     const outcome = assert.rejects(reading, { outcome: "unknown" });
     await pause(50);
@@ -136,7 +136,7 @@
 });
 
 test("a slow reader holds up its own call alone, within its window", async context => {
-    const { counter, link } = await createSetting(context);
+    const { counter, link } = await createFixture(context);
     const slow = link.call(countCall, { count: 2000, pauseMs: 0, paddingBytes: 1000 })[Symbol.asyncIterator]();
     await slow.next();
     await pause(200);
@@ -151,7 +151,7 @@
 });
 
 test("a closing process refuses new calls as not run and lets calls in progress end", async context => {
-    const { server, link } = await createSetting(context);
+    const { server, link } = await createFixture(context);
     const reading = collectFrames(link.call(countCall, slowCount));
     await pause(50);
     const closing = server.close(5000);
@@ -179,7 +179,7 @@
 });
 
 test("a frame larger than a message may be ends its call with an error", async context => {
-    const { link } = await createSetting(context);
+    const { link } = await createFixture(context);
     const request = { count: 1, pauseMs: 0, paddingBytes: 65 << 20 };
     await assert.rejects(collectFrames(link.call(countCall, request)), (error: KnapweedError) => {
         assert.equal(error.code, "ERR_KNAPWEED_LINK_MESSAGE_TOO_LARGE");
@@ -189,11 +189,11 @@
 });
 
 test("bytes that are no messages end their connection and no other", async context => {
-    const { link, serverPort } = await createSetting(context);
-    const stray = new WebSocket(`ws://127.0.0.1:${serverPort}`);
-    await once(stray, "open");
-    stray.send(new Uint8Array([0xc1, 1, 2, 3]));
-    const [status] = await once(stray, "close") as [number];
+    const { link, serverPort } = await createFixture(context);
+    const invalidClient = new WebSocket(`ws://127.0.0.1:${serverPort}`);
+    await once(invalidClient, "open");
+    invalidClient.send(new Uint8Array([0xc1, 1, 2, 3]));
+    const [status] = await once(invalidClient, "close") as [number];
     assert.equal(status, 1007);
     assertComplete(await collectFrames(link.call(countCall, slowCount)));
 });
--- a/links/endpoint/test/linkSession.test.ts
+++ b/links/endpoint/test/linkSession.test.ts
@@ -21,14 +21,14 @@
         check: () => true,
         run: async (model, pair) => {
             await action(pair, model);
-            checkSafety(pair);
+            assertInvariants(pair);
         },
         toString: () => name,
     };
 }
 
 /** The promises that hold at any moment. */
-function checkSafety(pair: SessionPair): void {
+function assertInvariants(pair: SessionPair): void {
     pair.calls.forEach(call => {
         const runs = pair.runCounts.get(call.id) ?? 0;
         assert.ok(runs <= 1, "a handler runs at most once for a request");
@@ -75,7 +75,7 @@
             const model: SessionModel = { wasReplaced: false };
             await fc.asyncModelRun(() => ({ model, real: pair }), generated);
             await pair.drain();
-            checkSafety(pair);
+            assertInvariants(pair);
             assert.ok(pair.calls.every(call => call.ended), "every call has ended");
             if (!model.wasReplaced) {
                 assert.ok(pair.calls.every(call => call.error === undefined), "no call fails by a cut alone");
--- a/links/endpoint/test/linkTls.test.ts
+++ b/links/endpoint/test/linkTls.test.ts
@@ -27,20 +27,20 @@
         yield request;
     });
     const address = await server.listen();
-    const stranger = createTestEndpoint(context, "stranger", {
+    const untrustedClient = createTestEndpoint(context, "stranger", {
         tls: { ...second, authorities: first.authorities },
         limits,
     });
-    await assert.rejects(singleFrame(stranger.connect(address).call(echoCall, { text: "hello" })), {
+    await assert.rejects(singleFrame(untrustedClient.connect(address).call(echoCall, { text: "hello" })), {
         outcome: "not-run",
     });
     server.reloadTls(second);
-    stranger.reloadTls(second);
-    assert.deepEqual(await firstAnswer(() => stranger.connect(address)), { text: "hello" });
+    untrustedClient.reloadTls(second);
+    assert.deepEqual(await callUntilAnswered(() => untrustedClient.connect(address)), { text: "hello" });
 });
 
 /** A call may be given up before the connection is open, which takes longer on a busy machine. */
-async function firstAnswer(connect: () => Link): Promise<{ text: string; }> {
+async function callUntilAnswered(connect: () => Link): Promise<{ text: string; }> {
     for (let attempt = 1;; attempt += 1) {
         try {
             return await singleFrame(connect().call(echoCall, { text: "hello" }));
--- a/links/endpoint/test/sessionPair.ts
+++ b/links/endpoint/test/sessionPair.ts
@@ -6,11 +6,11 @@
 import { MessageCodec } from "../src/messageCodec.js";
 import { testIdentity } from "./testIdentity.js";
 
-interface End {
+interface SessionEnd {
     session: LinkSession;
     registry: CallRegistry;
     /** Written on the present connection and not yet arrived at the other end. */
-    onTheWire: Uint8Array[];
+    inTransit: Uint8Array[];
     attached: boolean;
 }
 
@@ -37,7 +37,7 @@
     readonly calls: CallRecord[] = [];
     readonly runCounts = new Map<number, number>();
     private readonly codec = new MessageCodec();
-    private readonly ends: [End, End] = [this.createEnd(), this.createEnd()];
+    private readonly ends: [SessionEnd, SessionEnd] = [this.createEnd(), this.createEnd()];
     private lastDelivered: [Uint8Array | undefined, Uint8Array | undefined] = [undefined, undefined];
 
     /** Starts a call from end `from` and a reader that takes all frames. */
@@ -57,10 +57,10 @@
 
     /** Hands over up to `count` messages that end `from` has written. */
     async deliver(from: number, count: number): Promise<void> {
-        const arrived = this.ends[from].onTheWire.splice(0, count);
+        const arrived = this.ends[from].inTransit.splice(0, count);
         arrived.forEach(bytes => {
             this.lastDelivered[from] = bytes;
-            this.arrive(1 - from, bytes);
+            this.receive(1 - from, bytes);
         });
         await this.settle();
     }
@@ -69,7 +69,7 @@
     async duplicate(from: number): Promise<void> {
         const bytes = this.lastDelivered[from];
         if (bytes !== undefined) {
-            this.arrive(1 - from, bytes);
+            this.receive(1 - from, bytes);
         }
         await this.settle();
     }
@@ -79,21 +79,21 @@
         this.lastDelivered = [undefined, undefined];
         this.ends.forEach(end => {
             end.attached = false;
-            end.onTheWire = [];
+            end.inTransit = [];
         });
     }
 
     /** Opens another connection; end 0 connects. The answer to its handshake may be lost. */
-    async reconnect(isAnswerLost: boolean): Promise<void> {
+    async reconnect(isResponseLost: boolean): Promise<void> {
         this.cut();
         const [dialer, acceptor] = this.ends;
-        const answered = acceptor.session.received;
+        const acceptorReceived = acceptor.session.received;
         acceptor.attached = true;
         acceptor.session.attach(testIdentity("dialer"), dialer.session.received, defaultLinkLimits.maxMessageBytes);
         this.writePending(acceptor);
-        if (!isAnswerLost) {
+        if (!isResponseLost) {
             dialer.attached = true;
-            dialer.session.attach(testIdentity("acceptor"), answered, defaultLinkLimits.maxMessageBytes);
+            dialer.session.attach(testIdentity("acceptor"), acceptorReceived, defaultLinkLimits.maxMessageBytes);
             this.writePending(dialer);
         }
         await this.settle();
@@ -121,7 +121,7 @@
     /** Moves everything until nothing moves any more. */
     async drain(): Promise<void> {
         await this.reconnect(false);
-        while (this.ends.some(end => end.onTheWire.length > 0)) {
+        while (this.ends.some(end => end.inTransit.length > 0)) {
             await this.deliver(0, 10);
             await this.deliver(1, 10);
             this.acknowledge(0);
@@ -129,7 +129,7 @@
         }
     }
 
-    private createEnd(): End {
+    private createEnd(): SessionEnd {
         const registry = new CallRegistry();
         registry.handlers.set("frames", request => this.frames(request as FrameRequest));
         const session: LinkSession = new LinkSession({
@@ -139,7 +139,7 @@
             registry,
             onPendingMessages: () => this.writePending(end),
         });
-        const end: End = { session, registry, onTheWire: [], attached: false };
+        const end: SessionEnd = { session, registry, inTransit: [], attached: false };
         return end;
     }
 
@@ -162,17 +162,17 @@
         record.ended = true;
     }
 
-    private arrive(at: number, bytes: Uint8Array): void {
+    private receive(at: number, bytes: Uint8Array): void {
         this.codec.decode(bytes).forEach(decoded => this.ends[at].session.receive(decoded));
     }
 
-    private writePending(end: End): void {
-        for (let bytes = this.nextOf(end); bytes !== undefined; bytes = this.nextOf(end)) {
-            end.onTheWire.push(bytes);
+    private writePending(end: SessionEnd): void {
+        for (let bytes = this.nextBytes(end); bytes !== undefined; bytes = this.nextBytes(end)) {
+            end.inTransit.push(bytes);
         }
     }
 
-    private nextOf(end: End): Uint8Array | undefined {
+    private nextBytes(end: SessionEnd): Uint8Array | undefined {
         return end.attached ? end.session.next() : undefined;
     }
 
--- a/routing/limits/src/usageExchange.ts
+++ b/routing/limits/src/usageExchange.ts
@@ -24,7 +24,7 @@
 
     constructor(opts: UsageExchangeOptions) {
         this.opts = opts;
-        opts.endpoint.receive(
+        opts.endpoint.handleNotification(
             usageReportNotification,
             report => opts.shares.onReport(report, opts.clock.nowMs()),
         );
--- a/routing/limits/test/usageExchange.test.ts
+++ b/routing/limits/test/usageExchange.test.ts
@@ -34,7 +34,7 @@
         identity: { instanceId: `entry-${entry}` },
         connect: (address: string) => dialed.push(`${entry} to ${address}`),
         links: () => [linkTo(1 - entry), linkTo(1 - entry), sideLink] as unknown as Link[],
-        receive: (_: unknown, receiver: (report: UsageReport) => void) => receivers[entry] = receiver,
+        handleNotification: (_: unknown, receiver: (report: UsageReport) => void) => receivers[entry] = receiver,
     });
     const exchanges = shares.map((one, entry) =>
         new UsageExchange({
