--- a/links/calls/src/callContext.ts
+++ b/links/calls/src/callContext.ts
@@ -1,11 +1,12 @@
 import type { PeerIdentity } from "./peerIdentity.js";
 
-/** What a handler knows of the call it answers. */
+/** Context of a call that is passed to its handler. */
 export interface CallContext {
     readonly peer: PeerIdentity;
-    /** Aborted when the caller cancels or its link is given up. */
+    /** Aborted when the caller cancels, the deadline passes or the session of the link ends. */
     readonly signal: AbortSignal;
-    /** When the call is due, by this process's clock, in milliseconds; undefined where none was set. */
+    /** Deadline of the call by this process's clock, in milliseconds; undefined where the caller set none. */
     readonly deadlineMs: number | undefined;
+    /** W3C trace context of the caller's span. */
     readonly traceParent: string | undefined;
 }
--- a/links/calls/src/callHandler.ts
+++ b/links/calls/src/callHandler.ts
@@ -1,4 +1,4 @@
 import type { CallContext } from "./callContext.js";
 
-/** Answers a call with a stream of frames. A thrown KnapweedError reaches the caller with its code and outcome. */
+/** Handles a call and yields the frames of its response. A thrown KnapweedError reaches the caller with its code and outcome. */
 export type CallHandler<Request, Frame> = (request: Request, context: CallContext) => AsyncIterable<Frame>;
--- a/links/calls/src/peerIdentity.ts
+++ b/links/calls/src/peerIdentity.ts
@@ -3,10 +3,10 @@
 import type { RegionName } from "@knapweedwood/core.ids/regionName";
 import type { ZoneName } from "@knapweedwood/core.ids/zoneName";
 
-/** What a process says of itself in a link's handshake. */
+/** Identity that a process sends in the handshake of a link. */
 export interface PeerIdentity {
     instanceId: InstanceId;
-    /** Grows with each start of the process, so that a new process at an old address is told apart. */
+    /** Increases with each start of the process, which distinguishes a new process at an old address. */
     incarnation: Incarnation;
     kind: "entry" | "side";
     zone: ZoneName;
--- a/links/calls/src/singleFrame.ts
+++ b/links/calls/src/singleFrame.ts
@@ -1,6 +1,10 @@
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 
-/** The one frame of a call that answers with exactly one. */
+/**
+ * Returns the frame of a call whose response has exactly one.
+ *
+ * Rejects with ERR_KNAPWEED_LINK_EMPTY_ANSWER, outcome `unknown`, where the call ends without a frame.
+ */
 export async function singleFrame<Frame>(frames: AsyncIterable<Frame>): Promise<Frame> {
     for await (const frame of frames) {
         return frame;
