--- a/links/endpoint/src/acceptedLink.ts
+++ b/links/endpoint/src/acceptedLink.ts
@@ -15,7 +15,7 @@
 
 const BAD_MESSAGE_CODE = "ERR_KNAPWEED_LINK_BAD_MESSAGE";
 
-/** The end of a link that accepts. It keeps the session for a while when its connection is lost. */
+/** The accepting end of a link. Keeps the session for `resumeGraceMs` milliseconds after its connection is lost. */
 export class AcceptedLink extends BaseLink {
     private readonly opts: AcceptedLinkOptions;
     private pingMonitor: PingMonitor;
@@ -28,12 +28,12 @@
         this.pingMonitor = this.createPingMonitor();
     }
 
-    /** Whether a connection is in use. */
+    /** Whether the link has a connection. */
     get isAttached(): boolean {
         return this.connection !== undefined;
     }
 
-    /** Takes over a connection whose `hello` named this session. */
+    /** Replaces the connection with one whose `hello` named this session, and sends the `welcome`. */
     accept(connection: LinkConnection, hello: MessageOf<"hello">, isNew: boolean): void {
         this.detach();
         this.pingMonitor = this.createPingMonitor();
@@ -51,7 +51,7 @@
         this.setTimer(this.context.limits.heartbeatIntervalMs, () => this.checkLiveness());
     }
 
-    /** Takes in a message from `from`; one from a connection that was replaced is dropped. */
+    /** Handles a message. Drops it where `from` is a connection that has been replaced. */
     onMessage(from: LinkConnection, decoded: DecodedMessage): void {
         const { message } = decoded;
         if (from !== this.connection) {
@@ -89,10 +89,10 @@
     }
 
     close(): void {
-        this.end(new KnapweedError("LINK_CLOSED", "The link was closed"), true);
+        this.end(new KnapweedError("LINK_CLOSED", "The link was closed by this process"), true);
     }
 
-    /** Ends the session for good. */
+    /** Ends the session permanently. */
     end(reason: KnapweedError, sendGoodbye = false): void {
         if (this.state === "closed") {
             return;
@@ -116,7 +116,7 @@
     }
 
     protected onGoodbye(): void {
-        this.end(new KnapweedError("LINK_CLOSED", "The other end closed the link"));
+        this.end(new KnapweedError("LINK_CLOSED", "The peer closed the link"));
     }
 
     private checkLiveness(): void {
@@ -124,7 +124,7 @@
         this.pingMonitor.excludeStall(Math.max(0, nowMs - this.timerDueMs));
         const liveness = this.pingMonitor.liveness(nowMs);
         if (liveness === "silent") {
-            this.dropConnection(new KnapweedError("LINK_SILENT", "The connection went silent"));
+            this.dropConnection(new KnapweedError("LINK_SILENT", "The peer sent no ping in time"));
             return;
         }
         this.transition(liveness === "suspect" ? "beatMissed" : "beatAnswered");
@@ -137,7 +137,7 @@
         this.transition("lostByPeer");
         this.recordEvent("link.lost", reason);
         this.setTimer(this.context.limits.resumeGraceMs, () => {
-            this.end(new KnapweedError("LINK_LOST", "The other end did not resume the link in time"));
+            this.end(new KnapweedError("LINK_LOST", "The peer did not resume the link in time"));
         });
     }
 
--- a/links/endpoint/src/backoff.ts
+++ b/links/endpoint/src/backoff.ts
@@ -6,7 +6,7 @@
     random: Random;
 }
 
-/** Pauses between attempts to connect: doubled each time, with full jitter. */
+/** Calculates the delays between connection attempts. The delay doubles each time; its upper half is random. */
 export class Backoff {
     private readonly opts: BackoffOptions;
     private attempts = 0;
@@ -15,11 +15,12 @@
         this.opts = opts;
     }
 
+    /** Resets the delay after a successful attempt. */
     reset(): void {
         this.attempts = 0;
     }
 
-    /** The next pause, in milliseconds. The first attempt after a success follows at once. */
+    /** Returns the next delay, in milliseconds. The first attempt after a success has no delay. */
     nextMs(): number {
         const ceilingMs = this.attempts === 0
             ? 0
--- a/links/endpoint/src/baseLink.ts
+++ b/links/endpoint/src/baseLink.ts
@@ -15,11 +15,11 @@
 const ACKNOWLEDGE_AFTER_MESSAGES = 64;
 const ACKNOWLEDGE_AFTER_BYTES = 256 << 10;
 
-/** What links have in common at the end that connects and at the end that accepts. */
+/** Base class of the dialing and the accepting end of a link. */
 export abstract class BaseLink implements Link {
     protected readonly context: LinkContext;
     protected readonly session: LinkSession;
-    /** The connection in use, once its handshake has ended. */
+    /** The current connection; set once its handshake has completed. */
     protected connection: LinkConnection | undefined;
     private currentState: Link["state"] = linkChart.initial;
     private previousSentBytes = 0;
@@ -50,7 +50,7 @@
         return this.session.peer;
     }
 
-    /** Calls in flight in both directions. */
+    /** Number of calls in progress, in both directions. */
     get callCount(): number {
         return this.session.callCount;
     }
@@ -75,13 +75,13 @@
 
     abstract close(): void;
 
-    /** Called after a call has been started here. */
+    /** Called after this end has started a call. */
     protected abstract onCallStarted(): void;
 
-    /** Called when the other end has ended the session on purpose. */
+    /** Called when the peer has ended the session deliberately. */
     protected abstract onGoodbye(): void;
 
-    /** Takes a connection into use after its handshake. */
+    /** Starts using a connection after its handshake. The peer has the session messages up to `received`. */
     protected attach(connection: LinkConnection, peer: PeerIdentity, received: number, maxMessageBytes: number): void {
         this.connection = connection;
         this.session.attach(peer, received, maxMessageBytes);
@@ -89,7 +89,7 @@
         this.session.onCapacityAvailable();
     }
 
-    /** Stops using the present connection. The session stays. */
+    /** Terminates the current connection. The session is kept. */
     protected detach(): void {
         this.previousSentBytes = this.sentBytes;
         this.previousReceivedBytes = this.receivedBytes;
@@ -97,14 +97,14 @@
         this.connection = undefined;
     }
 
-    /** Changes the state of the link where its chart knows the event in the present state. */
+    /** Applies an event to the state of the link. Ignores events that the chart doesn't accept in that state. */
     protected transition(event: LinkEvent): void {
         if (linkChart.accepts(this.currentState, event)) {
             this.currentState = linkChart.next(this.currentState, event);
         }
     }
 
-    /** Writes what is due while the connection has room. */
+    /** Writes pending messages until the send buffer of the connection is full. */
     protected writePending(): void {
         while (this.connection !== undefined && !this.connection.isFull) {
             const bytes = this.session.next();
@@ -115,7 +115,7 @@
         }
     }
 
-    /** Takes in a message that either kind of link treats alike. */
+    /** Handles a message that both ends of a link treat alike. */
     protected receive(decoded: DecodedMessage): void {
         const { message } = decoded;
         switch (message.type) {
@@ -141,13 +141,13 @@
         this.writePending();
     }
 
-    /** Called when a connection has room again. */
+    /** Called when the connection can take more data. */
     protected onDrained(): void {
         this.writePending();
         this.session.onCapacityAvailable();
     }
 
-    /** Counts and logs an event in the life of the link. */
+    /** Counts an event of the link as a metric and logs it. */
     protected recordEvent(event: string, reason?: KnapweedError): void {
         const fields = reason === undefined ? {} : { code: reason.code, reason: reason.message };
         this.context.metrics.increment(event);
--- a/links/endpoint/src/decodedMessage.ts
+++ b/links/endpoint/src/decodedMessage.ts
@@ -1,6 +1,6 @@
 import type { LinkMessage } from "./linkMessage.js";
 
-/** A message that arrived, with its size on the wire. */
+/** A received message with its size on the wire, in bytes. */
 export interface DecodedMessage {
     message: LinkMessage;
     sizeBytes: number;
--- a/links/endpoint/src/dialedLink.ts
+++ b/links/endpoint/src/dialedLink.ts
@@ -15,15 +15,16 @@
 
 interface DialedLinkOptions {
     context: LinkContext;
-    /** Opens a socket to the other end. */
+    /** Opens a socket to the peer. */
     openSocket: () => WebSocket;
     onClosed: () => void;
 }
 
 const BAD_MESSAGE_CODE = "ERR_KNAPWEED_LINK_BAD_MESSAGE";
+/** Consecutive refused connections after which the peer process counts as ended, with its session. */
 const REFUSALS_BEFORE_NEW_SESSION = 2;
 
-/** The end of a link that connects. It replaces its connection whenever that closes or goes silent. */
+/** The dialing end of a link. Replaces its connection when that closes or stops responding. */
 export class DialedLink extends BaseLink {
     private readonly opts: DialedLinkOptions;
     private sessionId = randomUUID();
@@ -46,7 +47,7 @@
             return;
         }
         this.transition("closed");
-        this.session.end(new KnapweedError("LINK_CLOSED", "The link was closed"));
+        this.session.end(new KnapweedError("LINK_CLOSED", "The link was closed by this process"));
         this.connection?.sendMessage({ type: "goodbye" });
         this.connection?.close();
         this.connection = undefined;
@@ -68,8 +69,8 @@
     }
 
     protected onGoodbye(): void {
-        this.startNewSession(new KnapweedError("LINK_CLOSED", "The other end closed the link"));
-        this.replaceConnection(new KnapweedError("LINK_CLOSED", "The other end closed the link"));
+        this.startNewSession(new KnapweedError("LINK_CLOSED", "The peer closed the link"));
+        this.replaceConnection(new KnapweedError("LINK_CLOSED", "The peer closed the link"));
     }
 
     private dial(): void {
@@ -87,7 +88,10 @@
         socket.on("open", () => attempt.sendMessage(this.createHello()));
         this.setTimer("connect", context.limits.connectTimeoutMs, () => {
             attempt.terminate();
-            this.onConnectionClosed(attempt, new KnapweedError("LINK_CONNECT_TIMEOUT", "No link in time"));
+            this.onConnectionClosed(
+                attempt,
+                new KnapweedError("LINK_CONNECT_TIMEOUT", "The connection was not established in time"),
+            );
         });
     }
 
@@ -128,7 +132,7 @@
     private onWelcome(from: LinkConnection, message: MessageOf<"welcome">): void {
         const { limits } = this.context;
         if (!message.resumed && this.session.hasTraffic) {
-            this.session.restart(new KnapweedError("LINK_PEER_REPLACED", "The other end has forgotten the session"));
+            this.session.restart(new KnapweedError("LINK_PEER_REPLACED", "The peer no longer has the session"));
         }
         ["connect", "open", "resume"].forEach(name => this.clearTimer(name));
         this.attempt = undefined;
@@ -158,7 +162,7 @@
         }
         const decision = this.heartbeatMonitor.tick(this.context.clock.nowMs(), this.callCount > 0);
         if (decision.liveness === "silent") {
-            this.replaceConnection(new KnapweedError("LINK_SILENT", "The connection went silent"));
+            this.replaceConnection(new KnapweedError("LINK_SILENT", "The peer did not respond to a ping in time"));
             return;
         }
         this.transition(decision.liveness === "suspect" ? "beatMissed" : "beatAnswered");
@@ -174,7 +178,7 @@
         }
     }
 
-    /** Gives up the present connection and opens another. */
+    /** Terminates the current connection and schedules the opening of another. */
     private replaceConnection(reason: KnapweedError): void {
         if (this.state === "closed") {
             return;
@@ -201,26 +205,26 @@
         const cause = reason.cause as { code?: string; } | undefined;
         this.connectionRefusals = cause?.code === "ECONNREFUSED" ? this.connectionRefusals + 1 : 0;
         if (this.connectionRefusals === REFUSALS_BEFORE_NEW_SESSION) {
-            this.startNewSession(new KnapweedError("LINK_PEER_GONE", "Nothing listens at the other end any more"));
+            this.startNewSession(new KnapweedError("LINK_PEER_GONE", "No process listens at the address of the peer"));
         }
     }
 
-    /** Ends calls that wait for a first connection for too long. */
+    /** Ends calls that wait too long for an open connection. */
     private startOpenTimeout(): void {
         if (this.timers["open"] === undefined) {
             this.setTimer("open", this.context.limits.openTimeoutMs, () => {
-                this.session.failUnwritten("LINK_NOT_OPEN", "No connection could be opened in time");
+                this.session.failUnwritten("LINK_NOT_OPEN", "No connection was opened in time");
             });
         }
     }
 
     private startResumeTimeout(): void {
         this.setTimer("resume", this.context.limits.resumeTimeoutMs, () => {
-            this.startNewSession(new KnapweedError("LINK_LOST", "The connection could not be resumed in time"));
+            this.startNewSession(new KnapweedError("LINK_LOST", "The session was not resumed in time"));
         });
     }
 
-    /** Gives up the session for one that the other end can't mistake for it. */
+    /** Replaces the session with one of another id, so that the peer can't confuse the two. */
     private startNewSession(reason: KnapweedError): void {
         this.sessionId = randomUUID();
         this.session.restart(reason);
--- a/links/endpoint/src/errorRecord.ts
+++ b/links/endpoint/src/errorRecord.ts
@@ -1,6 +1,6 @@
 import type { Outcome } from "@knapweedwood/core.errors/outcome";
 
-/** A KnapweedError as it crosses a link. */
+/** Serialized form of a KnapweedError on a link. */
 export interface ErrorRecord {
     code: string;
     message: string;
--- a/links/endpoint/src/heartbeatDecision.ts
+++ b/links/endpoint/src/heartbeatDecision.ts
@@ -1,8 +1,8 @@
-/** What the end that opened a connection is to do after looking at its heartbeats. */
+/** Result of a heartbeat tick at the dialing end of a connection. */
 export interface HeartbeatDecision {
     liveness: "alive" | "suspect" | "silent";
-    /** The ping to send now, with the time to the one after it. */
+    /** Ping to send now, with the time within which the next one follows, in milliseconds. */
     ping: { sequence: number; intervalMs: number; } | undefined;
-    /** When to look again, in milliseconds from now. */
+    /** Time until the next tick, in milliseconds. */
     nextTickMs: number;
 }
--- a/links/endpoint/src/heartbeatMonitor.ts
+++ b/links/endpoint/src/heartbeatMonitor.ts
@@ -4,7 +4,7 @@
     intervalMs: number;
     idleIntervalMs: number;
     silentAfterMs: number;
-    /** Offset of this process's heartbeats, so that processes don't send theirs at the same moments. */
+    /** Offset of this process's heartbeats, in milliseconds, so that processes don't send theirs at the same time. */
     phaseMs: number;
 }
 
@@ -13,13 +13,14 @@
     sentAtMs: number;
 }
 
-/** Part of the interval to whose multiples heartbeats are put off, so that a process wakes once for many links. */
+/** Heartbeats are delayed to multiples of this share of the interval, so that a process wakes once for many links. */
 const ALIGNMENT_SHARE = 0.25;
 const TIMER_TOLERANCE_MS = 2;
 
 /**
- * Judges a connection by its round trips, so that silence in either direction is seen. Pings are sent more often
- * while calls are in flight. Time in which this process itself stood still is not held against the connection.
+ * Determines the liveness of a connection at its dialing end from the round trips of pings, which detects silence in
+ * either direction. Pings are sent more often while calls are in progress. Time in which this process itself was
+ * stalled doesn't count against the connection.
  */
 export class HeartbeatMonitor {
     private readonly opts: HeartbeatMonitorOptions;
@@ -27,17 +28,19 @@
     private sequence = 0;
     private lastPingAtMs = Number.NEGATIVE_INFINITY;
     private nextTickAtMs = Number.POSITIVE_INFINITY;
-    /** Interval announced with the last ping: the other end expects the next one within it. */
+    /** Interval announced with the last ping. The peer expects the next ping within it. */
     private announcedIntervalMs = Number.POSITIVE_INFINITY;
 
     constructor(opts: HeartbeatMonitorOptions) {
         this.opts = opts;
     }
 
+    /** Records the response to a ping. Earlier pings count as answered too. */
     onPong(sequence: number): void {
         this.unanswered = this.unanswered.filter(ping => ping.sequence > sequence);
     }
 
+    /** Returns the liveness of the connection, the ping to send and the time of the next tick. */
     tick(nowMs: number, isBusy: boolean): HeartbeatDecision {
         this.excludeStall(nowMs);
         const intervalMs = isBusy ? this.opts.intervalMs : this.opts.idleIntervalMs;
--- a/links/endpoint/src/incomingCall.ts
+++ b/links/endpoint/src/incomingCall.ts
@@ -7,7 +7,7 @@
     sendFrame: (frameIndex: number, payload: unknown) => void;
     sendEnd: (frameCount: number) => void;
     sendFailure: (thrown: unknown) => void;
-    /** Whether the link as a whole has no room. */
+    /** Whether the link as a whole can take no more messages at present. */
     isCongested: () => boolean;
 }
 
@@ -39,20 +39,20 @@
         this.sentBytes += sizeBytes;
     }
 
-    /** Looks again whether the next frame may be sent. */
+    /** Resumes the handler where the next frame may be sent. */
     onCapacityAvailable(): void {
         if (this.canSendFrame()) {
             this.wake?.();
         }
     }
 
-    /** Tells the handler to stop. Nothing is sent afterwards. */
+    /** Signals the handler to stop. Nothing is sent afterwards. */
     abort(reason: KnapweedError): void {
         this.controller.abort(reason);
         this.wake?.();
     }
 
-    /** Runs to the end of the call. Never rejects. */
+    /** Runs the handler to the end of the call. Never rejects. */
     async run(
         handler: CallHandler<unknown, unknown>,
         request: unknown,
--- a/links/endpoint/src/incomingCalls.ts
+++ b/links/endpoint/src/incomingCalls.ts
@@ -18,7 +18,7 @@
     onEnded: () => void;
 }
 
-/** The calls that this end answers on one link. */
+/** The calls that this end handles on one link. */
 export class IncomingCalls {
     private readonly opts: IncomingCallsOptions;
     private readonly running = new Map<number, IncomingCall>();
@@ -31,7 +31,7 @@
         return this.running.size;
     }
 
-    /** Refuses a request, or runs its handler. */
+    /** Runs the handler of a request, or rejects the request. */
     onRequest(message: MessageOf<"request">, peer: PeerIdentity): void {
         const { callId, timeoutMs, traceParent } = message;
         const rejection = this.rejectionOf(message);
@@ -60,22 +60,22 @@
         this.running.get(message.callId)?.raiseCredit(message.creditBytes);
     }
 
-    /** Counts bytes of frames as they are written. */
+    /** Counts the bytes of a frame that is written. */
     onFrameWritten(callId: number, sizeBytes: number): void {
         this.running.get(callId)?.countWritten(sizeBytes);
     }
 
-    /** Lets handlers that wait for room on the link go on. */
+    /** Resumes handlers that wait because the link could take no more frames. */
     onCapacityAvailable(): void {
         this.running.forEach(call => call.onCapacityAvailable());
     }
 
-    /** Stops one handler. */
+    /** Signals one handler to stop. */
     abort(callId: number, reason: KnapweedError): void {
         this.running.get(callId)?.abort(reason);
     }
 
-    /** Stops all handlers. */
+    /** Signals all handlers to stop. */
     abortAll(reason: KnapweedError): void {
         this.running.forEach(call => call.abort(reason));
     }
@@ -100,16 +100,16 @@
 
     private rejectionOf(message: MessageOf<"request">): KnapweedError | undefined {
         if (!this.opts.registry.handlers.has(message.name)) {
-            return notRunError("LINK_UNKNOWN_CALL", `There is no call ${message.name}`);
+            return notRunError("LINK_UNKNOWN_CALL", `No handler is registered for call ${message.name}`);
         }
         if (this.opts.registry.isClosing) {
             return notRunError("LINK_CLOSING", "The process is shutting down");
         }
         if (this.running.size >= this.opts.maxCalls) {
-            return notRunError("LINK_TOO_MANY_CALLS", "The link has as many calls in flight as it may have");
+            return notRunError("LINK_TOO_MANY_CALLS", "The link has reached its limit of concurrent calls");
         }
         if (message.timeoutMs !== undefined && message.timeoutMs <= 0) {
-            return notRunError("LINK_DEADLINE_EXCEEDED", "The call was due before it arrived");
+            return notRunError("LINK_DEADLINE_EXCEEDED", "The deadline of the call passed before it arrived");
         }
         return undefined;
     }
@@ -119,7 +119,7 @@
             return () => undefined;
         }
         const timer = this.opts.clock.setTimer(timeoutMs, () => {
-            call.abort(new KnapweedError("LINK_DEADLINE_EXCEEDED", "The call is past its deadline"));
+            call.abort(new KnapweedError("LINK_DEADLINE_EXCEEDED", "The call exceeded its deadline"));
         });
         return () => timer.cancel();
     }
--- a/links/endpoint/src/linkChart.ts
+++ b/links/endpoint/src/linkChart.ts
@@ -3,5 +3,5 @@
 import definition from "../charts/link.json" with { type: "json" };
 import type { LinkEvent } from "./linkEvent.js";
 
-/** The states of a link. */
+/** State chart of a link. */
 export const linkChart = new Chart<Link["state"], LinkEvent>(definition);
--- a/links/endpoint/src/linkConnection.ts
+++ b/links/endpoint/src/linkConnection.ts
@@ -11,9 +11,9 @@
     clock: Clock;
     codec: MessageCodec;
     onMessage: (decoded: DecodedMessage) => void;
-    /** Called once, when the connection has ended by whatever cause. */
+    /** Called once, when the connection has ended for any reason. */
     onClosed: (reason: KnapweedError) => void;
-    /** Called when there is room for more. */
+    /** Called when the connection can take more data. */
     onDrained: () => void;
 }
 
@@ -22,7 +22,7 @@
 const CLOSE_TIMEOUT_MS = 300;
 const BAD_MESSAGE_STATUS = 1007;
 
-/** One WebSocket. Gathers what is sent in one turn of the event loop into few writes. */
+/** One WebSocket connection. Combines messages that are sent in one turn of the event loop into few writes. */
 export class LinkConnection {
     private readonly opts: LinkConnectionOptions;
     private batch: Uint8Array[] = [];
@@ -37,7 +37,10 @@
         opts.socket.binaryType = "nodebuffer";
         opts.socket.on("message", data => this.receive(data));
         opts.socket.on("error", error => this.end(toKnapweedError(error, "LINK_CONNECTION_FAILED")));
-        opts.socket.on("close", () => this.end(new KnapweedError("LINK_CONNECTION_CLOSED", "The connection closed")));
+        opts.socket.on(
+            "close",
+            () => this.end(new KnapweedError("LINK_CONNECTION_CLOSED", "The connection was closed")),
+        );
     }
 
     /** Whether writers should wait. */
@@ -71,7 +74,7 @@
         this.flushHandle ??= setImmediate(() => this.flush());
     }
 
-    /** Sends what is waiting and closes in an orderly way, or without the other end where that is silent. */
+    /** Sends buffered messages and closes the connection. Terminates it where the peer doesn't respond in time. */
     close(): void {
         this.flush();
         this.opts.socket.close();
@@ -79,7 +82,7 @@
         this.opts.socket.on("close", () => timer.cancel());
     }
 
-    /** Drops the connection without waiting for the other end. Nothing is reported afterwards. */
+    /** Terminates the connection without waiting for the peer. No messages and no close are reported afterwards. */
     terminate(): void {
         this.ended = true;
         clearImmediate(this.flushHandle);
--- a/links/endpoint/src/linkContext.ts
+++ b/links/endpoint/src/linkContext.ts
@@ -7,7 +7,7 @@
 import type { LinkLimits } from "./linkLimits.js";
 import type { MessageCodec } from "./messageCodec.js";
 
-/** What all links of an endpoint share. */
+/** Services, limits and handlers that all links of an endpoint share. */
 export interface LinkContext {
     identity: PeerIdentity;
     clock: Clock;
--- a/links/endpoint/src/linkEvent.ts
+++ b/links/endpoint/src/linkEvent.ts
@@ -1,5 +1,5 @@
 /**
- * What changes the state of a link: `lost` where this end opens another connection, `lostByPeer` where it waits for the
- * other end to do so.
+ * Event that changes the state of a link. `lost` is used at the dialing end, which opens another connection.
+ * `lostByPeer` is used at the accepting end, which waits for the dialing end to reconnect.
  */
 export type LinkEvent = "welcomed" | "beatMissed" | "beatAnswered" | "lost" | "lostByPeer" | "closed";
--- a/links/endpoint/src/linkLimits.ts
+++ b/links/endpoint/src/linkLimits.ts
@@ -1,28 +1,32 @@
-/** Bounds and intervals of links. */
+/** Limits and intervals of links. */
 export interface LinkLimits {
-    /** Time between heartbeats while calls are in flight, in milliseconds. */
+    /** Time between heartbeats while calls are in progress, in milliseconds. */
     heartbeatIntervalMs: number;
-    /** Time between heartbeats while no calls are in flight, in milliseconds. */
+    /** Time between heartbeats while no calls are in progress, in milliseconds. */
     idleHeartbeatIntervalMs: number;
-    /** An unanswered heartbeat older than this has the connection replaced, in milliseconds. */
+    /** Age of an unanswered heartbeat at which the connection is replaced, in milliseconds. */
     silentAfterMs: number;
-    /** Longest time for opening a connection with its handshake, in milliseconds. */
+    /** Longest time to open a connection and complete its handshake, in milliseconds. */
     connectTimeoutMs: number;
-    /** How long a call waits for an open link before it ends as not run, in milliseconds. */
+    /** Time that a call waits for an open link before it ends with outcome `not-run`, in milliseconds. */
     openTimeoutMs: number;
-    /** How long the end that connects tries to resume before calls in flight end as unknown, in milliseconds. */
+    /**
+     * Time that the dialing end tries to resume a session before calls in progress end with outcome `unknown`, in
+     * milliseconds.
+     */
     resumeTimeoutMs: number;
-    /** How long the end that accepts keeps a session without a connection, in milliseconds. */
+    /** Time that the accepting end keeps a session without a connection, in milliseconds. */
     resumeGraceMs: number;
-    /** First and longest pause between attempts to connect, in milliseconds. */
+    /** First delay between connection attempts, in milliseconds. */
     reconnectBaseMs: number;
+    /** Longest delay between connection attempts, in milliseconds. */
     reconnectMaxMs: number;
-    /** Largest message, in bytes. */
+    /** Maximum size of a message, in bytes. */
     maxMessageBytes: number;
-    /** Bytes of frames of one call on their way or unread. */
+    /** Maximum size of the frames of one call that are in transit or unread, in bytes. */
     callWindowBytes: number;
-    /** Bytes of a session that the other end has not acknowledged. */
+    /** Maximum size of the messages of a session that the peer has not acknowledged, in bytes. */
     maxUnacknowledgedBytes: number;
-    /** Calls in flight of one link, in each direction. */
+    /** Maximum number of concurrent calls of one link, in each direction. */
     maxCalls: number;
 }
--- a/links/endpoint/src/linkMessage.ts
+++ b/links/endpoint/src/linkMessage.ts
@@ -1,31 +1,31 @@
 import type { PeerIdentity } from "@knapweedwood/links.calls/peerIdentity";
 import type { ErrorRecord } from "./errorRecord.js";
 
-/** First message of a connection, from the end that opened it. */
+/** First message of a connection, sent by the dialing end. */
 interface Hello {
     type: "hello";
     version: number;
-    /** Oldest version of the protocol that this end still speaks. */
+    /** Oldest protocol version that the sender supports. */
     oldestVersion: number;
     identity: PeerIdentity;
     sessionId: string;
-    /** Number of the last session message that has arrived at this end. */
+    /** Number of the last session message that the sender has received. */
     received: number;
     maxMessageBytes: number;
 }
 
-/** Answers {@link Hello}. */
+/** Accepts the connection of a {@link Hello}. */
 interface Welcome {
     type: "welcome";
     version: number;
     identity: PeerIdentity;
-    /** Whether this end still holds the session; if not, the session starts afresh. */
+    /** Whether the accepting end still holds the session. If not, a new session starts. */
     resumed: boolean;
     received: number;
     maxMessageBytes: number;
 }
 
-/** Answers {@link Hello} where no session can be had. */
+/** Rejects the connection of a {@link Hello}. */
 interface Refusal {
     type: "refusal";
     error: ErrorRecord;
@@ -34,7 +34,7 @@
 interface Ping {
     type: "ping";
     sequence: number;
-    /** When the next ping is due, in milliseconds. */
+    /** Time within which the next ping is due, in milliseconds. */
     intervalMs: number;
     received: number;
 }
@@ -51,7 +51,7 @@
     received: number;
 }
 
-/** Ends a session on purpose. */
+/** Ends a session deliberately. */
 interface Goodbye {
     type: "goodbye";
 }
@@ -68,7 +68,7 @@
     callId: number;
     name: string;
     payload: unknown;
-    /** How many bytes of frames may be sent before more credit is given. */
+    /** Bytes of frames that may be sent before more credit is granted. */
     creditBytes: number;
     timeoutMs: number | undefined;
     traceParent: string | undefined;
@@ -80,7 +80,7 @@
     callId: number;
 }
 
-/** Raises the count of bytes of frames that may be sent for a call since its start. */
+/** Raises the total number of frame bytes that may be sent for a call since its start. */
 interface Credit {
     type: "credit";
     number: number;
@@ -111,7 +111,10 @@
     error: ErrorRecord;
 }
 
-/** A message between the two ends of a link. Those with a `number` belong to a session and survive its connection. */
+/**
+ * A message between the two ends of a link. Messages with a `number` belong to a session and are sent again when its
+ * connection is lost.
+ */
 export type LinkMessage =
     | Hello
     | Welcome
--- a/links/endpoint/src/linkServer.ts
+++ b/links/endpoint/src/linkServer.ts
@@ -22,7 +22,7 @@
     tls: LinkTls | undefined;
 }
 
-/** Accepts connections and gives each to the session that it names. */
+/** Accepts connections and assigns each to the session that its `hello` names. */
 export class LinkServer {
     private readonly opts: LinkServerOptions;
     private readonly server: Server | TlsServer;
@@ -39,12 +39,12 @@
         webSockets.on("connection", socket => this.onConnection(socket));
     }
 
-    /** Links with their sessions, those without a connection among them. */
+    /** The links whose sessions are kept, including those without a connection. */
     get links(): AcceptedLink[] {
         return [...this.sessions.values()];
     }
 
-    /** @returns the port bound */
+    /** Starts listening. @returns the bound port */
     async listen(): Promise<number> {
         const { host, port } = this.opts;
         await new Promise<void>((resolve, reject) => {
@@ -54,12 +54,12 @@
         return (this.server.address() as AddressInfo).port;
     }
 
-    /** Uses other certificates for new connections. */
+    /** Replaces the certificates for new connections. */
     reloadTls(tls: LinkTls): void {
         (this.server as TlsServer).setSecureContext(toServerOptions(tls));
     }
 
-    /** Stops accepting and ends what is left. */
+    /** Closes all links and connections and stops listening. */
     async close(): Promise<void> {
         this.links.forEach(link => link.close());
         await new Promise<void>(resolve => {
@@ -117,7 +117,7 @@
 
     private refusalOf(hello: MessageOf<"hello">): KnapweedError | undefined {
         if (hello.version < oldestProtocolVersion || hello.oldestVersion > protocolVersion) {
-            const text = `The other end speaks versions ${oldestProtocolVersion} to ${protocolVersion}`;
+            const text = `The peer supports protocol versions ${oldestProtocolVersion} to ${protocolVersion}`;
             return notRunError("LINK_VERSION_UNSUPPORTED", text);
         }
         if (this.opts.context.registry.isClosing) {
@@ -136,9 +136,12 @@
         return link;
     }
 
-    /** Ends sessions that the other end can't mean to resume. */
+    /**
+     * Ends sessions of the same instance that the peer can't resume: those without a connection and those of an earlier
+     * process.
+     */
     private endStaleSessions({ identity }: MessageOf<"hello">): void {
-        const reason = notRunError("LINK_PEER_REPLACED", "The other end has begun another session");
+        const reason = notRunError("LINK_PEER_REPLACED", "The peer has started another session");
         this.links
             .filter(link => link.peer?.instanceId === identity.instanceId)
             .filter(link => !link.isAttached || link.peer!.incarnation < identity.incarnation)
--- a/links/endpoint/src/linkSession.ts
+++ b/links/endpoint/src/linkSession.ts
@@ -21,13 +21,13 @@
     codec: MessageCodec;
     limits: LinkLimits;
     registry: CallRegistry;
-    /** Called when there may be something to write. */
+    /** Called when there may be messages to write. */
     onPendingMessages: () => void;
 }
 
 /**
- * The calls of one link in both directions. Outlives the connections that carry it. Once the other end has
- * forgotten it, requests that were written are never written again, so that none is handled twice.
+ * The calls of one link in both directions. A session outlives the connections that carry it. Once the peer no longer
+ * has the session, requests that were written are never written again, so that no request is handled twice.
  */
 export class LinkSession {
     private readonly opts: LinkSessionOptions;
@@ -58,17 +58,17 @@
         return this.peerIdentity;
     }
 
-    /** Number of the last message that has arrived. */
+    /** Number of the last message that has been received. */
     get received(): number {
         return this.stream.received;
     }
 
-    /** Whether the other end has to know the session for it to go on. */
+    /** Whether the session can continue only where the peer has it too. */
     get hasTraffic(): boolean {
         return this.stream.hasTraffic;
     }
 
-    /** Calls in flight in both directions. */
+    /** Number of calls in progress, in both directions. */
     get callCount(): number {
         return this.outgoing.size + this.incoming.size;
     }
@@ -77,7 +77,7 @@
         return this.outgoing.hasUnwritten;
     }
 
-    /** Begins a new connection to an end that has `peerReceived` messages of this session. */
+    /** Continues on a new connection. The peer has the messages of this session up to number `peerReceived`. */
     attach(peer: PeerIdentity, peerReceived: number, peerMaxMessageBytes: number): void {
         this.peerIdentity = peer;
         this.peerMaxMessageBytes = peerMaxMessageBytes;
@@ -89,22 +89,22 @@
         this.incoming.onCapacityAvailable();
     }
 
-    /** The next bytes to write on the present connection. */
+    /** Returns the next bytes to write on the current connection; undefined where there are none. */
     next(): Uint8Array | undefined {
         return this.stream.next();
     }
 
-    /** Lets handlers that wait for room on the link go on. */
+    /** Resumes handlers that wait because the link could take no more frames. */
     onCapacityAvailable(): void {
         this.incoming.onCapacityAvailable();
     }
 
-    /** Starts a call. Its request waits here until a connection is open. */
+    /** Starts a call. Its request is queued until a connection is open. */
     call(name: string, payload: unknown, callOptions: CallOptions): OutgoingCall<unknown> {
         return this.outgoing.start(name, payload, callOptions);
     }
 
-    /** Takes in a message of the session. */
+    /** Handles a message of the session. Drops duplicates. */
     receive({ message, sizeBytes }: DecodedMessage): void {
         const sessionMessage = message as SessionMessage;
         if (this.stream.receive(sessionMessage.number) === "deliver") {
@@ -112,12 +112,12 @@
         }
     }
 
-    /** Ends calls that have waited for an open link for too long. */
+    /** Ends calls that still wait for an open link, with outcome `not-run`. */
     failUnwritten(code: string, message: string): void {
         this.outgoing.failUnwritten(code, message);
     }
 
-    /** Begins afresh: what was written is lost, what was not stays. */
+    /** Starts a new session. Calls whose requests were written fail; requests that were not written stay queued. */
     restart(reason: KnapweedError): void {
         this.incoming.abortAll(reason);
         this.outgoing.failWritten(reason);
@@ -126,7 +126,7 @@
         requests.forEach(request => this.stream.enqueue(request));
     }
 
-    /** Ends the session for good. */
+    /** Ends the session permanently. */
     end(reason: KnapweedError): void {
         this.outgoing.failUnwritten(reason.code, reason.message);
         this.outgoing.failWritten(reason);
@@ -166,7 +166,10 @@
         });
     }
 
-    /** Packs a message that is written for the first time; a request that can't be sent ends as not run. */
+    /**
+     * Encodes a message that is written for the first time. A request that can't be sent ends its call with outcome
+     * `not-run`. Any other message that can't be sent is replaced by a failure of its call.
+     */
     private encode(message: UnnumberedMessage, number: number): Uint8Array | undefined {
         try {
             return this.encodeWithinLimit(message, number);
@@ -183,6 +186,7 @@
         }
     }
 
+    /** Throws ERR_KNAPWEED_LINK_MESSAGE_TOO_LARGE where the message exceeds the peer's limit. */
     private encodeWithinLimit(message: UnnumberedMessage, number: number): Uint8Array {
         const bytes = this.opts.codec.encode(
             message.type === "request"
@@ -190,7 +194,8 @@
                 : { ...message, number } as SessionMessage,
         );
         if (bytes.length > this.peerMaxMessageBytes) {
-            const text = `A message of ${bytes.length} bytes is larger than the ${this.peerMaxMessageBytes} allowed`;
+            const text =
+                `A message of ${bytes.length} bytes exceeds the peer's limit of ${this.peerMaxMessageBytes} bytes`;
             throw new KnapweedError("LINK_MESSAGE_TOO_LARGE", text, { outcome: "unknown" });
         }
         if (message.type === "request") {
--- a/links/endpoint/src/linkTls.ts
+++ b/links/endpoint/src/linkTls.ts
@@ -1,7 +1,7 @@
-/** Certificates of mutual TLS between processes, in PEM. */
+/** Certificates and private key for mutual TLS between processes, in PEM. */
 export interface LinkTls {
     certificate: string;
     privateKey: string;
-    /** Authorities whose certificates the other end may show. */
+    /** Certificate authorities that may have issued the certificate of the peer. */
     authorities: string;
 }
--- a/links/endpoint/src/linkTraffic.ts
+++ b/links/endpoint/src/linkTraffic.ts
@@ -1,4 +1,4 @@
-/** Bytes of messages on links, without the headers of WebSocket, TLS and TCP. */
+/** Bytes of messages on links, without WebSocket, TLS and TCP headers. */
 export interface LinkTraffic {
     sentBytes: number;
     receivedBytes: number;
--- a/links/endpoint/src/messageCodec.ts
+++ b/links/endpoint/src/messageCodec.ts
@@ -6,7 +6,7 @@
 
 const indexByType = new Map(messageLayouts.map((layout, index) => [layout.type, index]));
 
-/** Packs link messages into bytes. Several packed messages may stand one after the other. */
+/** Encodes link messages as msgpack and decodes them. Encoded messages may be concatenated. */
 export class MessageCodec {
     private readonly packr = new Packr({ useRecords: false });
 
@@ -17,8 +17,10 @@
     }
 
     /**
+     * Decodes one or more concatenated messages.
+     *
      * @returns the messages in order, shape [messages]
-     * @throws KnapweedError ERR_KNAPWEED_LINK_BAD_MESSAGE where the bytes are no messages of this protocol
+     * @throws KnapweedError ERR_KNAPWEED_LINK_BAD_MESSAGE where the bytes are not messages of this protocol
      */
     decode(bytes: Uint8Array): DecodedMessage[] {
         const messages: DecodedMessage[] = [];
@@ -28,7 +30,9 @@
             });
         }
         catch (error) {
-            throw error instanceof KnapweedError ? error : badMessage("The bytes are not msgpack", error);
+            throw error instanceof KnapweedError
+                ? error
+                : badMessage("The received bytes are not valid msgpack", error);
         }
         return messages;
     }
@@ -36,15 +40,15 @@
 
 function toMessage(value: unknown): LinkMessage {
     if (!Array.isArray(value)) {
-        throw badMessage("A message is not an array");
+        throw badMessage("A received message is not an array");
     }
     const layout = messageLayouts[value[0] as number];
     if (layout === undefined) {
-        throw badMessage("A message has an unknown type");
+        throw badMessage("A received message has an unknown type");
     }
     const invalidField = layout.fields.find(([, check], index) => !check(value[index + 1]));
     if (invalidField !== undefined) {
-        throw badMessage(`Field ${invalidField[0]} of message ${layout.type} is wrong`);
+        throw badMessage(`Field ${invalidField[0]} of message ${layout.type} is invalid`);
     }
     const message: Record<string, unknown> = { type: layout.type };
     layout.fields.forEach(([name], index) => {
--- a/links/endpoint/src/messageLayouts.ts
+++ b/links/endpoint/src/messageLayouts.ts
@@ -4,7 +4,7 @@
 
 interface MessageLayout {
     type: LinkMessage["type"];
-    /** Fields in their order on the wire, after the index of the layout. */
+    /** Fields in their order on the wire, where they follow the index of the layout. */
     fields: readonly (readonly [name: string, check: FieldCheck])[];
 }
 
@@ -24,7 +24,10 @@
     return isObject(value) && isString(identity.instanceId) && isCount(identity.incarnation);
 };
 
-/** How each message stands on the wire: an array of the layout's index and its fields. New ones go to the end. */
+/**
+ * Layout of each message type on the wire: a msgpack array of the layout's index and its fields. New layouts are
+ * appended at the end, so that the indexes of the others stay the same.
+ */
 export const messageLayouts: readonly MessageLayout[] = [
     {
         type: "hello",
--- a/links/endpoint/src/oldestProtocolVersion.ts
+++ b/links/endpoint/src/oldestProtocolVersion.ts
@@ -1,2 +1,2 @@
-/** Oldest version of the protocol between processes that is still spoken. */
+/** Oldest version of the protocol between processes that is still supported. */
 export const oldestProtocolVersion = 1;
--- a/links/endpoint/src/outgoingCall.ts
+++ b/links/endpoint/src/outgoingCall.ts
@@ -12,15 +12,15 @@
 
 interface OutgoingCallOptions {
     callId: number;
-    /** Bytes of frames that may be on their way or unread here. */
+    /** Bytes of frames that may be in transit or unread at this end. */
     windowBytes: number;
-    /** Tells the other end that it may have sent `creditBytes` bytes of frames since the start of the call. */
+    /** Allows the peer to send `creditBytes` bytes of frames in total since the start of the call. */
     grantCredit: (creditBytes: number) => void;
-    /** Called once where the reader stops before the call has ended. */
+    /** Called once when the reader stops before the call has ended. */
     onAbandoned: () => void;
 }
 
-/** The frames of a call as its caller reads them: in order, each once, complete or followed by an error. */
+/** Iterator over the frames of a call: in order, each exactly once, complete or followed by an error. */
 export class OutgoingCall<Frame> implements AsyncIterableIterator<Frame> {
     readonly callId: number;
     private readonly opts: OutgoingCallOptions;
@@ -42,7 +42,7 @@
         return this.ended;
     }
 
-    /** Takes in a frame from the link. */
+    /** Adds a frame that has arrived. Fails the call where an earlier frame is missing. */
     acceptFrame(frameIndex: number, payload: Frame, sizeBytes: number): void {
         if (this.ended) {
             return;
@@ -58,13 +58,13 @@
         this.resolveWaiter();
     }
 
-    /** Takes in the end of the call, which states how many frames there were. */
+    /** Ends the call. Fails it where fewer or more than `frameCount` frames have arrived. */
     acceptEnd(frameCount: number): void {
         if (this.ended) {
             return;
         }
         if (frameCount !== this.frameCount) {
-            const message = `${this.frameCount} of ${frameCount} frames arrived`;
+            const message = `${this.frameCount} of ${frameCount} frames have arrived`;
             this.fail(new KnapweedError("LINK_FRAME_MISSING", message, { outcome: "unknown" }));
             return;
         }
--- a/links/endpoint/src/outgoingCalls.ts
+++ b/links/endpoint/src/outgoingCalls.ts
@@ -12,7 +12,7 @@
     clock: Clock;
     limits: LinkLimits;
     send: (message: UnnumberedMessage) => void;
-    /** Takes back the request of a call that has never been written. */
+    /** Removes the request of a call from the queue where it has never been written. */
     withdraw: (callId: number) => void;
 }
 
@@ -24,7 +24,7 @@
     release: () => void;
 }
 
-/** The calls that this end has made over one link. */
+/** The calls that this end has started over one link. */
 export class OutgoingCalls {
     private readonly opts: OutgoingCallsOptions;
     private readonly pending = new Map<number, PendingCall>();
@@ -42,6 +42,7 @@
         return [...this.pending.values()].some(pending => !pending.written);
     }
 
+    /** Starts a call. It fails with outcome `not-run` where it was cancelled before or the link has too many calls. */
     start(name: string, payload: unknown, callOptions: CallOptions): OutgoingCall<unknown> {
         this.lastCallId += 1;
         const callId = this.lastCallId;
@@ -57,7 +58,7 @@
             return call;
         }
         if (this.pending.size >= limits.maxCalls) {
-            call.fail(notRunError("LINK_TOO_MANY_CALLS", "The link has as many calls in flight as it may have"));
+            call.fail(notRunError("LINK_TOO_MANY_CALLS", "The link has reached its limit of concurrent calls"));
             return call;
         }
         this.pending.set(callId, this.applyDeadline(call, callOptions));
@@ -73,13 +74,13 @@
         return call;
     }
 
-    /** Time left for a call, in milliseconds. */
+    /** Returns the time left for a call, in milliseconds; undefined where it has no deadline. */
     timeLeftMs(callId: number): number | undefined {
         const dueMs = this.pending.get(callId)?.dueMs;
         return dueMs === undefined ? undefined : dueMs - this.opts.clock.nowMs();
     }
 
-    /** Notes that a request is being written. */
+    /** Records that the request of a call is being written. */
     onWritten(callId: number): void {
         const pending = this.pending.get(callId);
         if (pending !== undefined) {
@@ -103,12 +104,12 @@
         this.remove(message.callId)?.call.fail(fromErrorRecord(message.error));
     }
 
-    /** Ends one call that was never written. */
+    /** Ends one call whose request has never been written. */
     rejectUnwritten(callId: number, error: KnapweedError): void {
         this.remove(callId)?.call.fail(error);
     }
 
-    /** Ends all calls whose requests have never been written, as not run. */
+    /** Ends all calls whose requests have never been written, with outcome `not-run`. */
     failUnwritten(code: string, message: string): void {
         [...this.pending]
             .filter(([, pending]) => !pending.written)
@@ -118,7 +119,7 @@
             });
     }
 
-    /** Ends all calls whose requests may have reached a handler. */
+    /** Ends all calls whose requests may have reached a handler, with outcome `unknown`. */
     failWritten(reason: KnapweedError): void {
         [...this.pending]
             .filter(([, pending]) => pending.written)
@@ -154,7 +155,7 @@
             call.fail(new KnapweedError(code, message, { outcome }));
         };
         const onAbort = () => endCall("LINK_CANCELLED", "The caller cancelled the call");
-        const onTimeout = () => endCall("LINK_DEADLINE_EXCEEDED", "The call was not answered in time");
+        const onTimeout = () => endCall("LINK_DEADLINE_EXCEEDED", "The call did not end before its deadline");
         const timer = timeoutMs === undefined ? undefined : this.opts.clock.setTimer(timeoutMs, onTimeout);
         signal?.addEventListener("abort", onAbort, { once: true });
         const pending: PendingCall = {
--- a/links/endpoint/src/pingMonitor.ts
+++ b/links/endpoint/src/pingMonitor.ts
@@ -2,7 +2,7 @@
     silentAfterMs: number;
 }
 
-/** Judges a connection, at the end that accepted it, by the pings that arrive. */
+/** Determines the liveness of a connection at its accepting end from the pings that arrive. */
 export class PingMonitor {
     private readonly silentAfterMs: number;
     private lastPingAtMs: number;
@@ -13,17 +13,26 @@
         this.lastPingAtMs = nowMs;
     }
 
-    /** @param intervalMs when the next ping is due, in milliseconds from now */
+    /**
+     * Records a ping.
+     *
+     * @param intervalMs time within which the next ping is due, in milliseconds
+     */
     onPing(nowMs: number, intervalMs: number): void {
         this.lastPingAtMs = nowMs;
         this.intervalMs = intervalMs;
     }
 
-    /** Takes out time in which this process itself stood still, so that pings may wait unread. */
+    /** Excludes time in which this process itself was stalled, because pings may have arrived without being read. */
     excludeStall(stallMs: number): void {
         this.lastPingAtMs += stallMs;
     }
 
+    /**
+     * Returns the liveness at `nowMs`. It is `silent` where the next ping is late by `silentAfterMs` or more. It is
+     * `suspect` where a ping has arrived and the next one is late by half of its interval or of `silentAfterMs`,
+     * whichever is less.
+     */
     liveness(nowMs: number): "alive" | "suspect" | "silent" {
         const lateMs = nowMs - this.lastPingAtMs - this.intervalMs;
         if (lateMs >= this.silentAfterMs) {
--- a/links/endpoint/src/reliableStream.ts
+++ b/links/endpoint/src/reliableStream.ts
@@ -7,21 +7,21 @@
     bytes: Uint8Array;
 }
 
-/** What to do with a numbered message that arrived. */
+/** How to treat a numbered message that has arrived. */
 type ReceiveResult = "deliver" | "duplicate";
 
 interface ReliableStreamOptions<Message> {
-    /** Packs a message when it is written for the first time; undefined where it is not to be written after all. */
+    /** Encodes a message that is written for the first time. Returns undefined where the message is to be dropped. */
     encode: (message: Message, number: number) => Uint8Array | undefined;
-    /** New messages wait while more than this many bytes are unacknowledged. */
+    /** New messages wait while at least this many bytes are unacknowledged. */
     maxUnacknowledgedBytes: number;
 }
 
 /**
- * Delivers messages once and in order over connections that may be cut anywhere.
+ * Delivers messages exactly once and in order over connections that may be lost at any point.
  *
- * Messages are numbered when first written, kept until acknowledged, and written again on the next connection from
- * the first that the other end lacks. Holds no sockets and no timers.
+ * Messages are numbered when first written and kept until they are acknowledged. On the next connection they are
+ * written again from the first that the peer has not received. Holds no sockets and no timers.
  */
 export class ReliableStream<Message> {
     private readonly encode: (message: Message, number: number) => Uint8Array | undefined;
@@ -38,17 +38,17 @@
         this.maxUnacknowledgedBytes = opts.maxUnacknowledgedBytes;
     }
 
-    /** Number of the last message that has been delivered here. */
+    /** Number of the last message that has been delivered at this end. */
     get received(): number {
         return this.lastReceived;
     }
 
-    /** Whether the stream has been used, so that the other end must know it too. */
+    /** Whether the stream has been used, so that the peer must have it too. */
     get hasTraffic(): boolean {
         return this.lastNumber > 0 || this.lastReceived > 0;
     }
 
-    /** Whether whoever produces messages should wait. */
+    /** Whether producers of messages should wait. */
     get isCongested(): boolean {
         return this.pending.length >= MAX_PENDING_MESSAGES || this.unacknowledgedBytes >= this.maxUnacknowledgedBytes;
     }
@@ -57,27 +57,27 @@
         this.pending.push(message);
     }
 
-    /** Takes back messages that have never been written. @returns whether there were any */
+    /** Removes matching messages that have never been written. @returns whether there were any */
     withdraw(matches: (message: Message) => boolean): boolean {
         const countBefore = this.pending.length;
         this.pending = this.pending.filter(message => !matches(message));
         return this.pending.length < countBefore;
     }
 
-    /** Takes back everything that has never been written. */
+    /** Removes and returns all messages that have never been written. */
     withdrawAll(): Message[] {
         const withdrawn = this.pending;
         this.pending = [];
         return withdrawn;
     }
 
-    /** Begins a connection whose other end has `peerReceived` messages of this stream. */
+    /** Starts a connection. The peer has the messages of this stream up to number `peerReceived`. */
     attach(peerReceived: number): void {
         this.acknowledge(peerReceived);
         this.nextToWrite = 0;
     }
 
-    /** The next message to write on the present connection, or undefined where none is due. */
+    /** Returns the next encoded message to write on the current connection; undefined where there is none. */
     next(): Uint8Array | undefined {
         if (this.nextToWrite === this.unacknowledged.length && !this.encodeNextPending()) {
             return undefined;
@@ -87,22 +87,30 @@
         return bytes;
     }
 
-    /** @throws KnapweedError ERR_KNAPWEED_LINK_BAD_MESSAGE where a message is missing before this one */
+    /**
+     * Records the arrival of the message with the given number.
+     *
+     * @throws KnapweedError ERR_KNAPWEED_LINK_BAD_MESSAGE where a message before this one is missing
+     */
     receive(number: number): ReceiveResult {
         if (number <= this.lastReceived) {
             return "duplicate";
         }
         if (number !== this.lastReceived + 1) {
-            throw new KnapweedError("LINK_BAD_MESSAGE", "A message is missing", { outcome: "unknown" });
+            throw new KnapweedError("LINK_BAD_MESSAGE", "A session message is missing", { outcome: "unknown" });
         }
         this.lastReceived = number;
         return "deliver";
     }
 
-    /** Forgets messages that the other end has received. */
+    /**
+     * Drops messages that the peer has received.
+     *
+     * @throws KnapweedError ERR_KNAPWEED_LINK_BAD_MESSAGE where such a message was never sent
+     */
     acknowledge(peerReceived: number): void {
         if (peerReceived > this.lastNumber) {
-            throw new KnapweedError("LINK_BAD_MESSAGE", "A message was acknowledged that was never sent", {
+            throw new KnapweedError("LINK_BAD_MESSAGE", "The peer acknowledged a message that was never sent", {
                 outcome: "unknown",
             });
         }
--- a/links/endpoint/src/toErrorRecord.ts
+++ b/links/endpoint/src/toErrorRecord.ts
@@ -1,7 +1,7 @@
 import { toKnapweedError } from "@knapweedwood/core.errors/toKnapweedError";
 import type { ErrorRecord } from "./errorRecord.js";
 
-/** Turns a thrown value into what crosses the link. A failure without an outcome is `unknown`. */
+/** Converts a thrown value to the record that is sent over a link. An error without an outcome gets `unknown`. */
 export function toErrorRecord(thrown: unknown): ErrorRecord {
     const error = toKnapweedError(thrown, "HANDLER_FAILED");
     return {
--- a/links/endpoint/src/webSocketLinkEndpoint.ts
+++ b/links/endpoint/src/webSocketLinkEndpoint.ts
@@ -23,7 +23,7 @@
 const CLOSE_POLL_MS = 20;
 const MAX_SEED = 2 ** 31;
 
-/** The links of one process over WebSockets that carry msgpack. */
+/** Manages the links of one process over WebSockets that carry msgpack. */
 export class WebSocketLinkEndpoint implements LinkEndpoint {
     readonly identity: PeerIdentity;
     private readonly opts: WebSocketLinkEndpointOptions;
@@ -89,7 +89,7 @@
         return this.allLinks().filter(link => link.state === "open" || link.state === "suspect");
     }
 
-    /** Payload bytes that the present links have sent and received. */
+    /** Returns the payload bytes that the current links have sent and received. */
     traffic(): LinkTraffic {
         const links = this.allLinks();
         return {
@@ -98,7 +98,7 @@
         };
     }
 
-    /** Uses other certificates for new connections, in both directions. */
+    /** Replaces the certificates for new connections, in both directions. */
     reloadTls(tls: LinkTls): void {
         this.tls = tls;
         this.server.reloadTls(tls);
--- a/links/endpoint/src/webSocketLinkEndpointOptions.ts
+++ b/links/endpoint/src/webSocketLinkEndpointOptions.ts
@@ -12,13 +12,13 @@
     clock: Clock;
     /** Address to listen on. */
     host: string;
-    /** Port to listen on; 0 takes a free one. */
+    /** Port to listen on; 0 selects a free port. */
     port: number;
     logger: Logger;
     metrics: Metrics;
-    /** Undefined for plain connections, which are for loopback only. */
+    /** Undefined for connections without TLS, which are for loopback only. */
     tls?: LinkTls | undefined;
-    /** `host:port` that {@link LinkEndpoint.listen} returns instead of what was bound. */
+    /** `host:port` that {@link LinkEndpoint.listen} returns instead of the bound address. */
     advertisedAddress?: string | undefined;
     limits?: Partial<LinkLimits> | undefined;
     random?: Random | undefined;
--- a/links/endpoint/test/createTestEndpoint.ts
+++ b/links/endpoint/test/createTestEndpoint.ts
@@ -6,7 +6,7 @@
 import type { WebSocketLinkEndpointOptions } from "../src/webSocketLinkEndpointOptions.js";
 import { testIdentity } from "./testIdentity.js";
 
-/** An endpoint on loopback that ends with its test. */
+/** Creates an endpoint on loopback that is closed when its test ends. */
 export function createTestEndpoint(
     context: TestContext,
     name: string,
--- a/links/endpoint/test/heartbeat.test.ts
+++ b/links/endpoint/test/heartbeat.test.ts
@@ -18,7 +18,7 @@
     });
 }
 
-test("a connection that stops answering is suspect, then silent within its bound and never sooner", () => {
+test("a connection that stops responding is suspect, then silent within the limit and not earlier", () => {
     const inputs = { phaseMs: fc.nat(999), isBusy: fc.boolean(), stopMs: fc.integer({ min: 0, max: 3000 }) };
     fc.assert(
         fc.property(fc.record(inputs), ({ phaseMs, isBusy, stopMs }) => {
@@ -39,13 +39,13 @@
                 }
                 nowMs += decision.nextTickMs;
             }
-            assert.fail("the silence was not found");
+            assert.fail("the silence was not detected");
         }),
         { seed: SEED },
     );
 });
 
-test("an idle link sends fewer pings, and one at once when a call begins", () => {
+test("an idle link sends fewer pings, and one immediately when a call starts", () => {
     const countPings = (isBusy: boolean) => {
         const monitor = createMonitor(1);
         let pings = 0;
@@ -64,7 +64,7 @@
     assert.notEqual(monitor.tick(200, true).ping, undefined);
 });
 
-test("a connection that answers is never silent, at either end, however often calls begin and end", () => {
+test("a connection that responds is not silent at either end, however often calls start and end", () => {
     const changes = fc.array(fc.integer({ min: 1, max: 2500 }), { minLength: 1, maxLength: 20 });
     fc.assert(
         fc.property(fc.nat(999), changes, (phaseMs, changesMs) => {
@@ -99,13 +99,13 @@
     );
 });
 
-test("time in which this process stood still is not held against the connection", () => {
+test("time in which this process was stalled does not make the connection silent", () => {
     const monitor = createMonitor(1);
     const { nextTickMs } = monitor.tick(0, true);
     assert.notEqual(monitor.tick(nextTickMs + 5000, true).liveness, "silent");
 });
 
-test("the accepting end waits for as long as the last ping announced", () => {
+test("the accepting end waits for the interval announced in the last ping", () => {
     const pingMonitor = new PingMonitor({ silentAfterMs: SILENT_AFTER_MS }, 0);
     pingMonitor.onPing(1000, IDLE_INTERVAL_MS);
     assert.equal(pingMonitor.liveness(2000), "alive");
--- a/links/endpoint/test/linkFaults.test.ts
+++ b/links/endpoint/test/linkFaults.test.ts
@@ -73,7 +73,7 @@
 ] as const;
 
 silences.forEach(({ name, directions }) => {
-    test(`a call goes on over a new connection when its own goes silent: ${name}`, async context => {
+    test(`a call continues over a new connection when its connection goes silent: ${name}`, async context => {
         const { counter, relay, link } = await createFixture(context);
         const reading = collectFrames(link.call(countCall, slowCount));
         await pause(100);
@@ -83,14 +83,14 @@
         assert.equal(relay.connectionCount, 2);
     });
 
-    test(`a call begun on a silent idle link reaches its handler once: ${name}`, async context => {
+    test(`a call started on a silent idle link reaches its handler once: ${name}`, async context => {
         const { counter, relay, link } = await createFixture(context);
         relay.silence(...directions);
         assertComplete(await collectFrames(link.call(countCall, slowCount)));
         assert.equal(counter.runs, 1);
     });
 
-    test(`the accepting end's call survives silence: ${name}`, async context => {
+    test(`a call from the accepting end continues after silence: ${name}`, async context => {
         const { server, relay } = await createFixture(context);
         const reading = collectFrames(server.links()[0].call(countCall, slowCount));
         await pause(100);
@@ -110,7 +110,7 @@
     assert.ok(states.has("suspect"));
 });
 
-test("a connection that is cut again and again costs no frame", async context => {
+test("no frame is lost when the connection is cut repeatedly", async context => {
     const { counter, relay, link } = await createFixture(context);
     relay.cutEach(3000);
     relay.cut();
@@ -120,7 +120,7 @@
     assert.ok(relay.connectionCount > 5);
 });
 
-test("a call in flight ends as unknown when another process stands at the address", async context => {
+test("a call in progress ends as unknown when another process has taken over the address", async context => {
     const { server, relay, link, serverPort } = await createFixture(context);
     const reading = collectFrames(link.call(countCall, { ...slowCount, pauseMs: 200 }));
     const outcome = assert.rejects(reading, { outcome: "unknown" });
@@ -135,7 +135,7 @@
     assert.equal(link.peer?.incarnation, 2);
 });
 
-test("a slow reader holds up its own call alone, within its window", async context => {
+test("a slow reader delays only its own call, within its window", async context => {
     const { counter, link } = await createFixture(context);
     const slow = link.call(countCall, { count: 2000, pauseMs: 0, paddingBytes: 1000 })[Symbol.asyncIterator]();
     await slow.next();
@@ -150,7 +150,7 @@
     assert.equal(rest.length, 1999);
 });
 
-test("a closing process refuses new calls as not run and lets calls in progress end", async context => {
+test("a closing process rejects new calls as not run and lets calls in progress end", async context => {
     const { server, link } = await createFixture(context);
     const reading = collectFrames(link.call(countCall, slowCount));
     await pause(50);
@@ -163,7 +163,7 @@
     await closing;
 });
 
-test("a request larger than a message may be is refused as not run", async context => {
+test("a request that exceeds the message size limit is rejected as not run", async context => {
     const server = createTestEndpoint(context, "server", { limits: { maxMessageBytes: 10_000 } });
     const client = createTestEndpoint(context, "client");
     const sizeCall = defineCall<{ bytes: Uint8Array; }, { sizeBytes: number; }>("test.size");
@@ -178,7 +178,7 @@
     assert.deepEqual(await collectFrames(link.call(sizeCall, { bytes: new Uint8Array(5000) })), [{ sizeBytes: 5000 }]);
 });
 
-test("a frame larger than a message may be ends its call with an error", async context => {
+test("a frame that exceeds the message size limit ends its call with an error", async context => {
     const { link } = await createFixture(context);
     const request = { count: 1, pauseMs: 0, paddingBytes: 65 << 20 };
     await assert.rejects(collectFrames(link.call(countCall, request)), (error: KnapweedError) => {
@@ -188,7 +188,7 @@
     });
 });
 
-test("bytes that are no messages end their connection and no other", async context => {
+test("invalid bytes close only the connection on which they arrive", async context => {
     const { link, serverPort } = await createFixture(context);
     const invalidClient = new WebSocket(`ws://127.0.0.1:${serverPort}`);
     await once(invalidClient, "open");
--- a/links/endpoint/test/linkSession.test.ts
+++ b/links/endpoint/test/linkSession.test.ts
@@ -4,7 +4,7 @@
 import { SessionPair } from "./sessionPair.js";
 
 interface SessionModel {
-    /** Whether the other end was ever replaced, so that calls may fail. */
+    /** Whether the accepting end was ever replaced, so that calls may fail. */
     wasReplaced: boolean;
 }
 
@@ -27,7 +27,7 @@
     };
 }
 
-/** The promises that hold at any moment. */
+/** Asserts the invariants that hold at any time. */
 function assertInvariants(pair: SessionPair): void {
     pair.calls.forEach(call => {
         const runs = pair.runCounts.get(call.id) ?? 0;
@@ -35,11 +35,11 @@
         assert.deepEqual(call.read, call.read.map((_, index) => index), "frames are read in order, each once");
         assert.ok(call.read.length <= call.frameCount);
         if (call.ended && call.error === undefined) {
-            assert.equal(call.read.length, call.frameCount, "an answer without an error is complete");
+            assert.equal(call.read.length, call.frameCount, "a response without an error is complete");
             assert.equal(runs, 1);
         }
         if (call.error?.outcome === "not-run") {
-            assert.equal(runs, 0, "not-run is true");
+            assert.equal(runs, 0, "a call that ended as not-run was not run");
         }
     });
 }
@@ -68,7 +68,7 @@
     { maxCommands: 60, size: "max" },
 );
 
-test("every call ends complete or with a truthful error, whatever becomes of its connections", async () => {
+test("every call ends complete or with the right error, whatever happens to its connections", async () => {
     await fc.assert(
         fc.asyncProperty(commands, async generated => {
             const pair = new SessionPair();
@@ -78,7 +78,7 @@
             assertInvariants(pair);
             assert.ok(pair.calls.every(call => call.ended), "every call has ended");
             if (!model.wasReplaced) {
-                assert.ok(pair.calls.every(call => call.error === undefined), "no call fails by a cut alone");
+                assert.ok(pair.calls.every(call => call.error === undefined), "a cut alone makes no call fail");
             }
         }),
         { numRuns: RUNS, seed: SEED },
--- a/links/endpoint/test/linkTls.test.ts
+++ b/links/endpoint/test/linkTls.test.ts
@@ -21,13 +21,13 @@
     assert.deepEqual(await singleFrame(link.call(echoCall, { text: "hello" })), { text: "hello" });
 });
 
-test("an end without a certificate of the authority is refused, and let in once certificates are reloaded", async context => {
+test("a peer without a trusted certificate is rejected, and accepted once certificates are reloaded", async context => {
     const server = createTestEndpoint(context, "server", { tls: first });
     server.handle(echoCall, async function*(request) {
         yield request;
     });
     const address = await server.listen();
-    const untrustedClient = createTestEndpoint(context, "stranger", {
+    const untrustedClient = createTestEndpoint(context, "untrusted", {
         tls: { ...second, authorities: first.authorities },
         limits,
     });
@@ -39,7 +39,7 @@
     assert.deepEqual(await callUntilAnswered(() => untrustedClient.connect(address)), { text: "hello" });
 });
 
-/** A call may be given up before the connection is open, which takes longer on a busy machine. */
+/** Retries a call, because it may fail before the connection is open, which takes longer on a busy machine. */
 async function callUntilAnswered(connect: () => Link): Promise<{ text: string; }> {
     for (let attempt = 1;; attempt += 1) {
         try {
@@ -53,7 +53,7 @@
     }
 }
 
-test("a plain connection gets nothing from an end with TLS", async context => {
+test("a connection without TLS is not served by an end with TLS", async context => {
     const server = createTestEndpoint(context, "server", { tls: first });
     const client = createTestEndpoint(context, "client", { limits });
     const address = await server.listen();
--- a/links/endpoint/test/reliableStream.test.ts
+++ b/links/endpoint/test/reliableStream.test.ts
@@ -12,7 +12,7 @@
     });
 }
 
-test("messages arrive once and in order over connections that are cut anywhere", () => {
+test("messages arrive exactly once and in order over connections that are cut at any point", () => {
     const steps = fc.array(fc.oneof(fc.constant("send"), fc.constant("write"), fc.constant("cut"), fc.constant("ack")));
     fc.assert(
         fc.property(steps, actions => {
@@ -53,7 +53,7 @@
     );
 });
 
-test("a stream stops numbering new messages at its bound of unacknowledged bytes", () => {
+test("a stream stops numbering new messages at its limit of unacknowledged bytes", () => {
     const stream = createStream();
     Array.from({ length: 30 }, (_, index) => stream.enqueue(index));
     const written = Array.from({ length: 30 }, () => stream.next()).filter(bytes => bytes !== undefined);
@@ -63,7 +63,7 @@
     assert.ok(stream.next() !== undefined);
 });
 
-test("a gap and an acknowledgement of what was never sent are refused", () => {
+test("a gap and an acknowledgement of a message that was never sent are rejected", () => {
     const stream = createStream();
     assert.throws(() => stream.receive(2), { code: "ERR_KNAPWEED_LINK_BAD_MESSAGE" });
     assert.throws(() => stream.acknowledge(1), { code: "ERR_KNAPWEED_LINK_BAD_MESSAGE" });
--- a/links/endpoint/test/sessionPair.ts
+++ b/links/endpoint/test/sessionPair.ts
@@ -9,7 +9,7 @@
 interface SessionEnd {
     session: LinkSession;
     registry: CallRegistry;
-    /** Written on the present connection and not yet arrived at the other end. */
+    /** Messages written on the current connection that have not arrived at the peer. */
     inTransit: Uint8Array[];
     attached: boolean;
 }
@@ -30,9 +30,9 @@
 }
 
 const WINDOW_BYTES = 400;
-const REPLACED = new KnapweedError("LINK_PEER_REPLACED", "The other end has forgotten the session");
+const REPLACED = new KnapweedError("LINK_PEER_REPLACED", "The peer no longer has the session");
 
-/** Two sessions and the network between them, which the test alone moves on. */
+/** Two sessions and the network between them, which only the test advances. */
 export class SessionPair {
     readonly calls: CallRecord[] = [];
     readonly runCounts = new Map<number, number>();
@@ -40,7 +40,7 @@
     private readonly ends: [SessionEnd, SessionEnd] = [this.createEnd(), this.createEnd()];
     private lastDelivered: [Uint8Array | undefined, Uint8Array | undefined] = [undefined, undefined];
 
-    /** Starts a call from end `from` and a reader that takes all frames. */
+    /** Starts a call from end `from` and a reader that reads all frames. */
     start(from: number, frameCount: number, frameBytes: number): void {
         const record: CallRecord = {
             id: this.calls.length,
@@ -55,7 +55,7 @@
         this.calls.push(record);
     }
 
-    /** Hands over up to `count` messages that end `from` has written. */
+    /** Delivers up to `count` messages that end `from` has written. */
     async deliver(from: number, count: number): Promise<void> {
         const arrived = this.ends[from].inTransit.splice(0, count);
         arrived.forEach(bytes => {
@@ -65,7 +65,7 @@
         await this.settle();
     }
 
-    /** Hands over the last message once more. */
+    /** Delivers the last message of end `from` again. */
     async duplicate(from: number): Promise<void> {
         const bytes = this.lastDelivered[from];
         if (bytes !== undefined) {
@@ -74,7 +74,7 @@
         await this.settle();
     }
 
-    /** Loses the connection with all that is on it. */
+    /** Cuts the connection. Messages in transit are lost. */
     cut(): void {
         this.lastDelivered = [undefined, undefined];
         this.ends.forEach(end => {
@@ -83,7 +83,7 @@
         });
     }
 
-    /** Opens another connection; end 0 connects. The answer to its handshake may be lost. */
+    /** Opens another connection from end 0. The response to its handshake may be lost. */
     async reconnect(isResponseLost: boolean): Promise<void> {
         this.cut();
         const [dialer, acceptor] = this.ends;
@@ -99,7 +99,7 @@
         await this.settle();
     }
 
-    /** A new process stands at the address of end 1; end 0 finds out in the next handshake. */
+    /** Replaces end 1 with a new process, which end 0 detects in the next handshake. */
     async replaceAcceptor(): Promise<void> {
         this.cut();
         this.ends[1].session.end(REPLACED);
@@ -110,7 +110,7 @@
         await this.settle();
     }
 
-    /** Acknowledges what has arrived at end `at`, as its heartbeat does. */
+    /** Acknowledges the messages that have arrived at end `at`, as its heartbeat does. */
     acknowledge(at: number): void {
         if (this.ends.every(end => end.attached)) {
             this.ends[1 - at].session.acknowledge(this.ends[at].session.received);
@@ -118,7 +118,7 @@
         }
     }
 
-    /** Moves everything until nothing moves any more. */
+    /** Reconnects and delivers messages until none is in transit. */
     async drain(): Promise<void> {
         await this.reconnect(false);
         while (this.ends.some(end => end.inTransit.length > 0)) {
--- a/links/endpoint/test/testCertificates.ts
+++ b/links/endpoint/test/testCertificates.ts
@@ -1,4 +1,4 @@
-/** Certificates of two authorities for 127.0.0.1, made for these tests alone. */
+/** Certificates of two authorities for 127.0.0.1, used only by these tests. */
 export const testCertificates = {
     first: {
         certificate: [
--- a/links/endpoint/test/testIdentity.ts
+++ b/links/endpoint/test/testIdentity.ts
@@ -4,7 +4,7 @@
 import type { ZoneName } from "@knapweedwood/core.ids/zoneName";
 import type { PeerIdentity } from "@knapweedwood/links.calls/peerIdentity";
 
-/** The identity of a process in tests. */
+/** Returns the identity of a process for tests. */
 export function testIdentity(name: string, incarnation = 1): PeerIdentity {
     return {
         instanceId: name as InstanceId,
--- a/links/endpoint/test/webSocketLinkEndpoint.test.ts
+++ b/links/endpoint/test/webSocketLinkEndpoint.test.ts
@@ -24,7 +24,7 @@
     assert.equal(link.peer?.instanceId, "server");
 });
 
-test("a handler's error arrives with all its parts", async context => {
+test("an error of a handler arrives with all its fields", async context => {
     const server = createTestEndpoint(context, "server");
     const client = createTestEndpoint(context, "client");
     server.handle(countCall, async function*() {
@@ -47,7 +47,7 @@
     });
 });
 
-test("a call that the other end doesn't know is refused as not run", async context => {
+test("a call without a handler at the peer is rejected as not run", async context => {
     const server = createTestEndpoint(context, "server");
     const client = createTestEndpoint(context, "client");
     const link = client.connect(await server.listen());
@@ -65,7 +65,7 @@
     await assert.rejects(collectFrames(client.connect(address).call(countCall, { count: 1 })), { outcome: "not-run" });
 });
 
-test("a reader that stops early has the handler cancelled", async context => {
+test("the handler is cancelled when the reader stops early", async context => {
     const server = createTestEndpoint(context, "server");
     const client = createTestEndpoint(context, "client");
     const cancelled = new Promise<void>(resolve => {
@@ -82,7 +82,7 @@
     await cancelled;
 });
 
-test("a call past its deadline ends as unknown once its request was written", async context => {
+test("a call that exceeds its deadline ends as unknown once its request has been written", async context => {
     const server = createTestEndpoint(context, "server");
     const client = createTestEndpoint(context, "client");
     server.handle(countCall, async function*(_request, { signal, deadlineMs }) {
