--- a/links/endpoint/src/pingMonitor.ts
+++ b/links/endpoint/src/pingMonitor.ts
@@ -13,26 +13,18 @@
         this.lastPingAtMs = nowMs;
     }
 
-    /**
-     * Records a ping.
-     *
-     * @param intervalMs time within which the next ping is due, in milliseconds
-     */
+    /** @param intervalMs when the next ping is due, in milliseconds from now */
     onPing(nowMs: number, intervalMs: number): void {
         this.lastPingAtMs = nowMs;
         this.intervalMs = intervalMs;
     }
 
-    /** Excludes time in which this process itself was stalled, because pings may have arrived without being read. */
+    /** Excludes time in which this process was stalled, because pings may have waited unread. */
     excludeStall(stallMs: number): void {
         this.lastPingAtMs += stallMs;
     }
 
-    /**
-     * Returns the liveness at `nowMs`. It is `silent` where the next ping is late by `silentAfterMs` or more. It is
-     * `suspect` where a ping has arrived and the next one is late by half of its interval or of `silentAfterMs`,
-     * whichever is less.
-     */
+    /** Returns `suspect` where the next ping is late, `silent` where it is late by `silentAfterMs`. */
     liveness(nowMs: number): "alive" | "suspect" | "silent" {
         const lateMs = nowMs - this.lastPingAtMs - this.intervalMs;
         if (lateMs >= this.silentAfterMs) {
