--- a/links/endpoint/src/acceptedLink.ts
+++ b/links/endpoint/src/acceptedLink.ts
@@ -3,62 +3,62 @@
 import { BaseLink } from "./baseLink.js";
 import type { DecodedMessage } from "./decodedMessage.js";
 import type { LinkConnection } from "./linkConnection.js";
-import type { LinkTools } from "./linkTools.js";
+import type { LinkContext } from "./linkContext.js";
 import type { MessageOf } from "./messageOf.js";
-import { PingWatch } from "./pingWatch.js";
+import { PingMonitor } from "./pingMonitor.js";
 import { protocolVersion } from "./protocolVersion.js";
 
 interface AcceptedLinkOptions {
-    tools: LinkTools;
+    context: LinkContext;
     onClosed: () => void;
 }
 
 const BAD_MESSAGE_CODE = "ERR_KNAPWEED_LINK_BAD_MESSAGE";
 
-/** The end of a link that accepts. It keeps the session for a while when its connection is lost. */
+/** The accepting end of a link. Keeps the session for `resumeGraceMs` milliseconds after its connection is lost. */
 export class AcceptedLink extends BaseLink {
     private readonly opts: AcceptedLinkOptions;
-    private watch: PingWatch;
+    private pingMonitor: PingMonitor;
     private timer: Timer | undefined;
     private timerDueMs = 0;
 
     constructor(opts: AcceptedLinkOptions) {
-        super(opts.tools);
+        super(opts.context);
         this.opts = opts;
-        this.watch = this.createWatch();
+        this.pingMonitor = this.createPingMonitor();
     }
 
-    /** Whether a connection is in use. */
+    /** Whether the link has a connection. */
     get isAttached(): boolean {
         return this.connection !== undefined;
     }
 
-    /** Takes over a connection whose `hello` named this session. */
+    /** Replaces the connection with one whose `hello` named this session, and sends the `welcome`. */
     accept(connection: LinkConnection, hello: MessageOf<"hello">, isNew: boolean): void {
         this.detach();
-        this.watch = this.createWatch();
+        this.pingMonitor = this.createPingMonitor();
         this.transition("welcomed");
         connection.sendMessage({
             type: "welcome",
             version: Math.min(protocolVersion, hello.version),
-            identity: this.tools.identity,
+            identity: this.context.identity,
             resumed: !isNew,
             received: this.session.received,
-            maxMessageBytes: this.tools.limits.maxMessageBytes,
+            maxMessageBytes: this.context.limits.maxMessageBytes,
         });
         this.attach(connection, hello.identity, isNew ? 0 : hello.received, hello.maxMessageBytes);
-        this.report(isNew ? "link.accepted" : "link.accepted_again");
-        this.setTimer(this.tools.limits.heartbeatIntervalMs, () => this.look());
+        this.recordEvent(isNew ? "link.accepted" : "link.accepted_again");
+        this.setTimer(this.context.limits.heartbeatIntervalMs, () => this.checkLiveness());
     }
 
-    /** Takes in a message from `from`; one from a connection that was replaced is dropped. */
+    /** Handles a message. Drops it where `from` is a connection that has been replaced. */
     onMessage(from: LinkConnection, decoded: DecodedMessage): void {
         const { message } = decoded;
         if (from !== this.connection) {
             return;
         }
         if (message.type === "ping") {
-            this.watch.onPing(this.tools.clock.nowMs(), message.intervalMs);
+            this.pingMonitor.onPing(this.context.clock.nowMs(), message.intervalMs);
             this.transition("beatAnswered");
             this.connection.sendMessage({
                 type: "pong",
@@ -79,7 +79,7 @@
             this.end(reason);
             return;
         }
-        this.lose(reason);
+        this.dropConnection(reason);
     }
 
     onConnectionDrained(from: LinkConnection): void {
@@ -89,18 +89,18 @@
     }
 
     close(): void {
-        this.end(new KnapweedError("LINK_CLOSED", "The link was closed"), true);
+        this.end(new KnapweedError("LINK_CLOSED", "The link was closed by this process"), true);
     }
 
-    /** Ends the session for good. */
-    end(reason: KnapweedError, sayGoodbye = false): void {
+    /** Ends the session permanently. */
+    end(reason: KnapweedError, sendGoodbye = false): void {
         if (this.state === "closed") {
             return;
         }
         this.transition("closed");
         this.timer?.cancel();
         this.session.end(reason);
-        if (sayGoodbye && this.connection !== undefined) {
+        if (sendGoodbye && this.connection !== undefined) {
             this.connection.sendMessage({ type: "goodbye" });
             this.connection.close();
             this.connection = undefined;
@@ -116,38 +116,38 @@
     }
 
     protected onGoodbye(): void {
-        this.end(new KnapweedError("LINK_CLOSED", "The other end closed the link"));
+        this.end(new KnapweedError("LINK_CLOSED", "The peer closed the link"));
     }
 
-    private look(): void {
-        const nowMs = this.tools.clock.nowMs();
-        this.watch.excuse(Math.max(0, nowMs - this.timerDueMs));
-        const verdict = this.watch.verdict(nowMs);
-        if (verdict === "silent") {
-            this.lose(new KnapweedError("LINK_SILENT", "The connection went silent"));
+    private checkLiveness(): void {
+        const nowMs = this.context.clock.nowMs();
+        this.pingMonitor.excludeStall(Math.max(0, nowMs - this.timerDueMs));
+        const liveness = this.pingMonitor.liveness(nowMs);
+        if (liveness === "silent") {
+            this.dropConnection(new KnapweedError("LINK_SILENT", "The peer sent no ping in time"));
             return;
         }
-        this.transition(verdict === "suspect" ? "beatMissed" : "beatAnswered");
-        const { heartbeatIntervalMs, idleHeartbeatIntervalMs } = this.tools.limits;
-        this.setTimer(this.callCount > 0 ? heartbeatIntervalMs : idleHeartbeatIntervalMs, () => this.look());
+        this.transition(liveness === "suspect" ? "beatMissed" : "beatAnswered");
+        const { heartbeatIntervalMs, idleHeartbeatIntervalMs } = this.context.limits;
+        this.setTimer(this.callCount > 0 ? heartbeatIntervalMs : idleHeartbeatIntervalMs, () => this.checkLiveness());
     }
 
-    private lose(reason: KnapweedError): void {
+    private dropConnection(reason: KnapweedError): void {
         this.detach();
         this.transition("lostByPeer");
-        this.report("link.lost", reason);
-        this.setTimer(this.tools.limits.resumeGraceMs, () => {
-            this.end(new KnapweedError("LINK_LOST", "The other end did not resume the link in time"));
+        this.recordEvent("link.lost", reason);
+        this.setTimer(this.context.limits.resumeGraceMs, () => {
+            this.end(new KnapweedError("LINK_LOST", "The peer did not resume the link in time"));
         });
     }
 
-    private createWatch(): PingWatch {
-        return new PingWatch({ silentAfterMs: this.tools.limits.silentAfterMs }, this.tools.clock.nowMs());
+    private createPingMonitor(): PingMonitor {
+        return new PingMonitor({ silentAfterMs: this.context.limits.silentAfterMs }, this.context.clock.nowMs());
     }
 
     private setTimer(delayMs: number, action: () => void): void {
         this.timer?.cancel();
-        this.timerDueMs = this.tools.clock.nowMs() + delayMs;
-        this.timer = this.tools.clock.setTimer(delayMs, action);
+        this.timerDueMs = this.context.clock.nowMs() + delayMs;
+        this.timer = this.context.clock.setTimer(delayMs, action);
     }
 }
--- a/links/endpoint/src/baseLink.ts
+++ b/links/endpoint/src/baseLink.ts
@@ -7,29 +7,29 @@
 import type { DecodedMessage } from "./decodedMessage.js";
 import { linkChart } from "./linkChart.js";
 import type { LinkConnection } from "./linkConnection.js";
+import type { LinkContext } from "./linkContext.js";
 import type { LinkEvent } from "./linkEvent.js";
 import { LinkSession } from "./linkSession.js";
-import type { LinkTools } from "./linkTools.js";
 import { protocolVersion } from "./protocolVersion.js";
 
 const ACKNOWLEDGE_AFTER_MESSAGES = 64;
 const ACKNOWLEDGE_AFTER_BYTES = 256 << 10;
 
-/** What links have in common at the end that connects and at the end that accepts. */
+/** Base class of the dialing and the accepting end of a link. */
 export abstract class BaseLink implements Link {
-    protected readonly tools: LinkTools;
+    protected readonly context: LinkContext;
     protected readonly session: LinkSession;
-    /** The connection in use, once its handshake has ended. */
+    /** The current connection; set once its handshake has completed. */
     protected connection: LinkConnection | undefined;
     private currentState: Link["state"] = linkChart.initial;
-    private endedSentBytes = 0;
-    private endedReceivedBytes = 0;
-    private unreportedMessages = 0;
-    private unreportedBytes = 0;
+    private previousSentBytes = 0;
+    private previousReceivedBytes = 0;
+    private unacknowledgedMessages = 0;
+    private unacknowledgedBytes = 0;
 
-    constructor(tools: LinkTools) {
-        this.tools = tools;
-        this.session = new LinkSession({ ...tools, onWritable: () => this.onWritable() });
+    constructor(context: LinkContext) {
+        this.context = context;
+        this.session = new LinkSession({ ...context, onPendingMessages: () => this.onPendingMessages() });
     }
 
     get state(): Link["state"] {
@@ -38,19 +38,19 @@
 
     /** Payload bytes sent over all connections of the link. */
     get sentBytes(): number {
-        return this.endedSentBytes + (this.connection?.sentBytes ?? 0);
+        return this.previousSentBytes + (this.connection?.sentBytes ?? 0);
     }
 
     /** Payload bytes received over all connections of the link. */
     get receivedBytes(): number {
-        return this.endedReceivedBytes + (this.connection?.receivedBytes ?? 0);
+        return this.previousReceivedBytes + (this.connection?.receivedBytes ?? 0);
     }
 
     get peer(): PeerIdentity | undefined {
         return this.session.peer;
     }
 
-    /** Calls in flight in both directions. */
+    /** Number of calls in progress, in both directions. */
     get callCount(): number {
         return this.session.callCount;
     }
@@ -67,7 +67,7 @@
 
     notify<Message>(definition: NotificationDefinition<Message>, message: Message): void {
         if (this.connection === undefined || this.connection.isFull) {
-            this.tools.metrics.increment("link.notification_dropped");
+            this.context.metrics.increment("link.notification_dropped");
             return;
         }
         this.connection.sendMessage({ type: "notification", name: definition.name, payload: message });
@@ -75,37 +75,37 @@
 
     abstract close(): void;
 
-    /** Called after a call has been started here. */
+    /** Called after this end has started a call. */
     protected abstract onCallStarted(): void;
 
-    /** Called when the other end has ended the session on purpose. */
+    /** Called when the peer has ended the session deliberately. */
     protected abstract onGoodbye(): void;
 
-    /** Takes a connection into use after its handshake. */
+    /** Starts using a connection after its handshake. The peer has the session messages up to `received`. */
     protected attach(connection: LinkConnection, peer: PeerIdentity, received: number, maxMessageBytes: number): void {
         this.connection = connection;
         this.session.attach(peer, received, maxMessageBytes);
-        this.pump();
-        this.session.onRoom();
+        this.writePending();
+        this.session.onCapacityAvailable();
     }
 
-    /** Stops using the present connection. The session stays. */
+    /** Terminates the current connection. The session is kept. */
     protected detach(): void {
-        this.endedSentBytes = this.sentBytes;
-        this.endedReceivedBytes = this.receivedBytes;
+        this.previousSentBytes = this.sentBytes;
+        this.previousReceivedBytes = this.receivedBytes;
         this.connection?.terminate();
         this.connection = undefined;
     }
 
-    /** Changes the state of the link where its chart knows the event in the present state. */
+    /** Applies an event to the state of the link. Ignores events that the chart doesn't accept in that state. */
     protected transition(event: LinkEvent): void {
         if (linkChart.accepts(this.currentState, event)) {
             this.currentState = linkChart.next(this.currentState, event);
         }
     }
 
-    /** Writes what is due while the connection has room. */
-    protected pump(): void {
+    /** Writes pending messages until the send buffer of the connection is full. */
+    protected writePending(): void {
         while (this.connection !== undefined && !this.connection.isFull) {
             const bytes = this.session.next();
             if (bytes === undefined) {
@@ -115,7 +115,7 @@
         }
     }
 
-    /** Takes in a message that either kind of link treats alike. */
+    /** Handles a message that both ends of a link treat alike. */
     protected receive(decoded: DecodedMessage): void {
         const { message } = decoded;
         switch (message.type) {
@@ -131,49 +131,50 @@
             default:
                 if ("number" in message) {
                     this.session.receive(decoded);
-                    this.reportReceived(decoded.sizeBytes);
+                    this.acknowledgeReceived(decoded.sizeBytes);
                 }
         }
     }
 
     protected onAcknowledged(received: number): void {
         this.session.acknowledge(received);
-        this.pump();
+        this.writePending();
     }
 
-    /** Called when a connection has room again. */
+    /** Called when the connection can take more data. */
     protected onDrained(): void {
-        this.pump();
-        this.session.onRoom();
+        this.writePending();
+        this.session.onCapacityAvailable();
     }
 
-    /** Counts and logs an event in the life of the link. */
-    protected report(event: string, reason?: KnapweedError): void {
+    /** Counts an event of the link as a metric and logs it. */
+    protected recordEvent(event: string, reason?: KnapweedError): void {
         const fields = reason === undefined ? {} : { code: reason.code, reason: reason.message };
-        this.tools.metrics.increment(event);
-        this.tools.logger.info(event, { ...fields, peer: this.peer?.instanceId, protocolVersion });
+        this.context.metrics.increment(event);
+        this.context.logger.info(event, { ...fields, peer: this.peer?.instanceId, protocolVersion });
     }
 
-    private onWritable(): void {
-        this.pump();
+    private onPendingMessages(): void {
+        this.writePending();
     }
 
     private onNotification(name: string, payload: unknown): void {
         const peer = this.peer;
         if (peer !== undefined) {
-            this.tools.registry.receivers.get(name)?.(payload, peer);
+            this.context.registry.notificationHandlers.get(name)?.(payload, peer);
         }
     }
 
-    private reportReceived(sizeBytes: number): void {
-        this.unreportedMessages += 1;
-        this.unreportedBytes += sizeBytes;
+    private acknowledgeReceived(sizeBytes: number): void {
+        this.unacknowledgedMessages += 1;
+        this.unacknowledgedBytes += sizeBytes;
         if (
-            this.unreportedMessages >= ACKNOWLEDGE_AFTER_MESSAGES || this.unreportedBytes >= ACKNOWLEDGE_AFTER_BYTES
+            this.unacknowledgedMessages >= ACKNOWLEDGE_AFTER_MESSAGES
+            || this.unacknowledgedBytes >= ACKNOWLEDGE_AFTER_BYTES
         ) {
             this.connection?.sendMessage({ type: "acknowledgement", received: this.session.received });
-            this.unreportedMessages = 0;
-            this.unreportedBytes = 0;
+            this.unacknowledgedMessages = 0;
+            this.unacknowledgedBytes = 0;
         }
     }
 }
--- a/links/endpoint/src/incomingCall.ts
+++ b/links/endpoint/src/incomingCall.ts
@@ -7,7 +7,7 @@
     sendFrame: (frameIndex: number, payload: unknown) => void;
     sendEnd: (frameCount: number) => void;
     sendFailure: (thrown: unknown) => void;
-    /** Whether the link as a whole has no room. */
+    /** Whether the link as a whole can take no more messages at present. */
     isCongested: () => boolean;
 }
 
@@ -31,7 +31,7 @@
 
     raiseCredit(creditBytes: number): void {
         this.creditBytes = Math.max(this.creditBytes, creditBytes);
-        this.onRoom();
+        this.onCapacityAvailable();
     }
 
     /** Counts bytes of frames as they are written to a connection. */
@@ -39,20 +39,20 @@
         this.sentBytes += sizeBytes;
     }
 
-    /** Looks again whether the next frame may be sent. */
-    onRoom(): void {
-        if (this.hasRoom()) {
+    /** Resumes the handler where the next frame may be sent. */
+    onCapacityAvailable(): void {
+        if (this.canSendFrame()) {
             this.wake?.();
         }
     }
 
-    /** Tells the handler to stop. Nothing is sent afterwards. */
+    /** Signals the handler to stop. Nothing is sent afterwards. */
     abort(reason: KnapweedError): void {
         this.controller.abort(reason);
         this.wake?.();
     }
 
-    /** Runs to the end of the call. Never rejects. */
+    /** Runs the handler to the end of the call. Never rejects. */
     async run(
         handler: CallHandler<unknown, unknown>,
         request: unknown,
@@ -60,7 +60,7 @@
     ): Promise<void> {
         try {
             for await (const frame of handler(request, { ...context, signal: this.signal })) {
-                await this.room();
+                await this.waitForCapacity();
                 if (this.signal.aborted) {
                     return;
                 }
@@ -80,12 +80,12 @@
         }
     }
 
-    private hasRoom(): boolean {
+    private canSendFrame(): boolean {
         return this.sentBytes < this.creditBytes && !this.opts.isCongested();
     }
 
-    private async room(): Promise<void> {
-        while (!this.hasRoom() && !this.signal.aborted) {
+    private async waitForCapacity(): Promise<void> {
+        while (!this.canSendFrame() && !this.signal.aborted) {
             await new Promise<void>(resolve => {
                 this.wake = resolve;
             });
--- a/links/endpoint/src/linkTools.ts
+++ b/links/endpoint/src/linkContext.ts
@@ -7,8 +7,8 @@
 import type { LinkLimits } from "./linkLimits.js";
 import type { MessageCodec } from "./messageCodec.js";
 
-/** What all links of an endpoint share. */
-export interface LinkTools {
+/** Services, limits and handlers that all links of an endpoint share. */
+export interface LinkContext {
     identity: PeerIdentity;
     clock: Clock;
     random: Random;
--- a/links/endpoint/src/linkServer.ts
+++ b/links/endpoint/src/linkServer.ts
@@ -7,8 +7,8 @@
 import { AcceptedLink } from "./acceptedLink.js";
 import type { DecodedMessage } from "./decodedMessage.js";
 import { LinkConnection } from "./linkConnection.js";
+import type { LinkContext } from "./linkContext.js";
 import type { LinkTls } from "./linkTls.js";
-import type { LinkTools } from "./linkTools.js";
 import type { MessageOf } from "./messageOf.js";
 import { notRunError } from "./notRunError.js";
 import { oldestProtocolVersion } from "./oldestProtocolVersion.js";
@@ -16,13 +16,13 @@
 import { toErrorRecord } from "./toErrorRecord.js";
 
 interface LinkServerOptions {
-    tools: LinkTools;
+    context: LinkContext;
     host: string;
     port: number;
     tls: LinkTls | undefined;
 }
 
-/** Accepts connections and gives each to the session that it names. */
+/** Accepts connections and assigns each to the session that its `hello` names. */
 export class LinkServer {
     private readonly opts: LinkServerOptions;
     private readonly server: Server | TlsServer;
@@ -34,17 +34,17 @@
         const webSockets = new WebSocketServer({
             server: this.server,
             perMessageDeflate: false,
-            maxPayload: opts.tools.limits.maxMessageBytes,
+            maxPayload: opts.context.limits.maxMessageBytes,
         });
         webSockets.on("connection", socket => this.onConnection(socket));
     }
 
-    /** Links with their sessions, those without a connection among them. */
+    /** The links whose sessions are kept, including those without a connection. */
     get links(): AcceptedLink[] {
         return [...this.sessions.values()];
     }
 
-    /** @returns the port bound */
+    /** Starts listening. @returns the bound port */
     async listen(): Promise<number> {
         const { host, port } = this.opts;
         await new Promise<void>((resolve, reject) => {
@@ -54,12 +54,12 @@
         return (this.server.address() as AddressInfo).port;
     }
 
-    /** Uses other certificates for new connections. */
+    /** Replaces the certificates for new connections. */
     reloadTls(tls: LinkTls): void {
         (this.server as TlsServer).setSecureContext(toServerOptions(tls));
     }
 
-    /** Stops accepting and ends what is left. */
+    /** Closes all links and connections and stops listening. */
     async close(): Promise<void> {
         this.links.forEach(link => link.close());
         await new Promise<void>(resolve => {
@@ -69,7 +69,7 @@
     }
 
     private onConnection(socket: WebSocket): void {
-        const { clock, codec, limits } = this.opts.tools;
+        const { clock, codec, limits } = this.opts.context;
         let link: AcceptedLink | undefined;
         const connection: LinkConnection = new LinkConnection({
             socket,
@@ -103,10 +103,10 @@
             connection.close();
             return undefined;
         }
-        const known = this.sessions.get(message.sessionId);
-        const link = known ?? this.createLink(message);
+        const existing = this.sessions.get(message.sessionId);
+        const link = existing ?? this.createLink(message);
         try {
-            link.accept(connection, message, known === undefined);
+            link.accept(connection, message, existing === undefined);
         }
         catch (error) {
             link.end(toKnapweedError(error));
@@ -117,28 +117,31 @@
 
     private refusalOf(hello: MessageOf<"hello">): KnapweedError | undefined {
         if (hello.version < oldestProtocolVersion || hello.oldestVersion > protocolVersion) {
-            const text = `The other end speaks versions ${oldestProtocolVersion} to ${protocolVersion}`;
+            const text = `The peer supports protocol versions ${oldestProtocolVersion} to ${protocolVersion}`;
             return notRunError("LINK_VERSION_UNSUPPORTED", text);
         }
-        if (this.opts.tools.registry.isClosing) {
+        if (this.opts.context.registry.isClosing) {
             return notRunError("LINK_CLOSING", "The process is shutting down");
         }
         return undefined;
     }
 
     private createLink(hello: MessageOf<"hello">): AcceptedLink {
-        this.endForgottenSessions(hello);
+        this.endStaleSessions(hello);
         const link = new AcceptedLink({
-            tools: this.opts.tools,
+            context: this.opts.context,
             onClosed: () => this.sessions.delete(hello.sessionId),
         });
         this.sessions.set(hello.sessionId, link);
         return link;
     }
 
-    /** Ends sessions that the other end can't mean to resume. */
-    private endForgottenSessions({ identity }: MessageOf<"hello">): void {
-        const reason = notRunError("LINK_PEER_REPLACED", "The other end has begun another session");
+    /**
+     * Ends sessions of the same instance that the peer can't resume: those without a connection and those of an earlier
+     * process.
+     */
+    private endStaleSessions({ identity }: MessageOf<"hello">): void {
+        const reason = notRunError("LINK_PEER_REPLACED", "The peer has started another session");
         this.links
             .filter(link => link.peer?.instanceId === identity.instanceId)
             .filter(link => !link.isAttached || link.peer!.incarnation < identity.incarnation)
--- a/links/endpoint/src/outgoingCalls.ts
+++ b/links/endpoint/src/outgoingCalls.ts
@@ -12,7 +12,7 @@
     clock: Clock;
     limits: LinkLimits;
     send: (message: UnnumberedMessage) => void;
-    /** Takes back the request of a call that has never been written. */
+    /** Removes the request of a call from the queue where it has never been written. */
     withdraw: (callId: number) => void;
 }
 
@@ -24,7 +24,7 @@
     release: () => void;
 }
 
-/** The calls that this end has made over one link. */
+/** The calls that this end has started over one link. */
 export class OutgoingCalls {
     private readonly opts: OutgoingCallsOptions;
     private readonly pending = new Map<number, PendingCall>();
@@ -42,6 +42,7 @@
         return [...this.pending.values()].some(pending => !pending.written);
     }
 
+    /** Starts a call. It fails with outcome `not-run` where it was cancelled before or the link has too many calls. */
     start(name: string, payload: unknown, callOptions: CallOptions): OutgoingCall<unknown> {
         this.lastCallId += 1;
         const callId = this.lastCallId;
@@ -49,7 +50,7 @@
         const call = new OutgoingCall<unknown>({
             callId,
             windowBytes: limits.callWindowBytes,
-            giveCredit: creditBytes => send({ type: "credit", callId, creditBytes }),
+            grantCredit: creditBytes => send({ type: "credit", callId, creditBytes }),
             onAbandoned: () => this.cancel(callId),
         });
         if (callOptions.signal?.aborted === true) {
@@ -57,10 +58,10 @@
             return call;
         }
         if (this.pending.size >= limits.maxCalls) {
-            call.fail(notRunError("LINK_TOO_MANY_CALLS", "The link has as many calls in flight as it may have"));
+            call.fail(notRunError("LINK_TOO_MANY_CALLS", "The link has reached its limit of concurrent calls"));
             return call;
         }
-        this.pending.set(callId, this.limitTime(call, callOptions));
+        this.pending.set(callId, this.applyDeadline(call, callOptions));
         send({
             type: "request",
             callId,
@@ -73,13 +74,13 @@
         return call;
     }
 
-    /** Time left for a call, in milliseconds. */
+    /** Returns the time left for a call, in milliseconds; undefined where it has no deadline. */
     timeLeftMs(callId: number): number | undefined {
         const dueMs = this.pending.get(callId)?.dueMs;
         return dueMs === undefined ? undefined : dueMs - this.opts.clock.nowMs();
     }
 
-    /** Notes that a request is being written. */
+    /** Records that the request of a call is being written. */
     onWritten(callId: number): void {
         const pending = this.pending.get(callId);
         if (pending !== undefined) {
@@ -103,22 +104,22 @@
         this.remove(message.callId)?.call.fail(fromErrorRecord(message.error));
     }
 
-    /** Ends one call that was never written. */
-    refuse(callId: number, error: KnapweedError): void {
+    /** Ends one call whose request has never been written. */
+    rejectUnwritten(callId: number, error: KnapweedError): void {
         this.remove(callId)?.call.fail(error);
     }
 
-    /** Ends all calls whose requests have never been written, as not run. */
+    /** Ends all calls whose requests have never been written, with outcome `not-run`. */
     failUnwritten(code: string, message: string): void {
         [...this.pending]
             .filter(([, pending]) => !pending.written)
             .forEach(([callId]) => {
                 this.opts.withdraw(callId);
-                this.refuse(callId, notRunError(code, message));
+                this.rejectUnwritten(callId, notRunError(code, message));
             });
     }
 
-    /** Ends all calls whose requests may have reached a handler. */
+    /** Ends all calls whose requests may have reached a handler, with outcome `unknown`. */
     failWritten(reason: KnapweedError): void {
         [...this.pending]
             .filter(([, pending]) => pending.written)
@@ -146,15 +147,15 @@
     }
 
     /** Ends a call at its deadline, or when its caller aborts it. */
-    private limitTime(call: OutgoingCall<unknown>, callOptions: CallOptions): PendingCall {
+    private applyDeadline(call: OutgoingCall<unknown>, callOptions: CallOptions): PendingCall {
         const { signal, timeoutMs } = callOptions;
-        const stop = (code: string, message: string) => {
+        const endCall = (code: string, message: string) => {
             const outcome = pending.written ? "unknown" : "not-run";
             this.cancel(call.callId);
             call.fail(new KnapweedError(code, message, { outcome }));
         };
-        const onAbort = () => stop("LINK_CANCELLED", "The caller cancelled the call");
-        const onTimeout = () => stop("LINK_DEADLINE_EXCEEDED", "The call was not answered in time");
+        const onAbort = () => endCall("LINK_CANCELLED", "The caller cancelled the call");
+        const onTimeout = () => endCall("LINK_DEADLINE_EXCEEDED", "The call did not end before its deadline");
         const timer = timeoutMs === undefined ? undefined : this.opts.clock.setTimer(timeoutMs, onTimeout);
         signal?.addEventListener("abort", onAbort, { once: true });
         const pending: PendingCall = {
--- a/links/endpoint/test/linkTls.test.ts
+++ b/links/endpoint/test/linkTls.test.ts
@@ -21,26 +21,26 @@
     assert.deepEqual(await singleFrame(link.call(echoCall, { text: "hello" })), { text: "hello" });
 });
 
-test("an end without a certificate of the authority is refused, and let in once certificates are reloaded", async context => {
+test("a peer without a trusted certificate is rejected, and accepted once certificates are reloaded", async context => {
     const server = createTestEndpoint(context, "server", { tls: first });
     server.handle(echoCall, async function*(request) {
         yield request;
     });
     const address = await server.listen();
-    const stranger = createTestEndpoint(context, "stranger", {
+    const untrustedClient = createTestEndpoint(context, "untrusted", {
         tls: { ...second, authorities: first.authorities },
         limits,
     });
-    await assert.rejects(singleFrame(stranger.connect(address).call(echoCall, { text: "hello" })), {
+    await assert.rejects(singleFrame(untrustedClient.connect(address).call(echoCall, { text: "hello" })), {
         outcome: "not-run",
     });
     server.reloadTls(second);
-    stranger.reloadTls(second);
-    assert.deepEqual(await firstAnswer(() => stranger.connect(address)), { text: "hello" });
+    untrustedClient.reloadTls(second);
+    assert.deepEqual(await callUntilAnswered(() => untrustedClient.connect(address)), { text: "hello" });
 });
 
-/** A call may be given up before the connection is open, which takes longer on a busy machine. */
-async function firstAnswer(connect: () => Link): Promise<{ text: string; }> {
+/** Retries a call, because it may fail before the connection is open, which takes longer on a busy machine. */
+async function callUntilAnswered(connect: () => Link): Promise<{ text: string; }> {
     for (let attempt = 1;; attempt += 1) {
         try {
             return await singleFrame(connect().call(echoCall, { text: "hello" }));
@@ -53,7 +53,7 @@
     }
 }
 
-test("a plain connection gets nothing from an end with TLS", async context => {
+test("a connection without TLS is not served by an end with TLS", async context => {
     const server = createTestEndpoint(context, "server", { tls: first });
     const client = createTestEndpoint(context, "client", { limits });
     const address = await server.listen();
--- a/links/endpoint/test/sessionPair.ts
+++ b/links/endpoint/test/sessionPair.ts
@@ -6,11 +6,11 @@
 import { MessageCodec } from "../src/messageCodec.js";
 import { testIdentity } from "./testIdentity.js";
 
-interface End {
+interface SessionEnd {
     session: LinkSession;
     registry: CallRegistry;
-    /** Written on the present connection and not yet arrived at the other end. */
-    onTheWire: Uint8Array[];
+    /** Messages written on the current connection that have not arrived at the peer. */
+    inTransit: Uint8Array[];
     attached: boolean;
 }
 
@@ -30,17 +30,17 @@
 }
 
 const WINDOW_BYTES = 400;
-const REPLACED = new KnapweedError("LINK_PEER_REPLACED", "The other end has forgotten the session");
+const REPLACED = new KnapweedError("LINK_PEER_REPLACED", "The peer no longer has the session");
 
-/** Two sessions and the network between them, which the test alone moves on. */
+/** Two sessions and the network between them, which only the test advances. */
 export class SessionPair {
     readonly calls: CallRecord[] = [];
     readonly runCounts = new Map<number, number>();
     private readonly codec = new MessageCodec();
-    private readonly ends: [End, End] = [this.createEnd(), this.createEnd()];
+    private readonly ends: [SessionEnd, SessionEnd] = [this.createEnd(), this.createEnd()];
     private lastDelivered: [Uint8Array | undefined, Uint8Array | undefined] = [undefined, undefined];
 
-    /** Starts a call from end `from` and a reader that takes all frames. */
+    /** Starts a call from end `from` and a reader that reads all frames. */
     start(from: number, frameCount: number, frameBytes: number): void {
         const record: CallRecord = {
             id: this.calls.length,
@@ -55,51 +55,51 @@
         this.calls.push(record);
     }
 
-    /** Hands over up to `count` messages that end `from` has written. */
+    /** Delivers up to `count` messages that end `from` has written. */
     async deliver(from: number, count: number): Promise<void> {
-        const arrived = this.ends[from].onTheWire.splice(0, count);
+        const arrived = this.ends[from].inTransit.splice(0, count);
         arrived.forEach(bytes => {
             this.lastDelivered[from] = bytes;
-            this.arrive(1 - from, bytes);
+            this.receive(1 - from, bytes);
         });
         await this.settle();
     }
 
-    /** Hands over the last message once more. */
+    /** Delivers the last message of end `from` again. */
     async duplicate(from: number): Promise<void> {
         const bytes = this.lastDelivered[from];
         if (bytes !== undefined) {
-            this.arrive(1 - from, bytes);
+            this.receive(1 - from, bytes);
         }
         await this.settle();
     }
 
-    /** Loses the connection with all that is on it. */
+    /** Cuts the connection. Messages in transit are lost. */
     cut(): void {
         this.lastDelivered = [undefined, undefined];
         this.ends.forEach(end => {
             end.attached = false;
-            end.onTheWire = [];
+            end.inTransit = [];
         });
     }
 
-    /** Opens another connection; end 0 connects. The answer to its handshake may be lost. */
-    async reconnect(isAnswerLost: boolean): Promise<void> {
+    /** Opens another connection from end 0. The response to its handshake may be lost. */
+    async reconnect(isResponseLost: boolean): Promise<void> {
         this.cut();
         const [dialer, acceptor] = this.ends;
-        const answered = acceptor.session.received;
+        const acceptorReceived = acceptor.session.received;
         acceptor.attached = true;
         acceptor.session.attach(testIdentity("dialer"), dialer.session.received, defaultLinkLimits.maxMessageBytes);
-        this.pump(acceptor);
-        if (!isAnswerLost) {
+        this.writePending(acceptor);
+        if (!isResponseLost) {
             dialer.attached = true;
-            dialer.session.attach(testIdentity("acceptor"), answered, defaultLinkLimits.maxMessageBytes);
-            this.pump(dialer);
+            dialer.session.attach(testIdentity("acceptor"), acceptorReceived, defaultLinkLimits.maxMessageBytes);
+            this.writePending(dialer);
         }
         await this.settle();
     }
 
-    /** A new process stands at the address of end 1; end 0 finds out in the next handshake. */
+    /** Replaces end 1 with a new process, which end 0 detects in the next handshake. */
     async replaceAcceptor(): Promise<void> {
         this.cut();
         this.ends[1].session.end(REPLACED);
@@ -110,18 +110,18 @@
         await this.settle();
     }
 
-    /** Acknowledges what has arrived at end `at`, as its heartbeat does. */
+    /** Acknowledges the messages that have arrived at end `at`, as its heartbeat does. */
     acknowledge(at: number): void {
         if (this.ends.every(end => end.attached)) {
             this.ends[1 - at].session.acknowledge(this.ends[at].session.received);
-            this.pump(this.ends[1 - at]);
+            this.writePending(this.ends[1 - at]);
         }
     }
 
-    /** Moves everything until nothing moves any more. */
+    /** Reconnects and delivers messages until none is in transit. */
     async drain(): Promise<void> {
         await this.reconnect(false);
-        while (this.ends.some(end => end.onTheWire.length > 0)) {
+        while (this.ends.some(end => end.inTransit.length > 0)) {
             await this.deliver(0, 10);
             await this.deliver(1, 10);
             this.acknowledge(0);
@@ -129,7 +129,7 @@
         }
     }
 
-    private createEnd(): End {
+    private createEnd(): SessionEnd {
         const registry = new CallRegistry();
         registry.handlers.set("frames", request => this.frames(request as FrameRequest));
         const session: LinkSession = new LinkSession({
@@ -137,9 +137,9 @@
             codec: this.codec,
             limits: { ...defaultLinkLimits, callWindowBytes: WINDOW_BYTES, maxUnacknowledgedBytes: 2000 },
             registry,
-            onWritable: () => this.pump(end),
+            onPendingMessages: () => this.writePending(end),
         });
-        const end: End = { session, registry, onTheWire: [], attached: false };
+        const end: SessionEnd = { session, registry, inTransit: [], attached: false };
         return end;
     }
 
@@ -162,17 +162,17 @@
         record.ended = true;
     }
 
-    private arrive(at: number, bytes: Uint8Array): void {
+    private receive(at: number, bytes: Uint8Array): void {
         this.codec.decode(bytes).forEach(decoded => this.ends[at].session.receive(decoded));
     }
 
-    private pump(end: End): void {
-        for (let bytes = this.nextOf(end); bytes !== undefined; bytes = this.nextOf(end)) {
-            end.onTheWire.push(bytes);
+    private writePending(end: SessionEnd): void {
+        for (let bytes = this.nextBytes(end); bytes !== undefined; bytes = this.nextBytes(end)) {
+            end.inTransit.push(bytes);
         }
     }
 
-    private nextOf(end: End): Uint8Array | undefined {
+    private nextBytes(end: SessionEnd): Uint8Array | undefined {
         return end.attached ? end.session.next() : undefined;
     }
 
