--- a/batch/claims/src/claimLog.ts
+++ b/batch/claims/src/claimLog.ts
@@ -8,7 +8,7 @@
 import type { KeyValueOperation } from "@knapweedwood/core.key-value/keyValueOperation";
 import type { KeyValueService } from "@knapweedwood/core.key-value/keyValueService";
 import type { Random } from "@knapweedwood/core.random/random";
-import type { ClaimEntry } from "./claimEntry.js";
+import type { ClaimLogEntry } from "./claimLogEntry.js";
 import type { ClaimTable } from "./claimTable.js";
 
 const SEQUENCE_DIGITS = 12;
@@ -20,12 +20,12 @@
 interface LogPage {
     sequenceNumber: number;
     sizeBytes: number;
-    entries: ClaimEntry[];
+    entries: ClaimLogEntry[];
 }
 
 interface PageRecord {
     writeId: string;
-    entries: ClaimEntry[];
+    entries: ClaimLogEntry[];
 }
 
 interface ClaimLogOptions {
@@ -49,7 +49,7 @@
     }
 
     /** Reads all pages. @returns the entries in order, shape [entries] */
-    async load(): Promise<ClaimEntry[]> {
+    async load(): Promise<ClaimLogEntry[]> {
         const pages: LogPage[] = [];
         let afterKey: string | undefined;
         do {
@@ -67,7 +67,7 @@
     }
 
     /** Appends one page. @returns whether it was committed */
-    async append(entries: ClaimEntry[]): Promise<boolean> {
+    async append(entries: ClaimLogEntry[]): Promise<boolean> {
         const sequenceNumber = (this.pages.at(-1)?.sequenceNumber ?? 0) + 1;
         const value = this.encode(entries);
         const key = this.keyOf(sequenceNumber);
@@ -120,7 +120,7 @@
         return result.succeeded;
     }
 
-    private encode(entries: ClaimEntry[]): Uint8Array {
+    private encode(entries: ClaimLogEntry[]): Uint8Array {
         const writeId = `${this.opts.owned()?.fencingNumber ?? 0}-${this.opts.random.nextInteger(2 ** 31)}`;
         return encodeRecord({ writeId, entries } satisfies PageRecord);
     }
--- a/batch/claims/src/claimEntry.ts
+++ b/batch/claims/src/claimLogEntry.ts
@@ -1,8 +1,8 @@
 import type { InstanceId } from "@knapweedwood/core.ids/instanceId";
-import type { StoredAnswer } from "./storedAnswer.js";
+import type { StoredResponse } from "./storedResponse.js";
 
 /** One change in the log of a shard of claims. */
-export type ClaimEntry =
+export type ClaimLogEntry =
     | {
         kind: "claimed";
         claimId: string;
@@ -13,5 +13,5 @@
         atMs: number;
         expiresAtMs: number;
     }
-    | { kind: "recorded"; claimId: string; tokenId: string; requestDigest: string; atMs: number; answer: StoredAnswer; }
+    | { kind: "recorded"; claimId: string; tokenId: string; requestDigest: string; atMs: number; answer: StoredResponse; }
     | { kind: "released"; claimId: string; tokenId: string; atMs: number; };
--- a/batch/claims/src/claimService.ts
+++ b/batch/claims/src/claimService.ts
@@ -15,8 +15,8 @@
 import type { ClaimServiceOptions } from "./claimServiceOptions.js";
 import { ClaimShard } from "./claimShard.js";
 import type { ClaimToken } from "./claimToken.js";
-import { recordAnswerCall } from "./recordAnswerCall.js";
-import type { RecordedAnswer } from "./recordedAnswer.js";
+import { recordResponseCall } from "./recordResponseCall.js";
+import type { RecordedResponse } from "./recordedResponse.js";
 import { releaseClaimCall } from "./releaseClaimCall.js";
 
 const DEFAULT_TIMEOUT_MS = 120_000;
@@ -60,7 +60,7 @@
         endpoint.handle(claimCall, async function*(request) {
             yield await shardOf(request.token).claim(request);
         });
-        endpoint.handle(recordAnswerCall, async function*(request) {
+        endpoint.handle(recordResponseCall, async function*(request) {
             yield { recorded: await shardOf(request.token).record(request.token, request.answer) };
         });
         endpoint.handle(releaseClaimCall, async function*(request) {
@@ -108,8 +108,8 @@
     }
 
     /** Records the answer of a claimed call; resolves once a resend will get it. */
-    async record(token: ClaimToken, answer: RecordedAnswer): Promise<void> {
-        await this.insist(RECORD_PATIENCE_MS, recordAnswerCall, { token, answer }, async shard => ({
+    async record(token: ClaimToken, answer: RecordedResponse): Promise<void> {
+        await this.insist(RECORD_PATIENCE_MS, recordResponseCall, { token, answer }, async shard => ({
             recorded: await shard.record(token, answer),
         }));
     }
--- a/batch/claims/src/claimShard.ts
+++ b/batch/claims/src/claimShard.ts
@@ -7,13 +7,13 @@
 import type { PartitionId } from "@knapweedwood/core.ids/partitionId";
 import type { KeyValueService } from "@knapweedwood/core.key-value/keyValueService";
 import type { Random } from "@knapweedwood/core.random/random";
-import type { ClaimEntry } from "./claimEntry.js";
+import type { ClaimLogEntry } from "./claimLogEntry.js";
 import { ClaimLog } from "./claimLog.js";
 import type { ClaimResult } from "./claimResult.js";
 import { ClaimTable } from "./claimTable.js";
 import type { ClaimToken } from "./claimToken.js";
-import type { RecordedAnswer } from "./recordedAnswer.js";
-import type { StoredAnswer } from "./storedAnswer.js";
+import type { RecordedResponse } from "./recordedResponse.js";
+import type { StoredResponse } from "./storedResponse.js";
 
 const MAX_ENTRIES_PER_PAGE = 1000;
 const MAX_PAGE_BYTES = 700_000;
@@ -35,7 +35,7 @@
 }
 
 interface PendingEntry {
-    entry: ClaimEntry;
+    entry: ClaimLogEntry;
     sizeBytes: number;
     settle: (isCommitted: boolean) => void;
     fail: (error: unknown) => void;
@@ -112,7 +112,7 @@
     }
 
     /** Records an answer under the token that was granted. @returns whether it stands */
-    async record(token: ClaimToken, answer: RecordedAnswer): Promise<boolean> {
+    async record(token: ClaimToken, answer: RecordedResponse): Promise<boolean> {
         await this.load();
         const current = this.table.find(token.claimId);
         if (current?.tokenId !== token.tokenId || current.kind === "recorded") {
@@ -140,7 +140,7 @@
         await this.flushing?.catch(() => undefined);
     }
 
-    private append(entry: ClaimEntry): Promise<boolean> {
+    private append(entry: ClaimLogEntry): Promise<boolean> {
         const bodyBytes = entry.kind === "recorded" ? entry.answer.body?.length ?? 0 : 0;
         return new Promise((settle, fail) => {
             this.pending.push({ entry, sizeBytes: bodyBytes + ENTRY_OVERHEAD_BYTES, settle, fail });
@@ -191,7 +191,7 @@
     }
 
     private async describe(
-        current: Exclude<ClaimEntry, { kind: "released"; }>,
+        current: Exclude<ClaimLogEntry, { kind: "released"; }>,
         requestDigest: string,
     ): Promise<ClaimResult> {
         const nowMs = this.opts.clock.nowMs();
@@ -201,7 +201,7 @@
             : { kind: kind as Exclude<typeof kind, "recorded"> };
     }
 
-    private async store(answer: RecordedAnswer): Promise<StoredAnswer> {
+    private async store(answer: RecordedResponse): Promise<StoredResponse> {
         const { statusCode, headers } = answer;
         const body = Buffer.from(answer.body);
         if (body.length <= MAX_INLINE_BODY_BYTES) {
@@ -210,7 +210,7 @@
         return { statusCode, headers, body: undefined, bodyDigest: await this.opts.segmentStore.put(body) };
     }
 
-    private async read(stored: StoredAnswer): Promise<RecordedAnswer> {
+    private async read(stored: StoredResponse): Promise<RecordedResponse> {
         const body = stored.bodyDigest === undefined
             ? Buffer.from(stored.body ?? "", "base64")
             : await this.opts.segmentStore.get(stored.bodyDigest);
--- a/batch/claims/src/claimTable.ts
+++ b/batch/claims/src/claimTable.ts
@@ -1,10 +1,10 @@
 import type { InstanceId } from "@knapweedwood/core.ids/instanceId";
-import type { ClaimEntry } from "./claimEntry.js";
+import type { ClaimLogEntry } from "./claimLogEntry.js";
 
 /** How long an executor may be missing from the lagging instance list. */
 const EXECUTOR_GRACE_MS = 10_000;
 
-type LiveEntry = Exclude<ClaimEntry, { kind: "released"; }>;
+type LiveEntry = Exclude<ClaimLogEntry, { kind: "released"; }>;
 
 /** The claims of a shard, as its log tells them. */
 export class ClaimTable {
@@ -15,7 +15,7 @@
     }
 
     /** Takes a committed entry in. Entries come in the order of the log. */
-    apply(entry: ClaimEntry): void {
+    apply(entry: ClaimLogEntry): void {
         const current = this.claims.get(entry.claimId);
         if (entry.kind !== "released") {
             if (current?.kind !== "recorded") {
@@ -33,7 +33,7 @@
     }
 
     /** Whether an entry of the log still says something that a later one does not. */
-    isCurrent(entry: ClaimEntry): boolean {
+    isCurrent(entry: ClaimLogEntry): boolean {
         return this.claims.get(entry.claimId) === entry;
     }
 
--- a/batch/claims/src/recordAnswerCall.ts
+++ b/batch/claims/src/recordResponseCall.ts
@@ -1,8 +1,8 @@
 import { defineCall } from "@knapweedwood/links.calls/defineCall";
 import type { ClaimToken } from "./claimToken.js";
-import type { RecordedAnswer } from "./recordedAnswer.js";
+import type { RecordedResponse } from "./recordedResponse.js";
 
 /** Records the answer of a claimed call; one frame once it is committed. */
-export const recordAnswerCall = defineCall<{ token: ClaimToken; answer: RecordedAnswer; }, { recorded: boolean; }>(
+export const recordResponseCall = defineCall<{ token: ClaimToken; answer: RecordedResponse; }, { recorded: boolean; }>(
     "claims.record",
 );
