--- a/batch/jobs/src/keyValueBatchService.ts
+++ b/batch/jobs/src/keyValueBatchService.ts
@@ -20,7 +20,7 @@
 import type { JobManifest } from "./jobManifest.js";
 import type { JobProgress } from "./jobProgress.js";
 import type { JobRecord } from "./jobRecord.js";
-import { sizeOf } from "./sizeOf.js";
+import { totalSizeBytes } from "./totalSizeBytes.js";
 import type { StoredFile } from "./storedFile.js";
 import { toJobRecord } from "./toJobRecord.js";
 
@@ -57,7 +57,7 @@
             teamId: opts.teamId,
             fileName: opts.fileName,
             purpose: opts.purpose,
-            sizeBytes: sizeOf(segments),
+            sizeBytes: totalSizeBytes(segments),
             createdAtMs: nowMs,
         };
         const key = batchKeys.file(opts.teamId, fileId);
--- a/batch/owner/src/finalizeJob.ts
+++ b/batch/owner/src/finalizeJob.ts
@@ -3,7 +3,7 @@
 import { jobChart } from "@knapweedwood/batch.jobs/jobChart";
 import type { JobManifest } from "@knapweedwood/batch.jobs/jobManifest";
 import type { JobProgress } from "@knapweedwood/batch.jobs/jobProgress";
-import { sizeOf } from "@knapweedwood/batch.jobs/sizeOf";
+import { totalSizeBytes } from "@knapweedwood/batch.jobs/totalSizeBytes";
 import type { StoredFile } from "@knapweedwood/batch.jobs/storedFile";
 import { encodeRecord } from "@knapweedwood/batch.records/encodeRecord";
 import type { SegmentStore } from "@knapweedwood/batch.segments/segmentStore";
@@ -59,7 +59,7 @@
         teamId: manifest.teamId,
         fileName: `${manifest.jobId}_${failed ? "error" : "output"}.jsonl`,
         purpose: "batch_output",
-        sizeBytes: sizeOf(segments),
+        sizeBytes: totalSizeBytes(segments),
         createdAtMs: nowMs,
     };
     return { record, segments };
--- a/batch/segments/src/folderSegmentStore.ts
+++ b/batch/segments/src/folderSegmentStore.ts
@@ -3,7 +3,7 @@
 import type { SegmentDigest } from "@knapweedwood/core.ids/segmentDigest";
 import { mkdir, open, readdir, readFile, rename, rm, stat } from "node:fs/promises";
 import path from "node:path";
-import { segmentNotFound } from "./segmentNotFound.js";
+import { segmentNotFoundError } from "./segmentNotFoundError.js";
 import type { SegmentStore } from "./segmentStore.js";
 import { verifySegment } from "./verifySegment.js";
 
@@ -58,7 +58,7 @@
     /** Removes a copy that does not match its digest, so that a repair replaces it. */
     async get(digest: SegmentDigest): Promise<Uint8Array> {
         const bytes = await readFile(this.fileOf(digest)).catch(() => {
-            throw segmentNotFound(digest);
+            throw segmentNotFoundError(digest);
         });
         try {
             return verifySegment(digest, bytes);
--- a/batch/segments/src/keyValueSegmentStore.ts
+++ b/batch/segments/src/keyValueSegmentStore.ts
@@ -5,7 +5,7 @@
 import type { SegmentDigest } from "@knapweedwood/core.ids/segmentDigest";
 import type { KeyValueService } from "@knapweedwood/core.key-value/keyValueService";
 import type { Random } from "@knapweedwood/core.random/random";
-import { segmentNotFound } from "./segmentNotFound.js";
+import { segmentNotFoundError } from "./segmentNotFoundError.js";
 import type { SegmentStore } from "./segmentStore.js";
 import { verifySegment } from "./verifySegment.js";
 
@@ -40,7 +40,7 @@
     async get(digest: SegmentDigest): Promise<Uint8Array> {
         const entry = await this.opts.keyValue.get(KEY_PREFIX + digest);
         if (entry === undefined) {
-            throw segmentNotFound(digest);
+            throw segmentNotFoundError(digest);
         }
         return verifySegment(digest, entry.value);
     }
--- a/batch/segments/src/registerSegmentHolder.ts
+++ b/batch/segments/src/registerSegmentHandlers.ts
@@ -7,7 +7,7 @@
 import type { SegmentStore } from "./segmentStore.js";
 
 /** Lets other entry instances keep copies in this instance's data folder. Sides are refused. */
-export function registerSegmentHolder(opts: { endpoint: LinkEndpoint; store: SegmentStore; }): void {
+export function registerSegmentHandlers(opts: { endpoint: LinkEndpoint; store: SegmentStore; }): void {
     const { endpoint, store } = opts;
     endpoint.handle(putSegmentCall, async function*(request, context) {
         requireEntry(context.peer.kind);
--- a/batch/segments/src/replicatedSegmentStore.ts
+++ b/batch/segments/src/replicatedSegmentStore.ts
@@ -11,7 +11,7 @@
 import { putSegmentCall } from "./putSegmentCall.js";
 import { removeSegmentCall } from "./removeSegmentCall.js";
 import type { SegmentHolder } from "./segmentHolder.js";
-import { segmentNotFound } from "./segmentNotFound.js";
+import { segmentNotFoundError } from "./segmentNotFoundError.js";
 import type { SegmentStore } from "./segmentStore.js";
 import { verifySegment } from "./verifySegment.js";
 
@@ -61,7 +61,7 @@
                 return bytes;
             }
         }
-        throw segmentNotFound(digest);
+        throw segmentNotFoundError(digest);
     }
 
     async remove(digest: SegmentDigest): Promise<void> {
--- a/batch/segments/src/segmentNotFound.ts
+++ b/batch/segments/src/segmentNotFoundError.ts
@@ -2,6 +2,6 @@
 import type { SegmentDigest } from "@knapweedwood/core.ids/segmentDigest";
 
 /** The error for a segment that has no copy here. */
-export function segmentNotFound(digest: SegmentDigest): KnapweedError {
+export function segmentNotFoundError(digest: SegmentDigest): KnapweedError {
     return new KnapweedError("SEGMENT_NOT_FOUND", `Segment ${digest} has no copy here`, { statusCode: 503 });
 }
--- a/daemons/entry/src/createSegmentStore.ts
+++ b/daemons/entry/src/createSegmentStore.ts
@@ -1,6 +1,6 @@
 import { FolderSegmentStore } from "@knapweedwood/batch.segments/folderSegmentStore";
 import { KeyValueSegmentStore } from "@knapweedwood/batch.segments/keyValueSegmentStore";
-import { registerSegmentHolder } from "@knapweedwood/batch.segments/registerSegmentHolder";
+import { registerSegmentHandlers } from "@knapweedwood/batch.segments/registerSegmentHandlers";
 import { ReplicatedSegmentStore } from "@knapweedwood/batch.segments/replicatedSegmentStore";
 import type { SegmentStore } from "@knapweedwood/batch.segments/segmentStore";
 import type { LinkEndpoint } from "@knapweedwood/links.calls/linkEndpoint";
@@ -20,7 +20,7 @@
         : new FolderSegmentStore({ dataFolder: settings.dataFolder });
     if (local !== undefined) {
         await local.prepare();
-        registerSegmentHolder({ endpoint, store: local });
+        registerSegmentHandlers({ endpoint, store: local });
     }
     return new ReplicatedSegmentStore({
         instanceId: endpoint.identity.instanceId,
--- a/fuzz/promises/src/memorySegmentStore.ts
+++ b/fuzz/promises/src/memorySegmentStore.ts
@@ -1,4 +1,4 @@
-import { segmentNotFound } from "@knapweedwood/batch.segments/segmentNotFound";
+import { segmentNotFoundError } from "@knapweedwood/batch.segments/segmentNotFoundError";
 import type { SegmentStore } from "@knapweedwood/batch.segments/segmentStore";
 import { verifySegment } from "@knapweedwood/batch.segments/verifySegment";
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
@@ -27,7 +27,7 @@
     async get(digest: SegmentDigest): Promise<Uint8Array> {
         const bytes = this.segments.get(digest);
         if (bytes === undefined) {
-            throw segmentNotFound(digest);
+            throw segmentNotFoundError(digest);
         }
         return verifySegment(digest, bytes);
     }
--- a/fuzz/promises/src/simulatedEntry.ts
+++ b/fuzz/promises/src/simulatedEntry.ts
@@ -1,7 +1,7 @@
 import { ClaimService } from "@knapweedwood/batch.claims/claimService";
 import { KeyValueBatchService } from "@knapweedwood/batch.jobs/keyValueBatchService";
 import { BatchRole } from "@knapweedwood/batch.owner/batchRole";
-import { registerSegmentHolder } from "@knapweedwood/batch.segments/registerSegmentHolder";
+import { registerSegmentHandlers } from "@knapweedwood/batch.segments/registerSegmentHandlers";
 import { ReplicatedSegmentStore } from "@knapweedwood/batch.segments/replicatedSegmentStore";
 import type { Incarnation } from "@knapweedwood/core.ids/incarnation";
 import type { InstanceId } from "@knapweedwood/core.ids/instanceId";
@@ -67,7 +67,7 @@
             gate: this.gate,
             network: platform.network,
         });
-        registerSegmentHolder({ endpoint: this.endpoint, store: opts.dataFolder });
+        registerSegmentHandlers({ endpoint: this.endpoint, store: opts.dataFolder });
         this.segmentStore = new ReplicatedSegmentStore({
             instanceId: this.instanceId,
             endpoint: this.endpoint,
