--- a/batch/claims/src/claimLog.ts
+++ b/batch/claims/src/claimLog.ts
@@ -12,10 +12,10 @@
 import type { ClaimTable } from "./claimTable.js";
 
 const SEQUENCE_DIGITS = 12;
-const PAGE_SIZE_ENTRIES = 50;
-const COMPACT_AFTER_PAGES = 32;
+const LIST_LIMIT_PAGES = 50;
+const MIN_PAGES_TO_MERGE = 32;
 const SMALL_PAGE_BYTES = 64_000;
-const MAX_PAGE_BYTES = 900_000;
+const MAX_MERGED_PAGE_BYTES = 900_000;
 
 interface LogPage {
     sequenceNumber: number;
@@ -34,7 +34,7 @@
     clock: Clock;
     random: Random;
     /** Proof of ownership; undefined while this instance may not commit. */
-    owned: () => OwnedPartition | undefined;
+    ownedPartition: () => OwnedPartition | undefined;
 }
 
 /** The log of a shard of claims: pages in the key-value service, appended under the owner's fencing number. */
@@ -53,13 +53,13 @@
         const pages: LogPage[] = [];
         let afterKey: string | undefined;
         do {
-            const found = await this.opts.keyValue.list(this.prefix, { limit: PAGE_SIZE_ENTRIES, afterKey });
+            const found = await this.opts.keyValue.list(this.prefix, { limit: LIST_LIMIT_PAGES, afterKey });
             pages.push(...found.map(entry => ({
                 sequenceNumber: Number(entry.key.slice(this.prefix.length)),
                 sizeBytes: entry.value.length,
                 entries: decodeRecord<PageRecord>(entry.value).entries,
             })));
-            afterKey = found.length === PAGE_SIZE_ENTRIES ? found.at(-1)?.key : undefined;
+            afterKey = found.length === LIST_LIMIT_PAGES ? found.at(-1)?.key : undefined;
         }
         while (afterKey !== undefined);
         this.pages = pages;
@@ -83,7 +83,7 @@
         const expired = this.pages.filter(page => page.entries.every(entry => entry.atMs < expiredBeforeMs));
         const firstSmall = this.pages.findLastIndex(page => page.sizeBytes > SMALL_PAGE_BYTES) + 1;
         const small = this.pages.slice(firstSmall).filter(page => !expired.includes(page));
-        const merged = small.length < COMPACT_AFTER_PAGES ? [] : takeWhileFits(small);
+        const merged = small.length < MIN_PAGES_TO_MERGE ? [] : leadingPagesThatFit(small);
         if (merged.length + expired.length === 0) {
             return;
         }
@@ -104,7 +104,7 @@
     }
 
     private async commit(operations: KeyValueOperation[], absentKey?: string): Promise<boolean> {
-        const owned = this.opts.owned();
+        const owned = this.opts.ownedPartition();
         if (owned === undefined) {
             return false;
         }
@@ -121,7 +121,7 @@
     }
 
     private encode(entries: ClaimLogEntry[]): Uint8Array {
-        const writeId = `${this.opts.owned()?.fencingNumber ?? 0}-${this.opts.random.nextInteger(2 ** 31)}`;
+        const writeId = `${this.opts.ownedPartition()?.fencingNumber ?? 0}-${this.opts.random.nextInteger(2 ** 31)}`;
         return encodeRecord({ writeId, entries } satisfies PageRecord);
     }
 
@@ -130,11 +130,11 @@
     }
 }
 
-function takeWhileFits(pages: LogPage[]): LogPage[] {
+function leadingPagesThatFit(pages: LogPage[]): LogPage[] {
     let sizeBytes = 0;
     const end = pages.findIndex(page => {
         sizeBytes += page.sizeBytes;
-        return sizeBytes > MAX_PAGE_BYTES;
+        return sizeBytes > MAX_MERGED_PAGE_BYTES;
     });
     return pages.slice(0, end === -1 ? undefined : end);
 }
--- a/batch/claims/src/claimLogEntry.ts
+++ b/batch/claims/src/claimLogEntry.ts
@@ -13,5 +13,12 @@
         atMs: number;
         expiresAtMs: number;
     }
-    | { kind: "recorded"; claimId: string; tokenId: string; requestDigest: string; atMs: number; answer: StoredResponse; }
+    | {
+        kind: "recorded";
+        claimId: string;
+        tokenId: string;
+        requestDigest: string;
+        atMs: number;
+        answer: StoredResponse;
+    }
     | { kind: "released"; claimId: string; tokenId: string; atMs: number; };
--- a/batch/claims/src/claimService.ts
+++ b/batch/claims/src/claimService.ts
@@ -15,21 +15,21 @@
 import type { ClaimServiceOptions } from "./claimServiceOptions.js";
 import { ClaimShard } from "./claimShard.js";
 import type { ClaimToken } from "./claimToken.js";
-import { recordResponseCall } from "./recordResponseCall.js";
 import type { RecordedResponse } from "./recordedResponse.js";
+import { recordResponseCall } from "./recordResponseCall.js";
 import { releaseClaimCall } from "./releaseClaimCall.js";
 
-const DEFAULT_TIMEOUT_MS = 120_000;
+const DEFAULT_CLAIM_TIMEOUT_MS = 120_000;
 const DEFAULT_RETENTION_MS = 24 * 60 * 60 * 1000;
 const DEFAULT_WRITE_BUDGET_PER_SECOND = 128;
 const MS_PER_SECOND = 1000;
-const CALL_TIMEOUT_MS = 3000;
-const CLAIM_PATIENCE_MS = 5000;
-const RECORD_PATIENCE_MS = 60_000;
-const RETRY_MS = 50;
-const MAX_RETRY_MS = 1000;
+const LINK_CALL_TIMEOUT_MS = 3000;
+const CLAIM_RETRY_TIMEOUT_MS = 5000;
+const RECORD_RETRY_TIMEOUT_MS = 60_000;
+const INITIAL_RETRY_DELAY_MS = 50;
+const MAX_RETRY_DELAY_MS = 1000;
 const SHARD_HASH_DIGITS = 8;
-const HEXADECIMAL = 16;
+const HEX_RADIX = 16;
 
 /** At-most-once claims of calls that may not be repeated, from any entry instance. */
 export class ClaimService {
@@ -37,7 +37,7 @@
     private readonly ownership: PartitionOwnership;
     private readonly shards = new Map<PartitionId, ClaimShard>();
     private readonly stopping = new AbortController();
-    private entries: InstanceId[] = [];
+    private knownEntryIds: InstanceId[] = [];
     private tokenCount = 0;
 
     constructor(opts: ClaimServiceOptions) {
@@ -47,8 +47,8 @@
             ...opts,
             scope: "claims",
             partitionCount: opts.shardCount,
-            liveEntries: () => this.liveEntries(),
-            onAcquired: partition => this.acquired(partition),
+            liveEntries: () => this.listLiveEntryIds(),
+            onAcquired: partition => this.addShard(partition),
             onLost: shardId => void this.shards.delete(shardId),
             onRelease: async shardId => {
                 await this.shards.get(shardId)?.flush();
@@ -56,7 +56,7 @@
             },
         });
         const { endpoint } = opts;
-        const shardOf = (token: ClaimToken) => this.shard(token);
+        const shardOf = (token: ClaimToken) => this.ownedShard(token);
         endpoint.handle(claimCall, async function*(request) {
             yield await shardOf(request.token).claim(request);
         });
@@ -83,11 +83,11 @@
     async claim(request: ClaimRequest): Promise<ClaimResult> {
         const token = this.createToken(request);
         const { requestDigest } = request;
-        const timeoutMs = request.timeoutMs ?? DEFAULT_TIMEOUT_MS;
+        const timeoutMs = request.timeoutMs ?? DEFAULT_CLAIM_TIMEOUT_MS;
         const executor = this.opts.instanceId;
         try {
-            const result = await this.insist(
-                CLAIM_PATIENCE_MS,
+            const result = await this.callWithRetries(
+                CLAIM_RETRY_TIMEOUT_MS,
                 claimCall,
                 { token, requestDigest, timeoutMs, executor },
                 shard => shard.claim({ token, requestDigest, timeoutMs, executor }),
@@ -102,85 +102,90 @@
                 cause: error,
                 outcome: "not-run",
                 statusCode: 503,
-                retryAfterMs: CLAIM_PATIENCE_MS,
+                retryAfterMs: CLAIM_RETRY_TIMEOUT_MS,
             });
         }
     }
 
     /** Records the answer of a claimed call; resolves once a resend will get it. */
-    async record(token: ClaimToken, answer: RecordedResponse): Promise<void> {
-        await this.insist(RECORD_PATIENCE_MS, recordResponseCall, { token, answer }, async shard => ({
-            recorded: await shard.record(token, answer),
-        }));
+    async record(token: ClaimToken, response: RecordedResponse): Promise<void> {
+        await this.callWithRetries(
+            RECORD_RETRY_TIMEOUT_MS,
+            recordResponseCall,
+            { token, answer: response },
+            async shard => ({
+                recorded: await shard.record(token, response),
+            }),
+        );
     }
 
     /** Gives a claim back. Only for a call that provably did not run. */
     async release(token: ClaimToken): Promise<void> {
-        await this.insist(RECORD_PATIENCE_MS, releaseClaimCall, { token }, async shard => ({
+        await this.callWithRetries(RECORD_RETRY_TIMEOUT_MS, releaseClaimCall, { token }, async shard => ({
             released: await shard.release(token),
         }));
     }
 
     /** Asks the owner of the shard, wherever it is, until it answers or patience ends. */
-    private async insist<Request extends { token: ClaimToken; }, Frame>(
-        patienceMs: number,
+    private async callWithRetries<Request extends { token: ClaimToken; }, Frame>(
+        retryTimeoutMs: number,
         definition: CallDefinition<Request, Frame>,
         request: Request,
-        locally: (shard: ClaimShard) => Promise<Frame>,
+        callLocal: (shard: ClaimShard) => Promise<Frame>,
     ): Promise<Frame> {
         const { clock, random } = this.opts;
-        const untilMs = clock.nowMs() + patienceMs;
-        let retryMs = RETRY_MS;
+        const deadlineMs = clock.nowMs() + retryTimeoutMs;
+        let retryDelayMs = INITIAL_RETRY_DELAY_MS;
         for (;;) {
             try {
-                return await this.ask(definition, request, locally);
+                return await this.callShardOwner(definition, request, callLocal);
             }
             catch (thrown) {
-                const delayMs = retryMs * (0.5 + random.next() / 2);
-                if (clock.nowMs() + delayMs >= untilMs || this.stopping.signal.aborted) {
+                const delayMs = retryDelayMs * (0.5 + random.next() / 2);
+                if (clock.nowMs() + delayMs >= deadlineMs || this.stopping.signal.aborted) {
                     throw toKnapweedError(thrown);
                 }
                 await sleep(clock, delayMs, this.stopping.signal);
-                retryMs = Math.min(MAX_RETRY_MS, retryMs * 2);
+                retryDelayMs = Math.min(MAX_RETRY_DELAY_MS, retryDelayMs * 2);
             }
         }
     }
 
-    private async ask<Request extends { token: ClaimToken; }, Frame>(
+    private async callShardOwner<Request extends { token: ClaimToken; }, Frame>(
         definition: CallDefinition<Request, Frame>,
         request: Request,
-        locally: (shard: ClaimShard) => Promise<Frame>,
+        callLocal: (shard: ClaimShard) => Promise<Frame>,
     ): Promise<Frame> {
         const shard = this.shards.get(request.token.shardId);
         if (shard !== undefined) {
-            return await locally(shard);
+            return await callLocal(shard);
         }
         const address = this.ownership.holderAddress(request.token.shardId);
         if (address === undefined || address === this.opts.address()) {
-            throw notOwned();
+            throw shardNotOwnedError();
         }
         const link = this.opts.endpoint.connect(address);
-        return await singleFrame(link.call(definition, request, { timeoutMs: CALL_TIMEOUT_MS }));
+        return await singleFrame(link.call(definition, request, { timeoutMs: LINK_CALL_TIMEOUT_MS }));
     }
 
-    private shard(token: ClaimToken): ClaimShard {
+    private ownedShard(token: ClaimToken): ClaimShard {
         const shard = this.shards.get(token.shardId);
         if (shard === undefined) {
-            throw notOwned();
+            throw shardNotOwnedError();
         }
         return shard;
     }
 
-    private acquired(partition: OwnedPartition): void {
+    private addShard(partition: OwnedPartition): void {
         const shardId = partition.partitionId;
         const shard = new ClaimShard({
             ...this.opts,
             shardId,
-            owned: () => {
+            ownedPartition: () => {
                 const owned = this.ownership.owned(shardId);
                 return owned?.fencingNumber === partition.fencingNumber ? owned : undefined;
             },
-            isLive: executor => this.entries.includes(executor),
+            isLive: executor => this.knownEntryIds.includes(executor),
             commitIntervalMs: this.opts.shardCount * MS_PER_SECOND
                 / (this.opts.writeBudgetPerSecond ?? DEFAULT_WRITE_BUDGET_PER_SECOND),
             retentionMs: this.opts.retentionMs ?? DEFAULT_RETENTION_MS,
@@ -193,28 +198,28 @@
 
     private createToken(request: ClaimRequest): ClaimToken {
         const claimId = digestOf(JSON.stringify([request.teamId, request.service, request.idempotencyKey]));
-        const hash = Number.parseInt(claimId.slice(0, SHARD_HASH_DIGITS), HEXADECIMAL);
+        const hash = Number.parseInt(claimId.slice(0, SHARD_HASH_DIGITS), HEX_RADIX);
         const shardId = String(hash % this.opts.shardCount) as PartitionId;
-        const unique = this.opts.random.nextInteger(2 ** 31);
-        const tokenId = `${this.opts.instanceId}-${this.opts.clock.nowMs()}-${this.tokenCount++}-${unique}`;
+        const randomSuffix = this.opts.random.nextInteger(2 ** 31);
+        const tokenId = `${this.opts.instanceId}-${this.opts.clock.nowMs()}-${this.tokenCount++}-${randomSuffix}`;
         return { shardId, claimId, tokenId };
     }
 
-    private async liveEntries(): Promise<InstanceId[]> {
+    private async listLiveEntryIds(): Promise<InstanceId[]> {
         try {
             const records = await this.opts.instanceList.list();
-            this.entries = records.filter(record => record.kind === "entry").map(record => record.instanceId);
+            this.knownEntryIds = records.filter(record => record.kind === "entry").map(record => record.instanceId);
             return records
                 .filter(record => record.kind === "entry" && record.state === "live")
                 .map(record => record.instanceId);
         }
         catch {
-            return this.entries;
+            return this.knownEntryIds;
         }
     }
 }
 
-function notOwned(): KnapweedError {
+function shardNotOwnedError(): KnapweedError {
     return new KnapweedError("CLAIM_SHARD_MOVED", "This instance does not own the shard of the claim", {
         outcome: "not-run",
         statusCode: 503,
--- a/batch/claims/src/claimShard.ts
+++ b/batch/claims/src/claimShard.ts
@@ -7,8 +7,8 @@
 import type { PartitionId } from "@knapweedwood/core.ids/partitionId";
 import type { KeyValueService } from "@knapweedwood/core.key-value/keyValueService";
 import type { Random } from "@knapweedwood/core.random/random";
-import type { ClaimLogEntry } from "./claimLogEntry.js";
 import { ClaimLog } from "./claimLog.js";
+import type { ClaimLogEntry } from "./claimLogEntry.js";
 import type { ClaimResult } from "./claimResult.js";
 import { ClaimTable } from "./claimTable.js";
 import type { ClaimToken } from "./claimToken.js";
@@ -26,7 +26,7 @@
     segmentStore: SegmentStore;
     clock: Clock;
     random: Random;
-    owned: () => OwnedPartition | undefined;
+    ownedPartition: () => OwnedPartition | undefined;
     /** Whether an entry instance that sends a call still lives. */
     isLive: (executor: InstanceId) => boolean;
     /** Least time between two writes of this shard. */
@@ -37,8 +37,8 @@
 interface PendingEntry {
     entry: ClaimLogEntry;
     sizeBytes: number;
-    settle: (isCommitted: boolean) => void;
-    fail: (error: unknown) => void;
+    resolve: (isCommitted: boolean) => void;
+    reject: (error: unknown) => void;
 }
 
 /** The owner of one shard of claims: decides on claims and packs many into one write. */
@@ -47,7 +47,7 @@
     private readonly log: ClaimLog;
     private table = new ClaimTable();
     /** Claims that a running write decides, by claim id. */
-    private readonly deciding = new Map<string, Promise<void>>();
+    private readonly undecidedClaims = new Map<string, Promise<void>>();
     private pending: PendingEntry[] = [];
     private flushing: Promise<void> | undefined;
     private lastCommitAtMs = Number.NEGATIVE_INFINITY;
@@ -82,14 +82,20 @@
     }): Promise<ClaimResult> {
         const { claimId, tokenId } = opts.token;
         await this.load();
-        for (let other = this.deciding.get(claimId); other !== undefined; other = this.deciding.get(claimId)) {
-            await other;
+        for (
+            let undecided = this.undecidedClaims.get(claimId);
+            undecided !== undefined;
+            undecided = this.undecidedClaims.get(claimId)
+        ) {
+            await undecided;
             await this.load();
         }
         const current = this.table.find(claimId);
         if (current !== undefined) {
             const isOwn = current.kind === "claimed" && current.tokenId === tokenId;
-            return isOwn ? { kind: "granted", token: opts.token } : await this.describe(current, opts.requestDigest);
+            return isOwn
+                ? { kind: "granted", token: opts.token }
+                : await this.toClaimResult(current, opts.requestDigest);
         }
         const nowMs = this.opts.clock.nowMs();
         const { requestDigest, executor } = opts;
@@ -103,23 +109,25 @@
             atMs: nowMs,
             expiresAtMs,
         });
-        const decided = decision.then(() => undefined, () => undefined).finally(() => this.deciding.delete(claimId));
-        this.deciding.set(claimId, decided);
+        const decided = decision.then(() => undefined, () => undefined).finally(() =>
+            this.undecidedClaims.delete(claimId)
+        );
+        this.undecidedClaims.set(claimId, decided);
         if (!await decision) {
-            throw notOwner();
+            throw ownershipLostError();
         }
         return { kind: "granted", token: opts.token };
     }
 
     /** Records an answer under the token that was granted. @returns whether it stands */
-    async record(token: ClaimToken, answer: RecordedResponse): Promise<boolean> {
+    async record(token: ClaimToken, response: RecordedResponse): Promise<boolean> {
         await this.load();
         const current = this.table.find(token.claimId);
         if (current?.tokenId !== token.tokenId || current.kind === "recorded") {
             return current?.tokenId === token.tokenId;
         }
         const { claimId, tokenId } = token;
-        const stored = await this.store(answer);
+        const stored = await this.storeResponse(response);
         const atMs = this.opts.clock.nowMs();
         const { requestDigest } = current;
         return await this.append({ kind: "recorded", claimId, tokenId, requestDigest, atMs, answer: stored });
@@ -142,13 +150,13 @@
 
     private append(entry: ClaimLogEntry): Promise<boolean> {
         const bodyBytes = entry.kind === "recorded" ? entry.answer.body?.length ?? 0 : 0;
-        return new Promise((settle, fail) => {
-            this.pending.push({ entry, sizeBytes: bodyBytes + ENTRY_OVERHEAD_BYTES, settle, fail });
-            this.flushing ??= this.flushAll().finally(() => this.flushing = undefined);
+        return new Promise((resolve, reject) => {
+            this.pending.push({ entry, sizeBytes: bodyBytes + ENTRY_OVERHEAD_BYTES, resolve, reject });
+            this.flushing ??= this.commitPending().finally(() => this.flushing = undefined);
         });
     }
 
-    private async flushAll(): Promise<void> {
+    private async commitPending(): Promise<void> {
         const { clock, commitIntervalMs, retentionMs } = this.opts;
         while (this.pending.length > 0) {
             await sleep(clock, this.lastCommitAtMs + commitIntervalMs - clock.nowMs());
@@ -172,12 +180,12 @@
             else {
                 this.loading = undefined;
             }
-            page.forEach(pending => pending.settle(isCommitted));
+            page.forEach(pending => pending.resolve(isCommitted));
         }
         catch (error) {
             // The page may have been written: what stands is read again before the next decision.
             this.loading = undefined;
-            page.forEach(pending => pending.fail(error));
+            page.forEach(pending => pending.reject(error));
         }
     }
 
@@ -190,27 +198,27 @@
         return this.pending.splice(0, end === -1 ? this.pending.length : end);
     }
 
-    private async describe(
+    private async toClaimResult(
         current: Exclude<ClaimLogEntry, { kind: "released"; }>,
         requestDigest: string,
     ): Promise<ClaimResult> {
         const nowMs = this.opts.clock.nowMs();
-        const kind = ClaimTable.describe(current, { requestDigest, nowMs, isLive: this.opts.isLive });
+        const kind = ClaimTable.classify(current, { requestDigest, nowMs, isLive: this.opts.isLive });
         return kind === "recorded" && current.kind === "recorded"
-            ? { kind, answer: await this.read(current.answer) }
+            ? { kind, answer: await this.readResponse(current.answer) }
             : { kind: kind as Exclude<typeof kind, "recorded"> };
     }
 
-    private async store(answer: RecordedResponse): Promise<StoredResponse> {
-        const { statusCode, headers } = answer;
-        const body = Buffer.from(answer.body);
+    private async storeResponse(response: RecordedResponse): Promise<StoredResponse> {
+        const { statusCode, headers } = response;
+        const body = Buffer.from(response.body);
         if (body.length <= MAX_INLINE_BODY_BYTES) {
             return { statusCode, headers, body: body.toString("base64"), bodyDigest: undefined };
         }
         return { statusCode, headers, body: undefined, bodyDigest: await this.opts.segmentStore.put(body) };
     }
 
-    private async read(stored: StoredResponse): Promise<RecordedResponse> {
+    private async readResponse(stored: StoredResponse): Promise<RecordedResponse> {
         const body = stored.bodyDigest === undefined
             ? Buffer.from(stored.body ?? "", "base64")
             : await this.opts.segmentStore.get(stored.bodyDigest);
@@ -218,7 +226,7 @@
     }
 }
 
-function notOwner(): KnapweedError {
+function ownershipLostError(): KnapweedError {
     return new KnapweedError("CLAIM_SHARD_MOVED", "Another instance owns the shard of the claim", {
         outcome: "not-run",
         statusCode: 503,
--- a/batch/claims/src/claimTable.ts
+++ b/batch/claims/src/claimTable.ts
@@ -2,13 +2,13 @@
 import type { ClaimLogEntry } from "./claimLogEntry.js";
 
 /** How long an executor may be missing from the lagging instance list. */
-const EXECUTOR_GRACE_MS = 10_000;
+const EXECUTOR_LISTING_GRACE_MS = 10_000;
 
-type LiveEntry = Exclude<ClaimLogEntry, { kind: "released"; }>;
+type UnreleasedEntry = Exclude<ClaimLogEntry, { kind: "released"; }>;
 
 /** The claims of a shard, as its log tells them. */
 export class ClaimTable {
-    private readonly claims = new Map<string, LiveEntry>();
+    private readonly claims = new Map<string, UnreleasedEntry>();
 
     get size(): number {
         return this.claims.size;
@@ -28,7 +28,7 @@
         }
     }
 
-    find(claimId: string): LiveEntry | undefined {
+    find(claimId: string): UnreleasedEntry | undefined {
         return this.claims.get(claimId);
     }
 
@@ -45,8 +45,8 @@
     }
 
     /** What a resend learns of a claim that stands. */
-    static describe(
-        entry: LiveEntry,
+    static classify(
+        entry: UnreleasedEntry,
         opts: { requestDigest: string; nowMs: number; isLive: (executor: InstanceId) => boolean; },
     ): "conflict" | "recorded" | "unknown" | "in-progress" {
         if (entry.requestDigest !== opts.requestDigest) {
@@ -55,7 +55,7 @@
         if (entry.kind === "recorded") {
             return "recorded";
         }
-        const isListed = opts.nowMs - entry.atMs < EXECUTOR_GRACE_MS || opts.isLive(entry.executor);
+        const isListed = opts.nowMs - entry.atMs < EXECUTOR_LISTING_GRACE_MS || opts.isLive(entry.executor);
         return opts.nowMs >= entry.expiresAtMs || !isListed ? "unknown" : "in-progress";
     }
 }
