--- a/batch/jobs/src/itemSet.ts
+++ b/batch/jobs/src/itemSet.ts
@@ -13,13 +13,13 @@
     }
 
     has(index: number): boolean {
-        const range = this.ranges[this.position(index)];
+        const range = this.ranges[this.findRangePosition(index)];
         return range !== undefined && range.first <= index;
     }
 
     /** @returns whether the index was new */
     add(index: number): boolean {
-        const position = this.position(index);
+        const position = this.findRangePosition(index);
         const after = this.ranges[position];
         if (after !== undefined && after.first <= index) {
             return false;
@@ -40,7 +40,7 @@
     }
 
     /** The first range that ends at or after `index`. */
-    private position(index: number): number {
+    private findRangePosition(index: number): number {
         let low = 0;
         let high = this.ranges.length;
         while (low < high) {
--- a/batch/jobs/src/jobAcceptance.ts
+++ b/batch/jobs/src/jobAcceptance.ts
@@ -18,7 +18,7 @@
 import type { StoredFile } from "./storedFile.js";
 import { toJobRecord } from "./toJobRecord.js";
 
-const FIRST_SERVER_ERROR = 500;
+const MIN_SERVER_ERROR_STATUS = 500;
 const DEFAULT_DUE_MS = 24 * 60 * 60 * 1000;
 
 type AcceptOptions = Parameters<BatchService["createJob"]>[0] & { file: StoredFile; };
@@ -32,7 +32,7 @@
     }
 
     async accept(opts: AcceptOptions): Promise<JobRecord> {
-        return await this.accepted(opts) ?? await this.create(opts);
+        return await this.findAccepted(opts) ?? await this.create(opts);
     }
 
     private async create(opts: AcceptOptions): Promise<JobRecord> {
@@ -64,7 +64,7 @@
                 { kind: "put", key: batchKeys.teamJob(opts.teamId, jobId), value: encodeRecord({ jobId }) },
             ],
         });
-        const record = result.succeeded ? toJobRecord(manifest, progress) : await this.acceptedByOther(opts);
+        const record = result.succeeded ? toJobRecord(manifest, progress) : await this.readConcurrentlyAccepted(opts);
         if (record === undefined) {
             throw new KnapweedError("JOB_NOT_ACCEPTED", "The job was removed while it was accepted", {
                 outcome: "not-run",
@@ -75,13 +75,13 @@
     }
 
     /** Another request has won the key: its job stands, so that a failure to read it is not "not run". */
-    private async acceptedByOther(opts: AcceptOptions): Promise<JobRecord | undefined> {
+    private async readConcurrentlyAccepted(opts: AcceptOptions): Promise<JobRecord | undefined> {
         try {
-            return await this.accepted(opts);
+            return await this.findAccepted(opts);
         }
         catch (thrown) {
             const error = toKnapweedError(thrown);
-            if (error.statusCode !== undefined && error.statusCode < FIRST_SERVER_ERROR) {
+            if (error.statusCode !== undefined && error.statusCode < MIN_SERVER_ERROR_STATUS) {
                 throw error;
             }
             throw new KnapweedError("JOB_OUTCOME_UNKNOWN", "A job was accepted under the key, and could not be read", {
@@ -94,7 +94,7 @@
     }
 
     /** The job that was accepted under the same idempotency key before. */
-    private async accepted(opts: AcceptOptions): Promise<JobRecord | undefined> {
+    private async findAccepted(opts: AcceptOptions): Promise<JobRecord | undefined> {
         const { keyValue } = this.opts;
         const key = batchKeys.idempotency(opts.teamId, opts.idempotencyKey);
         const found = await readRecord<{ jobId: JobId; }>(keyValue, key);
--- a/batch/jobs/src/keyValueBatchService.ts
+++ b/batch/jobs/src/keyValueBatchService.ts
@@ -20,9 +20,9 @@
 import type { JobManifest } from "./jobManifest.js";
 import type { JobProgress } from "./jobProgress.js";
 import type { JobRecord } from "./jobRecord.js";
-import { totalSizeBytes } from "./totalSizeBytes.js";
 import type { StoredFile } from "./storedFile.js";
 import { toJobRecord } from "./toJobRecord.js";
+import { totalSizeBytes } from "./totalSizeBytes.js";
 
 const DEFAULT_LIST_LIMIT = 20;
 
@@ -72,7 +72,7 @@
     }
 
     async getFile(opts: { teamId: TeamId; fileId: FileId; }): Promise<FileRecord> {
-        return (await this.storedFile(opts)).record;
+        return (await this.readStoredFile(opts)).record;
     }
 
     async listFiles(opts: { teamId: TeamId; }): Promise<FileRecord[]> {
@@ -82,19 +82,19 @@
 
     /** Removes the file's record; the sweep removes segments that no record names. */
     async deleteFile(opts: { teamId: TeamId; fileId: FileId; }): Promise<void> {
-        await this.storedFile(opts);
+        await this.readStoredFile(opts);
         await this.opts.keyValue.transact([], [{ kind: "delete", key: batchKeys.file(opts.teamId, opts.fileId) }]);
     }
 
     async *readFile(opts: { teamId: TeamId; fileId: FileId; }): AsyncIterable<Uint8Array> {
-        const file = await this.storedFile(opts);
+        const file = await this.readStoredFile(opts);
         for (const segment of file.segments) {
             yield await this.opts.segmentStore.get(segment.digest);
         }
     }
 
     async createJob(opts: Parameters<BatchService["createJob"]>[0]): Promise<JobRecord> {
-        const file = await this.storedFile({ teamId: opts.teamId, fileId: opts.inputFileId });
+        const file = await this.readStoredFile({ teamId: opts.teamId, fileId: opts.inputFileId });
         return await this.acceptance.accept({ ...opts, file });
     }
 
@@ -105,7 +105,7 @@
             readRecord<JobProgress>(keyValue, batchKeys.progress(opts.jobId)),
         ]);
         if (manifest === undefined || progress === undefined || manifest.value.teamId !== opts.teamId) {
-            throw jobNotFound(opts.jobId);
+            throw jobNotFoundError(opts.jobId);
         }
         return toJobRecord(manifest.value, progress.value);
     }
@@ -127,7 +127,7 @@
         return await this.getJob(opts);
     }
 
-    private async storedFile(opts: { teamId: TeamId; fileId: FileId; }): Promise<StoredFile> {
+    private async readStoredFile(opts: { teamId: TeamId; fileId: FileId; }): Promise<StoredFile> {
         const file = await readRecord<StoredFile>(this.opts.keyValue, batchKeys.file(opts.teamId, opts.fileId));
         if (file === undefined) {
             throw new KnapweedError("FILE_NOT_FOUND", `No file ${opts.fileId}`, {
@@ -139,6 +139,6 @@
     }
 }
 
-function jobNotFound(jobId: JobId): KnapweedError {
+function jobNotFoundError(jobId: JobId): KnapweedError {
     return new KnapweedError("JOB_NOT_FOUND", `No batch job ${jobId}`, { statusCode: 404, outcome: "not-run" });
 }
--- a/batch/records/src/commitTransaction.ts
+++ b/batch/records/src/commitTransaction.ts
@@ -9,7 +9,7 @@
 
 const RETRY_DELAY_MS = 50;
 const MAX_RETRY_DELAY_MS = 2000;
-const MAX_SETTLE_ATTEMPTS = 8;
+const DEFAULT_MAX_ATTEMPTS = 8;
 
 interface CommitOptions {
     keyValue: KeyValueService;
@@ -30,32 +30,33 @@
  * where that could not be settled.
  */
 export async function commitTransaction(opts: CommitOptions): Promise<TransactionResult> {
-    let lost: KnapweedError | undefined;
-    const maxAttempts = opts.maxAttempts ?? MAX_SETTLE_ATTEMPTS;
+    let lostResponse: KnapweedError | undefined;
+    const maxAttempts = opts.maxAttempts ?? DEFAULT_MAX_ATTEMPTS;
     for (let attempt = 0; attempt < maxAttempts; attempt++) {
         try {
             const result = await opts.keyValue.transact(opts.compares, opts.operations);
-            return result.succeeded || lost === undefined ? result : await settle(opts, result);
+            return result.succeeded || lostResponse === undefined ? result : await checkEarlierAttempt(opts, result);
         }
         catch (error) {
-            if (!(error instanceof KnapweedError) || (error.outcome !== "unknown" && lost === undefined)) {
+            if (!(error instanceof KnapweedError) || (error.outcome !== "unknown" && lostResponse === undefined)) {
                 throw error;
             }
-            lost = error.outcome === "unknown" ? error : lost;
+            lostResponse = error.outcome === "unknown" ? error : lostResponse;
         }
-        const ceilingMs = Math.min(MAX_RETRY_DELAY_MS, RETRY_DELAY_MS * 2 ** attempt);
-        await sleep(opts.clock, ceilingMs * (0.5 + opts.random.next() / 2));
+        const maxDelayMs = Math.min(MAX_RETRY_DELAY_MS, RETRY_DELAY_MS * 2 ** attempt);
+        await sleep(opts.clock, maxDelayMs * (0.5 + opts.random.next() / 2));
     }
-    throw lost ?? new KnapweedError("KEY_VALUE_ANSWER_LOST", "The write could not be settled", { outcome: "unknown" });
+    throw lostResponse
+        ?? new KnapweedError("KEY_VALUE_ANSWER_LOST", "The write could not be settled", { outcome: "unknown" });
 }
 
 /** A repeated transaction failed its comparisons: perhaps because the first one had taken effect. */
-async function settle(opts: CommitOptions, failed: TransactionResult): Promise<TransactionResult> {
-    const witness = opts.operations.find(operation => operation.kind === "put");
-    if (witness === undefined || witness.kind !== "put") {
+async function checkEarlierAttempt(opts: CommitOptions, failed: TransactionResult): Promise<TransactionResult> {
+    const marker = opts.operations.find(operation => operation.kind === "put");
+    if (marker === undefined || marker.kind !== "put") {
         return failed;
     }
-    const entry = failed.current.find(current => current.key === witness.key) ?? await opts.keyValue.get(witness.key);
-    const tookEffect = entry !== undefined && Buffer.compare(entry.value, witness.value) === 0;
+    const entry = failed.current.find(current => current.key === marker.key) ?? await opts.keyValue.get(marker.key);
+    const tookEffect = entry !== undefined && Buffer.compare(entry.value, marker.value) === 0;
     return tookEffect ? { succeeded: true, revision: entry.modRevision, current: [] } : failed;
 }
--- a/batch/segments/src/folderSegmentStore.ts
+++ b/batch/segments/src/folderSegmentStore.ts
@@ -8,7 +8,7 @@
 import { verifySegment } from "./verifySegment.js";
 
 const MAX_SEGMENT_BYTES = 4_000_000;
-const DIGEST = /^[0-9a-f]{64}$/u;
+const DIGEST_PATTERN = /^[0-9a-f]{64}$/u;
 const PARTIAL_SUFFIX = ".partial";
 
 /**
@@ -27,7 +27,7 @@
 
     /** Creates the folder and removes files that an earlier instance had not finished. */
     async prepare(): Promise<void> {
-        await this.makeFolder(this.folder);
+        await this.createFolder(this.folder);
         const names = await readdir(this.folder, { recursive: true });
         await Promise.all(
             names.filter(name => name.endsWith(PARTIAL_SUFFIX)).map(name => rm(path.join(this.folder, name))),
@@ -36,10 +36,10 @@
 
     async put(bytes: Uint8Array): Promise<SegmentDigest> {
         const digest = digestOf(bytes);
-        const file = this.fileOf(digest);
+        const file = this.pathOf(digest);
         const partial = `${file}.${process.pid}.${this.partialCount++}${PARTIAL_SUFFIX}`;
         try {
-            await this.makeFolder(path.dirname(file));
+            await this.createFolder(path.dirname(file));
             await writeSynced(partial, bytes);
             await rename(partial, file);
             await syncFolder(path.dirname(file));
@@ -57,7 +57,7 @@
 
     /** Removes a copy that does not match its digest, so that a repair replaces it. */
     async get(digest: SegmentDigest): Promise<Uint8Array> {
-        const bytes = await readFile(this.fileOf(digest)).catch(() => {
+        const bytes = await readFile(this.pathOf(digest)).catch(() => {
             throw segmentNotFoundError(digest);
         });
         try {
@@ -70,7 +70,7 @@
     }
 
     async remove(digest: SegmentDigest): Promise<void> {
-        await rm(this.fileOf(digest), { force: true });
+        await rm(this.pathOf(digest), { force: true });
     }
 
     async repair(digest: SegmentDigest): Promise<number> {
@@ -82,8 +82,8 @@
         const digests = await this.list();
         let removedCount = 0;
         for (const digest of digests.filter(candidate => !referenced.has(candidate))) {
-            const found = await stat(this.fileOf(digest)).catch(() => undefined);
-            if (found !== undefined && found.mtimeMs < beforeMs) {
+            const stats = await stat(this.pathOf(digest)).catch(() => undefined);
+            if (stats !== undefined && stats.mtimeMs < beforeMs) {
                 await this.remove(digest);
                 removedCount += 1;
             }
@@ -94,19 +94,23 @@
     /** Digests of all segments in the folder, shape [segments]. */
     async list(): Promise<SegmentDigest[]> {
         const names = await readdir(this.folder, { recursive: true });
-        return names.map(name => path.basename(name)).filter(name => DIGEST.test(name)) as SegmentDigest[];
+        return names.map(name => path.basename(name)).filter(name => DIGEST_PATTERN.test(name)) as SegmentDigest[];
     }
 
     /** A new folder lasts only once its parent is synced. */
-    private async makeFolder(folder: string): Promise<void> {
-        const firstMade = await mkdir(folder, { recursive: true });
-        for (let made = folder; firstMade !== undefined && made.length >= firstMade.length; made = path.dirname(made)) {
-            await syncFolder(path.dirname(made));
+    private async createFolder(folder: string): Promise<void> {
+        const firstCreated = await mkdir(folder, { recursive: true });
+        for (
+            let created = folder;
+            firstCreated !== undefined && created.length >= firstCreated.length;
+            created = path.dirname(created)
+        ) {
+            await syncFolder(path.dirname(created));
         }
     }
 
-    private fileOf(digest: SegmentDigest): string {
-        if (!DIGEST.test(digest)) {
+    private pathOf(digest: SegmentDigest): string {
+        if (!DIGEST_PATTERN.test(digest)) {
             throw new KnapweedError("SEGMENT_DIGEST_INVALID", "Not a segment digest", { statusCode: 400 });
         }
         return path.join(this.folder, digest.slice(0, 2), digest);
--- a/batch/segments/src/replicatedSegmentStore.ts
+++ b/batch/segments/src/replicatedSegmentStore.ts
@@ -43,7 +43,7 @@
 
     async put(bytes: Uint8Array): Promise<SegmentDigest> {
         const digest = digestOf(bytes);
-        const copies = await this.spread(digest, bytes, []);
+        const copies = await this.replicate(digest, bytes, []);
         if (copies < this.copyCount) {
             throw new KnapweedError("SEGMENT_NOT_KEPT", `Segment ${digest} has ${copies} of ${this.copyCount} copies`, {
                 hint: "Instances with a data folder must live in two availability zones",
@@ -55,7 +55,7 @@
     }
 
     async get(digest: SegmentDigest): Promise<Uint8Array> {
-        for (const holder of this.ranked(digest)) {
+        for (const holder of this.rankedHolders(digest)) {
             const bytes = await this.readFrom(holder, digest);
             if (bytes !== undefined) {
                 return bytes;
@@ -78,35 +78,35 @@
 
     async repair(digest: SegmentDigest): Promise<number> {
         const held = await Promise.all(
-            this.ranked(digest).map(async holder => ({ holder, held: await this.isHeldBy(holder, digest) })),
+            this.rankedHolders(digest).map(async holder => ({ holder, held: await this.hasCopy(holder, digest) })),
         );
         const holders = held.filter(copy => copy.held).map(copy => copy.holder);
         const zoneCount = new Set(holders.map(holder => holder.zone)).size;
         if (zoneCount >= this.copyCount || holders.length === 0) {
             return zoneCount;
         }
-        return await this.spread(digest, await this.get(digest), holders);
+        return await this.replicate(digest, await this.get(digest), holders);
     }
 
     /** Writes copies until enough zones hold one. @returns the number of zones */
-    private async spread(digest: SegmentDigest, bytes: Uint8Array, holders: SegmentHolder[]): Promise<number> {
+    private async replicate(digest: SegmentDigest, bytes: Uint8Array, holders: SegmentHolder[]): Promise<number> {
         const zones = new Set<string>(holders.map(holder => holder.zone));
-        let candidates = this.ranked(digest);
+        let candidates = this.rankedHolders(digest);
         while (zones.size < this.copyCount) {
             const chosen = distinctZones(candidates.filter(holder => !zones.has(holder.zone)))
                 .slice(0, this.copyCount - zones.size);
             if (chosen.length === 0) {
                 break;
             }
-            const kept = await Promise.all(chosen.map(holder => this.writeTo(holder, digest, bytes)));
-            chosen.filter((_, index) => kept[index]).forEach(holder => zones.add(holder.zone));
+            const stored = await Promise.all(chosen.map(holder => this.writeTo(holder, digest, bytes)));
+            chosen.filter((_, index) => stored[index]).forEach(holder => zones.add(holder.zone));
             candidates = candidates.filter(holder => !chosen.includes(holder));
         }
         return zones.size;
     }
 
     /** Holders, this instance first, then by rendezvous rank. */
-    private ranked(digest: SegmentDigest): SegmentHolder[] {
+    private rankedHolders(digest: SegmentDigest): SegmentHolder[] {
         const holders = this.opts.holders();
         const order = rendezvousRank(digest, holders.map(holder => holder.instanceId));
         return holders.toSorted((left, right) => this.rankOf(order, left) - this.rankOf(order, right));
@@ -122,10 +122,10 @@
 
     private async writeTo(holder: SegmentHolder, digest: SegmentDigest, bytes: Uint8Array): Promise<boolean> {
         try {
-            const kept = this.isLocal(holder)
+            const storedDigest = this.isLocal(holder)
                 ? await this.opts.local?.put(bytes)
                 : (await this.call(holder, putSegmentCall, { bytes })).digest;
-            return kept === digest;
+            return storedDigest === digest;
         }
         catch {
             return false;
@@ -144,7 +144,7 @@
         }
     }
 
-    private async isHeldBy(holder: SegmentHolder, digest: SegmentDigest): Promise<boolean> {
+    private async hasCopy(holder: SegmentHolder, digest: SegmentDigest): Promise<boolean> {
         if (this.isLocal(holder)) {
             return await this.readFrom(holder, digest) !== undefined;
         }
--- a/batch/segments/src/writeLineSegments.ts
+++ b/batch/segments/src/writeLineSegments.ts
@@ -29,7 +29,7 @@
             const joined = Buffer.concat(pending);
             const end = joined.lastIndexOf(NEW_LINE, store.maxSegmentBytes - 1) + 1;
             if (end === 0) {
-                throw lineTooLong(store.maxSegmentBytes);
+                throw lineTooLongError(store.maxSegmentBytes);
             }
             await flush(joined.subarray(0, end));
             pending = [joined.subarray(end)];
@@ -42,7 +42,7 @@
     return segments;
 }
 
-function lineTooLong(maxBytes: number): KnapweedError {
+function lineTooLongError(maxBytes: number): KnapweedError {
     return new KnapweedError("LINE_TOO_LONG", `A line is longer than ${maxBytes} bytes`, {
         statusCode: 413,
         outcome: "not-run",
--- a/batch/segments/test/folderSegmentStore.test.ts
+++ b/batch/segments/test/folderSegmentStore.test.ts
@@ -15,14 +15,14 @@
     return { store, dataFolder };
 }
 
-const fileOf = (dataFolder: string, digest: string) => path.join(dataFolder, "segments", digest.slice(0, 2), digest);
+const pathOf = (dataFolder: string, digest: string) => path.join(dataFolder, "segments", digest.slice(0, 2), digest);
 
 test("a torn segment is detected, not served, and written anew", async context => {
     const { store, dataFolder } = await createStore(context);
     const bytes = Buffer.from("a line\nanother line\n");
     const digest = await store.put(bytes);
     assert.deepEqual(await store.get(digest), bytes);
-    await truncate(fileOf(dataFolder, digest), 3);
+    await truncate(pathOf(dataFolder, digest), 3);
     await assert.rejects(store.get(digest), { code: "ERR_KNAPWEED_SEGMENT_CORRUPT" });
     await assert.rejects(store.get(digest), { code: "ERR_KNAPWEED_SEGMENT_NOT_FOUND" });
     await store.put(bytes);
@@ -32,11 +32,11 @@
 test("a folder of an earlier instance is served and cleared of unfinished files", async context => {
     const { store, dataFolder } = await createStore(context);
     const digest = await store.put(Buffer.from("kept"));
-    await writeFile(`${fileOf(dataFolder, digest)}.1.0.partial`, "half");
+    await writeFile(`${pathOf(dataFolder, digest)}.1.0.partial`, "half");
     const next = new FolderSegmentStore({ dataFolder });
     await next.prepare();
     assert.equal(Buffer.from(await next.get(digest)).toString(), "kept");
-    assert.deepEqual(await readdir(path.dirname(fileOf(dataFolder, digest))), [digest]);
+    assert.deepEqual(await readdir(path.dirname(pathOf(dataFolder, digest))), [digest]);
 });
 
 test("a folder that can't be written to gives a typed error", async context => {
