--- a/batch/claims/src/claimCall.ts
+++ b/batch/claims/src/claimCall.ts
@@ -3,7 +3,7 @@
 import type { ClaimResult } from "./claimResult.js";
 import type { ClaimToken } from "./claimToken.js";
 
-/** Asks the owner of a shard for a claim; one frame. Sent again with the same token, it gives the same answer. */
+/** Requests a claim from the owner of a shard. Yields one frame. A repeat with the same token yields the same result. */
 export const claimCall = defineCall<
     { token: ClaimToken; requestDigest: string; timeoutMs: number; executor: InstanceId; },
     ClaimResult
--- a/batch/claims/src/claimLog.ts
+++ b/batch/claims/src/claimLog.ts
@@ -33,11 +33,11 @@
     keyValue: KeyValueService;
     clock: Clock;
     random: Random;
-    /** Proof of ownership; undefined while this instance may not commit. */
+    /** Returns the partition that proves ownership; undefined while this instance must not commit. */
     ownedPartition: () => OwnedPartition | undefined;
 }
 
-/** The log of a shard of claims: pages in the key-value service, appended under the owner's fencing number. */
+/** Log of a shard of claims, as pages in the key-value service. Appends use the owner's fencing number. */
 export class ClaimLog {
     private readonly opts: ClaimLogOptions;
     private readonly prefix: string;
@@ -48,7 +48,7 @@
         this.prefix = `/claims/log/${opts.shardId}/`;
     }
 
-    /** Reads all pages. @returns the entries in order, shape [entries] */
+    /** Reads all pages. @returns the entries in log order, shape [entries] */
     async load(): Promise<ClaimLogEntry[]> {
         const pages: LogPage[] = [];
         let afterKey: string | undefined;
@@ -78,27 +78,31 @@
         return true;
     }
 
-    /** Merges small pages into one, without what later entries have replaced, and removes expired pages. */
+    /** Merges small pages into one, drops entries that later entries replaced, and removes expired pages. */
     async compact(table: ClaimTable, expiredBeforeMs: number): Promise<void> {
         const expired = this.pages.filter(page => page.entries.every(entry => entry.atMs < expiredBeforeMs));
         const firstSmall = this.pages.findLastIndex(page => page.sizeBytes > SMALL_PAGE_BYTES) + 1;
         const small = this.pages.slice(firstSmall).filter(page => !expired.includes(page));
-        const merged = small.length < MIN_PAGES_TO_MERGE ? [] : leadingPagesThatFit(small);
-        if (merged.length + expired.length === 0) {
+        const pagesToMerge = small.length < MIN_PAGES_TO_MERGE ? [] : leadingPagesThatFit(small);
+        if (pagesToMerge.length + expired.length === 0) {
             return;
         }
-        const kept = merged.slice(0, 1).map(page => {
-            const entries = merged.flatMap(other => other.entries).filter(entry => table.isCurrent(entry));
+        const mergedPages = pagesToMerge.slice(0, 1).map(page => {
+            const entries = pagesToMerge.flatMap(other => other.entries).filter(entry => table.isCurrent(entry));
             return { sequenceNumber: page.sequenceNumber, entries, value: this.encode(entries) };
         });
-        const removed = [...expired, ...merged.slice(1)];
+        const removed = [...expired, ...pagesToMerge.slice(1)];
         const operations: KeyValueOperation[] = [
-            ...kept.map(page => ({ kind: "put" as const, key: this.keyOf(page.sequenceNumber), value: page.value })),
+            ...mergedPages.map(page => ({
+                kind: "put" as const,
+                key: this.keyOf(page.sequenceNumber),
+                value: page.value,
+            })),
             ...removed.map(page => ({ kind: "delete" as const, key: this.keyOf(page.sequenceNumber) })),
         ];
         if (await this.commit(operations)) {
-            const rest = this.pages.filter(page => !removed.includes(page) && !merged.includes(page));
-            this.pages = [...rest, ...kept.map(page => ({ ...page, sizeBytes: page.value.length }))]
+            const rest = this.pages.filter(page => !removed.includes(page) && !pagesToMerge.includes(page));
+            this.pages = [...rest, ...mergedPages.map(page => ({ ...page, sizeBytes: page.value.length }))]
                 .sort((left, right) => left.sequenceNumber - right.sequenceNumber);
         }
     }
--- a/batch/claims/src/claimLogEntry.ts
+++ b/batch/claims/src/claimLogEntry.ts
@@ -1,7 +1,7 @@
 import type { InstanceId } from "@knapweedwood/core.ids/instanceId";
 import type { StoredResponse } from "./storedResponse.js";
 
-/** One change in the log of a shard of claims. */
+/** Entry in the log of a shard of claims. Times are milliseconds since the Unix epoch. */
 export type ClaimLogEntry =
     | {
         kind: "claimed";
--- a/batch/claims/src/claimResult.ts
+++ b/batch/claims/src/claimResult.ts
@@ -1,12 +1,12 @@
 import type { ClaimToken } from "./claimToken.js";
 import type { RecordedResponse } from "./recordedResponse.js";
 
-/** What became of a claim. Only `granted` allows the call to be sent, once. */
+/** Result of a claim. Only `granted` allows the call to be sent, and only once. */
 export type ClaimResult =
     | { kind: "granted"; token: ClaimToken; }
     | { kind: "recorded"; answer: RecordedResponse; }
     | { kind: "in-progress"; }
-    /** The call was begun, and its outcome can't be known (yet). */
+    /** The call was started, but its outcome can't be determined, or not yet. */
     | { kind: "unknown"; }
-    /** The key belongs to a call with another digest. */
+    /** The idempotency key belongs to a request with another digest. */
     | { kind: "conflict"; };
--- a/batch/claims/src/claimService.ts
+++ b/batch/claims/src/claimService.ts
@@ -31,7 +31,7 @@
 const SHARD_HASH_DIGITS = 8;
 const HEX_RADIX = 16;
 
-/** At-most-once claims of calls that may not be repeated, from any entry instance. */
+/** Grants at-most-once claims on calls that must not be repeated. Any entry instance can make a claim. */
 export class ClaimService {
     private readonly opts: ClaimServiceOptions;
     private readonly ownership: PartitionOwnership;
@@ -78,7 +78,8 @@
     }
 
     /**
-     * Claims a call before it is sent. Throws `CLAIM_UNAVAILABLE` (`not-run`) where no claim can be decided now.
+     * Claims a call before it is sent. Rejects with `CLAIM_UNAVAILABLE` (outcome `not-run`) if no decision can be made
+     * now.
      */
     async claim(request: ClaimRequest): Promise<ClaimResult> {
         const token = this.createToken(request);
@@ -96,9 +97,9 @@
             return result;
         }
         catch (error) {
-            // An attempt may have been committed all the same: the call is not sent, so the claim is given back.
+            // An attempt may still have been committed. The call is not sent, so the claim is released.
             void this.release(token).catch(() => undefined);
-            throw new KnapweedError("CLAIM_UNAVAILABLE", "The claim of the call could not be decided", {
+            throw new KnapweedError("CLAIM_UNAVAILABLE", "Could not get a decision on the claim of this call", {
                 cause: error,
                 outcome: "not-run",
                 statusCode: 503,
@@ -107,7 +108,7 @@
         }
     }
 
-    /** Records the answer of a claimed call; resolves once a resend will get it. */
+    /** Records the response of a claimed call. Resolves once a repeated request will receive it. */
     async record(token: ClaimToken, response: RecordedResponse): Promise<void> {
         await this.callWithRetries(
             RECORD_RETRY_TIMEOUT_MS,
@@ -119,14 +120,14 @@
         );
     }
 
-    /** Gives a claim back. Only for a call that provably did not run. */
+    /** Releases a claim. Only for a call that provably did not run. */
     async release(token: ClaimToken): Promise<void> {
         await this.callWithRetries(RECORD_RETRY_TIMEOUT_MS, releaseClaimCall, { token }, async shard => ({
             released: await shard.release(token),
         }));
     }
 
-    /** Asks the owner of the shard, wherever it is, until it answers or patience ends. */
+    /** Calls the owner of the shard, local or remote, and retries until a call succeeds or `retryTimeoutMs` is over. */
     private async callWithRetries<Request extends { token: ClaimToken; }, Frame>(
         retryTimeoutMs: number,
         definition: CallDefinition<Request, Frame>,
@@ -192,7 +193,7 @@
         });
         this.shards.set(shardId, shard);
         shard.load().catch((error: unknown) => {
-            this.opts.logger.warn("claims not read", { shardId, code: toKnapweedError(error).code });
+            this.opts.logger.warn("claims-read-failed", { shardId, code: toKnapweedError(error).code });
         });
     }
 
--- a/batch/claims/src/claimServiceOptions.ts
+++ b/batch/claims/src/claimServiceOptions.ts
@@ -11,22 +11,22 @@
 /** Options of {@link ClaimService}. */
 export interface ClaimServiceOptions {
     instanceId: InstanceId;
-    /** Where this instance accepts links, as `host:port`. */
+    /** Address at which this instance accepts links, as `host:port`. */
     address: () => string;
     endpoint: LinkEndpoint;
     keyValue: KeyValueService;
     instanceList: InstanceList;
-    /** Keeps answers that are too large for the log. */
+    /** Stores responses that are too large for the log. */
     segmentStore: SegmentStore;
     clock: Clock;
     random: Random;
     logger: Logger;
     metrics: Metrics;
-    /** The same in all entry instances. */
+    /** Number of claim shards. Must be the same in all entry instances. */
     shardCount: number;
-    /** Claim writes per second of the whole fleet; shared out over the shards. */
+    /** Claim writes per second of the whole fleet, divided evenly among the shards. */
     writeBudgetPerSecond?: number;
-    /** How long claims and recorded answers are kept. */
+    /** How long claims and recorded responses are stored, in milliseconds. */
     retentionMs?: number;
     leaseTtlMs?: number;
 }
--- a/batch/claims/src/claimShard.ts
+++ b/batch/claims/src/claimShard.ts
@@ -27,9 +27,9 @@
     clock: Clock;
     random: Random;
     ownedPartition: () => OwnedPartition | undefined;
-    /** Whether an entry instance that sends a call still lives. */
+    /** Whether the entry instance that sends a call is still live. */
     isLive: (executor: InstanceId) => boolean;
-    /** Least time between two writes of this shard. */
+    /** Minimum time between two writes of this shard, in milliseconds. */
     commitIntervalMs: number;
     retentionMs: number;
 }
@@ -41,12 +41,12 @@
     reject: (error: unknown) => void;
 }
 
-/** The owner of one shard of claims: decides on claims and packs many into one write. */
+/** Owner of one shard of claims. Decides on claims and commits many log entries in one write. */
 export class ClaimShard {
     private readonly opts: ClaimShardOptions;
     private readonly log: ClaimLog;
     private table = new ClaimTable();
-    /** Claims that a running write decides, by claim id. */
+    /** Claims whose decision is not committed yet, by claim id. Each promise resolves after the write. */
     private readonly undecidedClaims = new Map<string, Promise<void>>();
     private pending: PendingEntry[] = [];
     private flushing: Promise<void> | undefined;
@@ -58,11 +58,11 @@
         this.log = new ClaimLog(opts);
     }
 
-    /** Reads the shard's log; again where a first time failed. */
+    /** Reads the shard's log once, and again after a failed read or write. */
     async load(): Promise<void> {
         this.loading ??= this.log.load().then(
             entries => {
-                // Compaction tells entries by identity: those of an earlier reading must not stay.
+                // Compaction compares entries by identity, so entries of an earlier read must not remain.
                 this.table = new ClaimTable();
                 entries.forEach(entry => this.table.apply(entry));
             },
@@ -119,7 +119,7 @@
         return { kind: "granted", token: opts.token };
     }
 
-    /** Records an answer under the token that was granted. @returns whether it stands */
+    /** Records a response under the granted token. @returns whether a response is recorded under this token */
     async record(token: ClaimToken, response: RecordedResponse): Promise<boolean> {
         await this.load();
         const current = this.table.find(token.claimId);
@@ -133,6 +133,7 @@
         return await this.append({ kind: "recorded", claimId, tokenId, requestDigest, atMs, answer: stored });
     }
 
+    /** Releases the claim that the token holds. @returns whether the claim no longer exists */
     async release(token: ClaimToken): Promise<boolean> {
         await this.load();
         const current = this.table.find(token.claimId);
@@ -143,7 +144,7 @@
         return await this.append({ kind: "released", claimId, tokenId, atMs: this.opts.clock.nowMs() });
     }
 
-    /** Waits until what was asked is committed. */
+    /** Waits until the pending entries are written; ignores failed writes. */
     async flush(): Promise<void> {
         await this.flushing?.catch(() => undefined);
     }
@@ -183,7 +184,7 @@
             page.forEach(pending => pending.resolve(isCommitted));
         }
         catch (error) {
-            // The page may have been written: what stands is read again before the next decision.
+            // The page may have been written anyway, so the log is read again before the next decision.
             this.loading = undefined;
             page.forEach(pending => pending.reject(error));
         }
@@ -227,7 +228,7 @@
 }
 
 function ownershipLostError(): KnapweedError {
-    return new KnapweedError("CLAIM_SHARD_MOVED", "Another instance owns the shard of the claim", {
+    return new KnapweedError("CLAIM_SHARD_MOVED", "This instance no longer owns the shard of the claim", {
         outcome: "not-run",
         statusCode: 503,
     });
--- a/batch/claims/src/claimTable.ts
+++ b/batch/claims/src/claimTable.ts
@@ -1,12 +1,12 @@
 import type { InstanceId } from "@knapweedwood/core.ids/instanceId";
 import type { ClaimLogEntry } from "./claimLogEntry.js";
 
-/** How long an executor may be missing from the lagging instance list. */
+/** How long after a claim its executor may be missing from the instance list, which lags behind. */
 const EXECUTOR_LISTING_GRACE_MS = 10_000;
 
 type UnreleasedEntry = Exclude<ClaimLogEntry, { kind: "released"; }>;
 
-/** The claims of a shard, as its log tells them. */
+/** Current claims of a shard, built from the entries of its log. */
 export class ClaimTable {
     private readonly claims = new Map<string, UnreleasedEntry>();
 
@@ -14,7 +14,7 @@
         return this.claims.size;
     }
 
-    /** Takes a committed entry in. Entries come in the order of the log. */
+    /** Applies a committed entry. Entries must be applied in log order. */
     apply(entry: ClaimLogEntry): void {
         const current = this.claims.get(entry.claimId);
         if (entry.kind !== "released") {
@@ -32,19 +32,19 @@
         return this.claims.get(claimId);
     }
 
-    /** Whether an entry of the log still says something that a later one does not. */
+    /** Whether no later entry of the log has replaced or released `entry`. */
     isCurrent(entry: ClaimLogEntry): boolean {
         return this.claims.get(entry.claimId) === entry;
     }
 
-    /** Forgets claims made before `beforeMs`. */
+    /** Removes claims whose current entry was made before `beforeMs`, in milliseconds since the Unix epoch. */
     expire(beforeMs: number): void {
         [...this.claims.values()]
             .filter(entry => entry.atMs < beforeMs)
             .forEach(entry => this.claims.delete(entry.claimId));
     }
 
-    /** What a resend learns of a claim that stands. */
+    /** Classifies an existing claim for a repeated request. */
     static classify(
         entry: UnreleasedEntry,
         opts: { requestDigest: string; nowMs: number; isLive: (executor: InstanceId) => boolean; },
--- a/batch/claims/src/recordedResponse.ts
+++ b/batch/claims/src/recordedResponse.ts
@@ -1,4 +1,4 @@
-/** The answer of a claimed call, as it is given again to a resend. */
+/** Response of a claimed call, as it is returned to repeated requests. */
 export interface RecordedResponse {
     statusCode: number;
     headers: { [name: string]: string; };
--- a/batch/claims/src/releaseClaimCall.ts
+++ b/batch/claims/src/releaseClaimCall.ts
@@ -1,5 +1,5 @@
 import { defineCall } from "@knapweedwood/links.calls/defineCall";
 import type { ClaimToken } from "./claimToken.js";
 
-/** Gives back a claim whose call provably did not run; one frame once it is committed. */
+/** Releases a claim whose call provably did not run. Yields one frame once the release is committed. */
 export const releaseClaimCall = defineCall<{ token: ClaimToken; }, { released: boolean; }>("claims.release");
--- a/batch/claims/src/storedResponse.ts
+++ b/batch/claims/src/storedResponse.ts
@@ -1,10 +1,11 @@
 import type { SegmentDigest } from "@knapweedwood/core.ids/segmentDigest";
 
-/** A recorded answer as a claim's log holds it. */
+/** Recorded response, as it is stored in the claim log. */
 export interface StoredResponse {
     statusCode: number;
     headers: { [name: string]: string; };
-    /** Base64; undefined where the body stands in a segment. */
+    /** Body in base64; undefined if the body is stored in a segment. */
     body: string | undefined;
+    /** Digest of the segment that stores the body; undefined if the body is stored here. */
     bodyDigest: SegmentDigest | undefined;
 }
