--- a/batch/records/src/commitTransaction.ts
+++ b/batch/records/src/commitTransaction.ts
@@ -16,41 +16,46 @@
     clock: Clock;
     random: Random;
     compares: KeyValueCompare[];
-    /** The first put is the witness: its value must differ from any other write of that key. */
+    /** The first put is the marker: its value must differ from that of any other write of the same key. */
     operations: KeyValueOperation[];
-    /** How often a write whose answer was lost is settled before the outcome is given up as unknown. */
+    /** How often the transaction is sent while responses are lost, before its outcome is reported as unknown. */
     maxAttempts?: number;
 }
 
 /**
- * Applies a transaction and settles a lost answer by reading: the transaction took effect where the witness key
- * holds the value that was put. Where it did not, the same transaction is sent again, which its comparisons make safe.
+ * Applies a transaction. After a lost response, sends the same transaction again; its comparisons make that safe. If
+ * the repeated transaction fails its comparisons, reads the marker key: an earlier attempt took effect if the key holds
+ * the value that was put.
  *
- * Throws `KEY_VALUE_UNAVAILABLE` (`not-run`) where it provably had no effect, `KEY_VALUE_ANSWER_LOST` (`unknown`)
- * where that could not be settled.
+ * Rejects with `KEY_VALUE_UNAVAILABLE` (outcome `not-run`) if the transaction provably had no effect, and with
+ * `KEY_VALUE_ANSWER_LOST` (outcome `unknown`) if that could not be determined.
  */
 export async function commitTransaction(opts: CommitOptions): Promise<TransactionResult> {
-    let lostResponse: KnapweedError | undefined;
+    let lostResponseError: KnapweedError | undefined;
     const maxAttempts = opts.maxAttempts ?? DEFAULT_MAX_ATTEMPTS;
     for (let attempt = 0; attempt < maxAttempts; attempt++) {
         try {
             const result = await opts.keyValue.transact(opts.compares, opts.operations);
-            return result.succeeded || lostResponse === undefined ? result : await checkEarlierAttempt(opts, result);
+            return result.succeeded || lostResponseError === undefined
+                ? result
+                : await checkEarlierAttempt(opts, result);
         }
         catch (error) {
-            if (!(error instanceof KnapweedError) || (error.outcome !== "unknown" && lostResponse === undefined)) {
+            if (!(error instanceof KnapweedError) || (error.outcome !== "unknown" && lostResponseError === undefined)) {
                 throw error;
             }
-            lostResponse = error.outcome === "unknown" ? error : lostResponse;
+            lostResponseError = error.outcome === "unknown" ? error : lostResponseError;
         }
         const maxDelayMs = Math.min(MAX_RETRY_DELAY_MS, RETRY_DELAY_MS * 2 ** attempt);
         await sleep(opts.clock, maxDelayMs * (0.5 + opts.random.next() / 2));
     }
-    throw lostResponse
-        ?? new KnapweedError("KEY_VALUE_ANSWER_LOST", "The write could not be settled", { outcome: "unknown" });
+    throw lostResponseError
+        ?? new KnapweedError("KEY_VALUE_ANSWER_LOST", "Could not determine whether the write took effect", {
+            outcome: "unknown",
+        });
 }
 
-/** A repeated transaction failed its comparisons: perhaps because the first one had taken effect. */
+/** Checks whether a repeated transaction failed its comparisons because an earlier attempt had taken effect. */
 async function checkEarlierAttempt(opts: CommitOptions, failed: TransactionResult): Promise<TransactionResult> {
     const marker = opts.operations.find(operation => operation.kind === "put");
     if (marker === undefined || marker.kind !== "put") {
--- a/batch/records/src/decodeRecord.ts
+++ b/batch/records/src/decodeRecord.ts
@@ -1,4 +1,4 @@
-/** The record in `bytes`, as {@link encodeRecord} wrote it. */
+/** Returns the record that {@link encodeRecord} encoded as `bytes`. */
 export function decodeRecord<Value>(bytes: Uint8Array): Value {
     return JSON.parse(Buffer.from(bytes).toString("utf8")) as Value;
 }
--- a/batch/records/src/listRecords.ts
+++ b/batch/records/src/listRecords.ts
@@ -5,7 +5,7 @@
 
 const PAGE_SIZE_ENTRIES = 500;
 
-/** All records under `prefix`, read page by page, shape [records]. */
+/** Returns all records under `prefix`, read page by page, shape [records]. */
 export async function listRecords<Value>(keyValue: KeyValueService, prefix: string): Promise<StoredRecord<Value>[]> {
     const entries: KeyValueEntry[] = [];
     let page: KeyValueEntry[];
--- a/batch/records/src/readRecord.ts
+++ b/batch/records/src/readRecord.ts
@@ -2,7 +2,7 @@
 import { decodeRecord } from "./decodeRecord.js";
 import type { StoredRecord } from "./storedRecord.js";
 
-/** Reads one record; undefined where the key is absent. */
+/** Returns the record at `key`, or undefined if the key is absent. */
 export async function readRecord<Value>(
     keyValue: KeyValueService,
     key: string,
--- a/batch/records/src/storedRecord.ts
+++ b/batch/records/src/storedRecord.ts
@@ -1,4 +1,4 @@
-/** A record as it was read, with the revision that a compare-and-swap expects. */
+/** Record read from the key-value service, with the revision that a compare-and-swap expects. */
 export interface StoredRecord<Value> {
     key: string;
     value: Value;
