--- a/batch/items/src/batchItem.ts
+++ b/batch/items/src/batchItem.ts
@@ -6,11 +6,11 @@
 import type { JsonObject } from "@knapweedwood/engines.model-engine/jsonObject";
 import type { ResumePoint } from "@knapweedwood/engines.model-engine/resumePoint";
 
-/** One item of a batch job, on its way to an upstream. */
+/** Item of a batch job, as it is sent to an upstream. */
 export interface BatchItem {
     jobId: JobId;
     itemIndex: ItemIndex;
-    /** Counts from 1. A result is accepted for the current attempt only. */
+    /** Number of the attempt, starting at 1. Results are accepted only for the current attempt. */
     attempt: number;
     teamId: TeamId;
     service: ServiceName;
--- a/batch/items/src/batchResult.ts
+++ b/batch/items/src/batchResult.ts
@@ -3,14 +3,14 @@
 import type { JsonObject } from "@knapweedwood/engines.model-engine/jsonObject";
 import type { ResumePoint } from "@knapweedwood/engines.model-engine/resumePoint";
 
-/** What became of one attempt at an item. */
+/** Result of one attempt at an item. */
 export interface BatchResult {
     jobId: JobId;
     itemIndex: ItemIndex;
     attempt: number;
     outcome:
         | { kind: "completed"; statusCode: number; body: JsonObject; }
-        /** The upstream answered that the item itself is wrong (status 4xx): final. */
+        /** The upstream rejected the item itself with a 4xx status. This result is final. */
         | { kind: "rejected"; statusCode: number; code: string; message: string; }
         /** The attempt failed; `blame` says whether the item or the instance is suspected. */
         | {
@@ -21,6 +21,6 @@
             /** Whether the upstream may have run the item. */
             mayHaveRun: boolean;
         }
-        /** Not finished here and given back, with what was produced. */
+        /** The item was returned unfinished, with the output produced so far. */
         | { kind: "returned"; resumeFrom?: ResumePoint; };
 }
--- a/batch/items/src/batchSource.ts
+++ b/batch/items/src/batchSource.ts
@@ -1,10 +1,10 @@
 import type { BatchItem } from "./batchItem.js";
 import type { BatchResult } from "./batchResult.js";
 
-/** Where a gate gets batch items from. */
+/** Source of batch items for a gate. */
 export interface BatchSource {
-    /** Asks for up to `count` items. @returns the items, shape [0..count] */
+    /** Requests up to `count` items. @returns the items, shape [0..count] */
     pull(count: number): Promise<BatchItem[]>;
-    /** Reports results; resolves once an owner has taken them, or they can't matter any more. */
+    /** Reports results. Resolves once an owner has accepted them, or once they are no longer needed. */
     report(results: BatchResult[]): Promise<void>;
 }
--- a/batch/items/src/cancelJobNotification.ts
+++ b/batch/items/src/cancelJobNotification.ts
@@ -1,5 +1,5 @@
 import type { JobId } from "@knapweedwood/core.ids/jobId";
 import { defineNotification } from "@knapweedwood/links.calls/defineNotification";
 
-/** Tells gates to stop all items of a job. */
+/** Notifies gates to stop all items of a job. */
 export const cancelJobNotification = defineNotification<{ jobId: JobId; }>("batch.cancel-job");
--- a/batch/items/src/heldItem.ts
+++ b/batch/items/src/heldItem.ts
@@ -1,7 +1,7 @@
 import type { ItemIndex } from "@knapweedwood/core.ids/itemIndex";
 import type { JobId } from "@knapweedwood/core.ids/jobId";
 
-/** An item that a gate has and whose result no owner has taken yet. */
+/** Item that a gate holds and whose result no owner has accepted yet. */
 export interface HeldItem {
     jobId: JobId;
     itemIndex: ItemIndex;
--- a/batch/items/src/pullItemsRequest.ts
+++ b/batch/items/src/pullItemsRequest.ts
@@ -1,14 +1,14 @@
 import type { ServiceName } from "@knapweedwood/core.ids/serviceName";
 import type { HeldItem } from "./heldItem.js";
 
-/** A gate's request for batch items. */
+/** Request of a gate for batch items. */
 export interface PullItemsRequest {
     service: ServiceName;
     count: number;
-    /** Counts this gate's pulls from this entry, from 1; a repeated request has the same number. */
+    /** Number of this gate's pull from this entry, starting at 1. A repeated request has the same number. */
     pullNumber?: number;
-    /** The last pull whose answer has arrived; the items of a later one go back to the queue. */
+    /** Number of the last pull whose response has arrived. Items of later pulls return to the queue. */
     receivedNumber?: number;
-    /** What the gate has of any owner, so that a new owner doesn't hand it out again. */
+    /** Items that the gate holds from any owner, so that a new owner does not hand them out again. */
     held?: HeldItem[];
 }
--- a/batch/items/src/reportResultsCall.ts
+++ b/batch/items/src/reportResultsCall.ts
@@ -1,5 +1,5 @@
 import { defineCall } from "@knapweedwood/links.calls/defineCall";
 import type { BatchResult } from "./batchResult.js";
 
-/** A gate reports results to the owner of their partition; one frame once they are taken. */
+/** Reports results of a gate to the owner of their partition. Yields one frame once they are accepted. */
 export const reportResultsCall = defineCall<{ results: BatchResult[]; }, { taken: number; }>("batch.report-results");
