--- a/batch/segments/src/folderSegmentStore.ts
+++ b/batch/segments/src/folderSegmentStore.ts
@@ -12,8 +12,8 @@
 const PARTIAL_SUFFIX = ".partial";
 
 /**
- * Keeps segments as files below a data folder, synced before they are acknowledged. Files of an earlier instance at
- * the same folder are served as well: each read is checked against its digest.
+ * Stores segments as files in a data folder and syncs them before acknowledging them. Files that an earlier instance
+ * left in the same folder are served too, because each read is checked against the digest.
  */
 export class FolderSegmentStore implements SegmentStore {
     readonly maxSegmentBytes = MAX_SEGMENT_BYTES;
@@ -25,7 +25,7 @@
         this.folder = path.join(opts.dataFolder, "segments");
     }
 
-    /** Creates the folder and removes files that an earlier instance had not finished. */
+    /** Creates the folder and removes files that an earlier instance did not finish writing. */
     async prepare(): Promise<void> {
         await this.createFolder(this.folder);
         const names = await readdir(this.folder, { recursive: true });
@@ -55,7 +55,7 @@
         return digest;
     }
 
-    /** Removes a copy that does not match its digest, so that a repair replaces it. */
+    /** Returns the segment. Removes a copy that does not match its digest, so that a repair replaces it. */
     async get(digest: SegmentDigest): Promise<Uint8Array> {
         const bytes = await readFile(this.pathOf(digest)).catch(() => {
             throw segmentNotFoundError(digest);
@@ -77,7 +77,7 @@
         return await this.get(digest).then(() => 1, () => 0);
     }
 
-    /** Removes segments that are not in `referenced` and were written before `beforeMs`. @returns how many */
+    /** Removes segments that are not in `referenced` and were written before `beforeMs`. @returns the number removed */
     async removeUnreferenced(referenced: ReadonlySet<SegmentDigest>, beforeMs: number): Promise<number> {
         const digests = await this.list();
         let removedCount = 0;
@@ -91,13 +91,13 @@
         return removedCount;
     }
 
-    /** Digests of all segments in the folder, shape [segments]. */
+    /** Returns the digests of all segments in the folder, shape [segments]. */
     async list(): Promise<SegmentDigest[]> {
         const names = await readdir(this.folder, { recursive: true });
         return names.map(name => path.basename(name)).filter(name => DIGEST_PATTERN.test(name)) as SegmentDigest[];
     }
 
-    /** A new folder lasts only once its parent is synced. */
+    /** Creates a folder and syncs the parent of each new folder, because a new folder is durable only after that. */
     private async createFolder(folder: string): Promise<void> {
         const firstCreated = await mkdir(folder, { recursive: true });
         for (
--- a/batch/segments/src/keyValueSegmentStore.ts
+++ b/batch/segments/src/keyValueSegmentStore.ts
@@ -10,10 +10,10 @@
 import { verifySegment } from "./verifySegment.js";
 
 const KEY_PREFIX = "/batch/segments/";
-/** A value holds up to 1 MB; the rest is left for the transaction around it. */
+/** A value holds up to 1 MB. The rest is reserved for the transaction that contains it. */
 const MAX_SEGMENT_BYTES = 900_000;
 
-/** Keeps segments in the key-value service, for deployments without a data folder. */
+/** Stores segments in the key-value service, for deployments without a data folder. */
 export class KeyValueSegmentStore implements SegmentStore {
     readonly maxSegmentBytes = MAX_SEGMENT_BYTES;
     readonly copyCount = 1;
--- a/batch/segments/src/registerSegmentHandlers.ts
+++ b/batch/segments/src/registerSegmentHandlers.ts
@@ -6,7 +6,10 @@
 import { removeSegmentCall } from "./removeSegmentCall.js";
 import type { SegmentStore } from "./segmentStore.js";
 
-/** Lets other entry instances keep copies in this instance's data folder. Sides are refused. */
+/**
+ * Registers the call handlers through which other entry instances store, read and remove copies in this instance's data
+ * folder. Calls from sides are rejected.
+ */
 export function registerSegmentHandlers(opts: { endpoint: LinkEndpoint; store: SegmentStore; }): void {
     const { endpoint, store } = opts;
     endpoint.handle(putSegmentCall, async function*(request, context) {
@@ -30,6 +33,8 @@
 
 function requireEntry(kind: string): void {
     if (kind !== "entry") {
-        throw new KnapweedError("SEGMENT_ACCESS_DENIED", "Only entry instances keep segments", { outcome: "not-run" });
+        throw new KnapweedError("SEGMENT_ACCESS_DENIED", "Only entry instances may access segments", {
+            outcome: "not-run",
+        });
     }
 }
--- a/batch/segments/src/replicatedSegmentStore.ts
+++ b/batch/segments/src/replicatedSegmentStore.ts
@@ -22,15 +22,15 @@
 interface ReplicatedSegmentStoreOptions {
     instanceId: InstanceId;
     endpoint: LinkEndpoint;
-    /** The store on this instance's own data folder; undefined where it has none. */
+    /** Store in this instance's own data folder; undefined if it has none. */
     local: SegmentStore | undefined;
-    /** Live instances with a data folder, this one among them where it has one. */
+    /** Returns the live instances with a data folder, including this one if it has one. */
     holders: () => SegmentHolder[];
-    /** Copies, each in a zone of its own, that an acknowledgement waits for. */
+    /** Number of copies, each in a different zone, that are stored before a segment is acknowledged. */
     copyCount?: number;
 }
 
-/** Keeps each segment in two synced copies in two availability zones. */
+/** Stores each segment as synced copies in different availability zones, two by default. */
 export class ReplicatedSegmentStore implements SegmentStore {
     readonly maxSegmentBytes = MAX_SEGMENT_BYTES;
     private readonly opts: ReplicatedSegmentStoreOptions;
@@ -45,11 +45,15 @@
         const digest = digestOf(bytes);
         const copies = await this.replicate(digest, bytes, []);
         if (copies < this.copyCount) {
-            throw new KnapweedError("SEGMENT_NOT_KEPT", `Segment ${digest} has ${copies} of ${this.copyCount} copies`, {
-                hint: "Instances with a data folder must live in two availability zones",
-                outcome: "not-run",
-                statusCode: 503,
-            });
+            throw new KnapweedError(
+                "SEGMENT_NOT_KEPT",
+                `Segment ${digest} has only ${copies} of ${this.copyCount} copies`,
+                {
+                    hint: "Run instances with a data folder in at least two availability zones",
+                    outcome: "not-run",
+                    statusCode: 503,
+                },
+            );
         }
         return digest;
     }
@@ -88,7 +92,7 @@
         return await this.replicate(digest, await this.get(digest), holders);
     }
 
-    /** Writes copies until enough zones hold one. @returns the number of zones */
+    /** Writes copies until enough zones have one. @returns the number of zones with a copy */
     private async replicate(digest: SegmentDigest, bytes: Uint8Array, holders: SegmentHolder[]): Promise<number> {
         const zones = new Set<string>(holders.map(holder => holder.zone));
         let candidates = this.rankedHolders(digest);
@@ -105,7 +109,7 @@
         return zones.size;
     }
 
-    /** Holders, this instance first, then by rendezvous rank. */
+    /** Returns the holders: this instance first, then the others by rendezvous rank. */
     private rankedHolders(digest: SegmentDigest): SegmentHolder[] {
         const holders = this.opts.holders();
         const order = rendezvousRank(digest, holders.map(holder => holder.instanceId));
--- a/batch/segments/src/segmentNotFoundError.ts
+++ b/batch/segments/src/segmentNotFoundError.ts
@@ -1,7 +1,7 @@
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 import type { SegmentDigest } from "@knapweedwood/core.ids/segmentDigest";
 
-/** The error for a segment that has no copy here. */
+/** Returns the error for a segment without a copy. */
 export function segmentNotFoundError(digest: SegmentDigest): KnapweedError {
-    return new KnapweedError("SEGMENT_NOT_FOUND", `Segment ${digest} has no copy here`, { statusCode: 503 });
+    return new KnapweedError("SEGMENT_NOT_FOUND", `No copy of segment ${digest} was found`, { statusCode: 503 });
 }
--- a/batch/segments/src/segmentReference.ts
+++ b/batch/segments/src/segmentReference.ts
@@ -1,9 +1,9 @@
 import type { SegmentDigest } from "@knapweedwood/core.ids/segmentDigest";
 
-/** A segment of a file, in records. */
+/** Reference to a segment of a file, as stored in records. */
 export interface SegmentReference {
     digest: SegmentDigest;
     sizeBytes: number;
-    /** Lines that end in this segment. */
+    /** Number of lines that end in this segment. */
     lineCount: number;
 }
--- a/batch/segments/src/segmentStore.ts
+++ b/batch/segments/src/segmentStore.ts
@@ -1,17 +1,17 @@
 import type { SegmentDigest } from "@knapweedwood/core.ids/segmentDigest";
 
-/** Keeps immutable segments under their digest. */
+/** Stores immutable segments by their digest. */
 export interface SegmentStore {
-    /** The largest segment that the store takes, in bytes. */
+    /** Largest segment that the store accepts, in bytes. */
     readonly maxSegmentBytes: number;
-    /** Copies, each in a zone of its own, that an acknowledged segment has. */
+    /** Number of copies of an acknowledged segment, each in a different zone. */
     readonly copyCount: number;
-    /** Resolves once the segment is kept as safely as this store can; throws `SEGMENT_NOT_KEPT` where it can't. */
+    /** Resolves once the segment is stored as safely as this store can. Rejects with `SEGMENT_NOT_KEPT` on failure. */
     put(bytes: Uint8Array): Promise<SegmentDigest>;
-    /** Throws `SEGMENT_NOT_FOUND`, or `SEGMENT_CORRUPT` where no copy matches the digest. */
+    /** Rejects with `SEGMENT_NOT_FOUND`, or with `SEGMENT_CORRUPT` if no copy matches the digest. */
     get(digest: SegmentDigest): Promise<Uint8Array>;
-    /** Removes the segment; has no effect where it is absent. */
+    /** Removes the segment. Has no effect if it is absent. */
     remove(digest: SegmentDigest): Promise<void>;
-    /** Makes up for lost copies. @returns the number of copies after it */
+    /** Replaces lost copies. @returns the number of copies afterwards */
     repair(digest: SegmentDigest): Promise<number>;
 }
--- a/batch/segments/src/writeLineSegments.ts
+++ b/batch/segments/src/writeLineSegments.ts
@@ -5,9 +5,9 @@
 const NEW_LINE = 0x0a;
 
 /**
- * Stores a stream as segments that end at line ends, one segment in memory at a time.
+ * Stores a stream as segments that end at line ends. Holds one segment in memory at a time.
  *
- * Throws `LINE_TOO_LONG` for a line that does not fit into one segment.
+ * Rejects with `LINE_TOO_LONG` for a line that does not fit into one segment.
  *
  * @returns the segments in order, shape [segments]
  */
--- a/batch/segments/test/folderSegmentStore.test.ts
+++ b/batch/segments/test/folderSegmentStore.test.ts
@@ -17,7 +17,7 @@
 
 const pathOf = (dataFolder: string, digest: string) => path.join(dataFolder, "segments", digest.slice(0, 2), digest);
 
-test("a torn segment is detected, not served, and written anew", async context => {
+test("a truncated segment is rejected, then removed, and can be stored again", async context => {
     const { store, dataFolder } = await createStore(context);
     const bytes = Buffer.from("a line\nanother line\n");
     const digest = await store.put(bytes);
@@ -29,7 +29,7 @@
     assert.deepEqual(await store.get(digest), bytes);
 });
 
-test("a folder of an earlier instance is served and cleared of unfinished files", async context => {
+test("a store serves the segments of an earlier instance and removes its unfinished files", async context => {
     const { store, dataFolder } = await createStore(context);
     const digest = await store.put(Buffer.from("kept"));
     await writeFile(`${pathOf(dataFolder, digest)}.1.0.partial`, "half");
@@ -39,14 +39,14 @@
     assert.deepEqual(await readdir(path.dirname(pathOf(dataFolder, digest))), [digest]);
 });
 
-test("a folder that can't be written to gives a typed error", async context => {
+test("put rejects with SEGMENT_NOT_KEPT if the folder of the segment can't be created", async context => {
     const { store, dataFolder } = await createStore(context);
     const bytes = Buffer.from("blocked");
     await writeFile(path.join(dataFolder, "segments", digestOf(bytes).slice(0, 2)), "a file where a folder must be");
     await assert.rejects(store.put(bytes), { code: "ERR_KNAPWEED_SEGMENT_NOT_KEPT" });
 });
 
-test("only old segments without a reference are removed", async context => {
+test("removeUnreferenced removes only old segments without a reference", async context => {
     const { store } = await createStore(context);
     const kept = await store.put(Buffer.from("kept"));
     const dropped = await store.put(Buffer.from("dropped"));
@@ -56,7 +56,7 @@
     await assert.rejects(store.get(dropped), { code: "ERR_KNAPWEED_SEGMENT_NOT_FOUND" });
 });
 
-test("a digest that is none never becomes a path", async context => {
+test("an invalid digest is rejected before it is used in a path", async context => {
     const { store } = await createStore(context);
     await assert.rejects(store.remove("../../x" as SegmentDigest), { code: "ERR_KNAPWEED_SEGMENT_DIGEST_INVALID" });
 });
