--- a/batch/jobs/src/batchService.ts
+++ b/batch/jobs/src/batchService.ts
@@ -5,31 +5,31 @@
 import type { FileRecord } from "./fileRecord.js";
 import type { JobRecord } from "./jobRecord.js";
 
-/** Files and batch jobs, as the callers' API offers them. Any entry answers for any job. */
+/** Operations of the callers' API on files and batch jobs. Any entry can serve any job. */
 export interface BatchService {
-    /** Stores a file, streamed; resolves once it is kept in two copies. */
+    /** Stores a streamed file. Resolves once it is stored in two copies. */
     createFile(opts: {
         teamId: TeamId;
         fileName: string;
         purpose: string;
         content: AsyncIterable<Uint8Array>;
     }): Promise<FileRecord>;
-    /** Throws `FILE_NOT_FOUND` for a file of another team, as does each method with a file id. */
+    /** Rejects with `FILE_NOT_FOUND` for a file of another team, as does each method with a file id. */
     getFile(opts: { teamId: TeamId; fileId: FileId; }): Promise<FileRecord>;
     listFiles(opts: { teamId: TeamId; }): Promise<FileRecord[]>;
     deleteFile(opts: { teamId: TeamId; fileId: FileId; }): Promise<void>;
     readFile(opts: { teamId: TeamId; fileId: FileId; }): AsyncIterable<Uint8Array>;
-    /** Accepts a job. The same idempotency key gives the same job. */
+    /** Accepts a job. The same idempotency key returns the same job. */
     createJob(opts: {
         teamId: TeamId;
         inputFileId: FileId;
         endpoint: string;
         metadata: { [name: string]: string; };
         idempotencyKey: IdempotencyKey;
-        /** Time from acceptance until the job is due. */
+        /** Time from acceptance until the job is due, in milliseconds; the default if undefined. */
         dueMs: number | undefined;
     }): Promise<JobRecord>;
-    /** Throws `JOB_NOT_FOUND` for a job of another team, as does each method with a job id. */
+    /** Rejects with `JOB_NOT_FOUND` for a job of another team, as does each method with a job id. */
     getJob(opts: { teamId: TeamId; jobId: JobId; }): Promise<JobRecord>;
     listJobs(opts: { teamId: TeamId; limit?: number; afterJobId?: JobId; }): Promise<JobRecord[]>;
     cancelJob(opts: { teamId: TeamId; jobId: JobId; }): Promise<JobRecord>;
--- a/batch/jobs/src/fileRecord.ts
+++ b/batch/jobs/src/fileRecord.ts
@@ -1,7 +1,7 @@
 import type { FileId } from "@knapweedwood/core.ids/fileId";
 import type { TeamId } from "@knapweedwood/core.ids/teamId";
 
-/** An uploaded or produced file. */
+/** Metadata of an uploaded or generated file. */
 export interface FileRecord {
     fileId: FileId;
     teamId: TeamId;
--- a/batch/jobs/src/handedOutItem.ts
+++ b/batch/jobs/src/handedOutItem.ts
@@ -1,7 +1,7 @@
 import type { Incarnation } from "@knapweedwood/core.ids/incarnation";
 import type { InstanceId } from "@knapweedwood/core.ids/instanceId";
 
-/** An item that was at a gate when its partition was handed over. */
+/** Item that a gate held when its partition was handed over. */
 export interface HandedOutItem {
     index: number;
     peer: InstanceId;
--- a/batch/jobs/src/initialProgress.ts
+++ b/batch/jobs/src/initialProgress.ts
@@ -2,7 +2,7 @@
 import { jobChart } from "./jobChart.js";
 import type { JobProgress } from "./jobProgress.js";
 
-/** The progress of a job that was just accepted. */
+/** Returns the progress of a newly accepted job. */
 export function initialProgress(writeId: string): JobProgress {
     return {
         state: jobChart.initial,
--- a/batch/jobs/src/itemRange.ts
+++ b/batch/jobs/src/itemRange.ts
@@ -1,4 +1,4 @@
-/** Items `first` to `last`, both included. */
+/** Range of item indexes from `first` to `last`, both inclusive. */
 export interface ItemRange {
     first: number;
     last: number;
--- a/batch/jobs/src/itemResult.ts
+++ b/batch/jobs/src/itemResult.ts
@@ -1,10 +1,10 @@
 import type { JsonObject } from "@knapweedwood/engines.model-engine/jsonObject";
 
-/** The final result of one item, one line of a result segment. */
+/** Final result of one item, stored as one line of a result segment. */
 export interface ItemResult {
     index: number;
-    /** Whether it belongs in the error file. */
+    /** Whether the line belongs in the error file. */
     failed: boolean;
-    /** The line of the output or error file. */
+    /** Line of the output or error file. */
     line: JsonObject;
 }
--- a/batch/jobs/src/itemSet.ts
+++ b/batch/jobs/src/itemSet.ts
@@ -1,6 +1,6 @@
 import type { ItemRange } from "./itemRange.js";
 
-/** A set of item indexes, kept as ranges in order. */
+/** Set of item indexes, stored as ranges in ascending order. */
 export class ItemSet {
     private readonly ranges: ItemRange[];
 
@@ -17,7 +17,7 @@
         return range !== undefined && range.first <= index;
     }
 
-    /** @returns whether the index was new */
+    /** Adds an index. @returns whether the index was new */
     add(index: number): boolean {
         const position = this.findRangePosition(index);
         const after = this.ranges[position];
@@ -34,12 +34,12 @@
         return true;
     }
 
-    /** The ranges in order, shape [ranges]. */
+    /** Returns the ranges in ascending order, shape [ranges]. */
     toRanges(): ItemRange[] {
         return this.ranges.map(range => ({ ...range }));
     }
 
-    /** The first range that ends at or after `index`. */
+    /** Returns the position of the first range that ends at or after `index`. */
     private findRangePosition(index: number): number {
         let low = 0;
         let high = this.ranges.length;
--- a/batch/jobs/src/jobAcceptance.ts
+++ b/batch/jobs/src/jobAcceptance.ts
@@ -23,7 +23,7 @@
 
 type AcceptOptions = Parameters<BatchService["createJob"]>[0] & { file: StoredFile; };
 
-/** Accepts jobs: one compare-and-swap under the team's idempotency key decides. */
+/** Accepts jobs. A compare-and-swap on the team's idempotency key ensures at most one job per key. */
 export class JobAcceptance {
     private readonly opts: { keyValue: KeyValueService; clock: Clock; random: Random; };
 
@@ -66,7 +66,7 @@
         });
         const record = result.succeeded ? toJobRecord(manifest, progress) : await this.readConcurrentlyAccepted(opts);
         if (record === undefined) {
-            throw new KnapweedError("JOB_NOT_ACCEPTED", "The job was removed while it was accepted", {
+            throw new KnapweedError("JOB_NOT_ACCEPTED", "The job was removed while it was being accepted", {
                 outcome: "not-run",
                 statusCode: 503,
             });
@@ -74,7 +74,10 @@
         return record;
     }
 
-    /** Another request has won the key: its job stands, so that a failure to read it is not "not run". */
+    /**
+     * Returns the job that another request accepted under the same key. That job exists, so a failure to read it must
+     * not be reported as `not-run`.
+     */
     private async readConcurrentlyAccepted(opts: AcceptOptions): Promise<JobRecord | undefined> {
         try {
             return await this.findAccepted(opts);
@@ -84,7 +87,7 @@
             if (error.statusCode !== undefined && error.statusCode < MIN_SERVER_ERROR_STATUS) {
                 throw error;
             }
-            throw new KnapweedError("JOB_OUTCOME_UNKNOWN", "A job was accepted under the key, and could not be read", {
+            throw new KnapweedError("JOB_OUTCOME_UNKNOWN", "A job was accepted under the key but could not be read", {
                 cause: error,
                 outcome: "unknown",
                 statusCode: 503,
@@ -93,7 +96,7 @@
         }
     }
 
-    /** The job that was accepted under the same idempotency key before. */
+    /** Returns the job accepted earlier under the same idempotency key; undefined if there is none. */
     private async findAccepted(opts: AcceptOptions): Promise<JobRecord | undefined> {
         const { keyValue } = this.opts;
         const key = batchKeys.idempotency(opts.teamId, opts.idempotencyKey);
--- a/batch/jobs/src/jobCancellation.ts
+++ b/batch/jobs/src/jobCancellation.ts
@@ -18,7 +18,7 @@
     onCancelled?: (jobId: JobId) => void;
 }
 
-/** Cancels jobs: the compare-and-swap of the progress decides races with completion and with other cancels. */
+/** Cancels jobs. A compare-and-swap of the progress decides races with completion and with other cancellations. */
 export class JobCancellation {
     private readonly opts: JobCancellationOptions;
 
@@ -26,10 +26,10 @@
         this.opts = opts;
     }
 
-    /** Resolves once the job is cancelling or final. */
+    /** Cancels a job. Resolves once the job is in state `cancelling` or in a final state. */
     async cancel(jobId: JobId): Promise<void> {
         while (!await this.tryCancel(jobId)) {
-            // The progress changed in between: read it again.
+            // The progress changed concurrently, so it is read again.
         }
         this.opts.onCancelled?.(jobId);
     }
--- a/batch/jobs/src/jobChart.ts
+++ b/batch/jobs/src/jobChart.ts
@@ -3,5 +3,5 @@
 import type { JobEvent } from "./jobEvent.js";
 import type { JobState } from "./jobState.js";
 
-/** The states of a job. */
+/** State chart of a job. */
 export const jobChart = new Chart<JobState, JobEvent>(definition);
--- a/batch/jobs/src/jobEvent.ts
+++ b/batch/jobs/src/jobEvent.ts
@@ -1,2 +1,2 @@
-/** What moves a job from one state to the next. */
+/** Event that moves a job from one state to the next. */
 export type JobEvent = "validated" | "refused" | "checkpoint" | "drained" | "finished" | "cancel";
--- a/batch/jobs/src/jobManifest.ts
+++ b/batch/jobs/src/jobManifest.ts
@@ -4,7 +4,7 @@
 import type { JobId } from "@knapweedwood/core.ids/jobId";
 import type { TeamId } from "@knapweedwood/core.ids/teamId";
 
-/** What was accepted. Never changed. */
+/** Immutable record of an accepted job. Times are milliseconds since the Unix epoch. */
 export interface JobManifest {
     jobId: JobId;
     teamId: TeamId;
--- a/batch/jobs/src/jobProgress.ts
+++ b/batch/jobs/src/jobProgress.ts
@@ -6,23 +6,23 @@
 import type { JobState } from "./jobState.js";
 import type { ResultSegment } from "./resultSegment.js";
 
-/** How far a job has come: the one commit point for "completed" and "cancelled". */
+/** Progress of a job. Only a write of this record commits that a job is completed or cancelled. */
 export interface JobProgress {
     state: JobState;
-    /** Unique to each write, so that a lost answer can be settled by reading. */
+    /** Unique to each write, so that reading the record shows whether a write with a lost response took effect. */
     writeId: string;
-    /** Fencing number of the partition's owner that wrote it; 0 before the first. */
+    /** Fencing number of the partition owner that wrote the record; 0 until an owner has written it. */
     fencingNumber: FencingNumber;
     totalCount: number;
     completedCount: number;
     failedCount: number;
     /** Items with a committed result. */
     finished: ItemRange[];
-    /** Items of calls that may not be repeated, committed before they are handed out. */
+    /** Items whose calls must not be repeated, committed before the items are handed out. */
     claimed: ItemRange[];
     results: ResultSegment[];
     histories: ItemHistory[];
-    /** Items that were at gates when the partition was last handed over. */
+    /** Items that gates held when the partition was last handed over. */
     handedOut: HandedOutItem[];
     checkpointCount: number;
     startedAtMs: number | undefined;
--- a/batch/jobs/src/jobRecord.ts
+++ b/batch/jobs/src/jobRecord.ts
@@ -3,7 +3,7 @@
 import type { TeamId } from "@knapweedwood/core.ids/teamId";
 import type { JobState } from "./jobState.js";
 
-/** A batch job, as callers see it. Times are milliseconds since the Unix epoch. */
+/** Batch job, as callers see it. Times are milliseconds since the Unix epoch. */
 export interface JobRecord {
     jobId: JobId;
     teamId: TeamId;
@@ -18,6 +18,6 @@
     finishedAtMs: number | undefined;
     cancelledAtMs: number | undefined;
     itemCounts: { total: number; completed: number; failed: number; };
-    /** Set where the job as a whole was refused, such as a malformed line of its input. */
+    /** Reasons for which the whole job was rejected, such as a malformed line of its input. */
     errors: { code: string; message: string; line?: number; }[];
 }
--- a/batch/jobs/src/jobState.ts
+++ b/batch/jobs/src/jobState.ts
@@ -1,4 +1,4 @@
-/** Where a job stands. `completed`, `cancelled` and `failed` are final. */
+/** State of a job. `completed`, `cancelled` and `failed` are final. */
 export type JobState =
     | "validating"
     | "in_progress"
--- a/batch/jobs/src/keyValueBatchService.ts
+++ b/batch/jobs/src/keyValueBatchService.ts
@@ -31,11 +31,11 @@
     segmentStore: SegmentStore;
     clock: Clock;
     random: Random;
-    /** Called once a cancel is committed, so that gates hear of it at once. */
+    /** Called once a cancellation is committed, so that gates are notified immediately. */
     onCancelled?: (jobId: JobId) => void;
 }
 
-/** Files and jobs, kept in the key-value service and in segments. Any entry answers for any job. */
+/** Stores files and jobs in the key-value service and in segments. Any entry can serve any job. */
 export class KeyValueBatchService implements BatchService {
     private readonly opts: KeyValueBatchServiceOptions;
     private readonly acceptance: JobAcceptance;
@@ -80,7 +80,7 @@
         return files.map(file => file.value.record);
     }
 
-    /** Removes the file's record; the sweep removes segments that no record names. */
+    /** Removes the file's record. The periodic cleanup removes segments that no record references. */
     async deleteFile(opts: { teamId: TeamId; fileId: FileId; }): Promise<void> {
         await this.readStoredFile(opts);
         await this.opts.keyValue.transact([], [{ kind: "delete", key: batchKeys.file(opts.teamId, opts.fileId) }]);
@@ -130,7 +130,7 @@
     private async readStoredFile(opts: { teamId: TeamId; fileId: FileId; }): Promise<StoredFile> {
         const file = await readRecord<StoredFile>(this.opts.keyValue, batchKeys.file(opts.teamId, opts.fileId));
         if (file === undefined) {
-            throw new KnapweedError("FILE_NOT_FOUND", `No file ${opts.fileId}`, {
+            throw new KnapweedError("FILE_NOT_FOUND", `File ${opts.fileId} was not found`, {
                 statusCode: 404,
                 outcome: "not-run",
             });
@@ -140,5 +140,8 @@
 }
 
 function jobNotFoundError(jobId: JobId): KnapweedError {
-    return new KnapweedError("JOB_NOT_FOUND", `No batch job ${jobId}`, { statusCode: 404, outcome: "not-run" });
+    return new KnapweedError("JOB_NOT_FOUND", `Batch job ${jobId} was not found`, {
+        statusCode: 404,
+        outcome: "not-run",
+    });
 }
--- a/batch/jobs/src/openJob.ts
+++ b/batch/jobs/src/openJob.ts
@@ -1,6 +1,6 @@
 import type { JobId } from "@knapweedwood/core.ids/jobId";
 
-/** Marks a job that is not final, for the owner of its partition to find. */
+/** Marks a job that is not in a final state, so that the owner of its partition finds it. */
 export interface OpenJob {
     jobId: JobId;
     cancelled: boolean;
--- a/batch/jobs/src/resultSegment.ts
+++ b/batch/jobs/src/resultSegment.ts
@@ -1,6 +1,6 @@
 import type { SegmentReference } from "@knapweedwood/batch.segments/segmentReference";
 
-/** A committed segment of results, in the order of their items. */
+/** Committed segment of results, in item order. */
 export interface ResultSegment extends SegmentReference {
     firstIndex: number;
     lastIndex: number;
--- a/batch/jobs/src/storedFile.ts
+++ b/batch/jobs/src/storedFile.ts
@@ -1,7 +1,7 @@
 import type { SegmentReference } from "@knapweedwood/batch.segments/segmentReference";
 import type { FileRecord } from "./fileRecord.js";
 
-/** A file with its segments, as it is kept. */
+/** File and its segments, as stored in the key-value service. */
 export interface StoredFile {
     record: FileRecord;
     segments: SegmentReference[];
--- a/batch/jobs/src/toJobRecord.ts
+++ b/batch/jobs/src/toJobRecord.ts
@@ -2,7 +2,7 @@
 import type { JobProgress } from "./jobProgress.js";
 import type { JobRecord } from "./jobRecord.js";
 
-/** The job as callers see it. */
+/** Returns the job as callers see it. */
 export function toJobRecord(manifest: JobManifest, progress: JobProgress): JobRecord {
     return {
         jobId: manifest.jobId,
--- a/batch/jobs/test/itemSet.test.ts
+++ b/batch/jobs/test/itemSet.test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import { ItemSet } from "../src/itemSet.js";
 
-test("an item set holds what was added, in ranges that neither touch nor overlap", () => {
+test("an item set contains exactly the added indexes, in ranges that neither touch nor overlap", () => {
     fc.assert(
         fc.property(fc.array(fc.nat({ max: 60 }), { maxLength: 80 }), indexes => {
             const set = new ItemSet();
