--- a/batch/claims/src/claimService.ts
+++ b/batch/claims/src/claimService.ts
@@ -15,8 +15,8 @@
 import type { ClaimServiceOptions } from "./claimServiceOptions.js";
 import { ClaimShard } from "./claimShard.js";
 import type { ClaimToken } from "./claimToken.js";
+import { recordAnswerCall } from "./recordAnswerCall.js";
 import type { RecordedResponse } from "./recordedResponse.js";
-import { recordResponseCall } from "./recordResponseCall.js";
 import { releaseClaimCall } from "./releaseClaimCall.js";
 
 const DEFAULT_CLAIM_TIMEOUT_MS = 120_000;
@@ -60,7 +60,7 @@
         endpoint.handle(claimCall, async function*(request) {
             yield await shardOf(request.token).claim(request);
         });
-        endpoint.handle(recordResponseCall, async function*(request) {
+        endpoint.handle(recordAnswerCall, async function*(request) {
             yield { recorded: await shardOf(request.token).record(request.token, request.answer) };
         });
         endpoint.handle(releaseClaimCall, async function*(request) {
@@ -112,7 +112,7 @@
     async record(token: ClaimToken, response: RecordedResponse): Promise<void> {
         await this.callWithRetries(
             RECORD_RETRY_TIMEOUT_MS,
-            recordResponseCall,
+            recordAnswerCall,
             { token, answer: response },
             async shard => ({
                 recorded: await shard.record(token, response),
--- a/batch/claims/src/recordResponseCall.ts
+++ b/batch/claims/src/recordAnswerCall.ts
@@ -3,6 +3,6 @@
 import type { RecordedResponse } from "./recordedResponse.js";
 
 /** Records the response of a claimed call. Yields one frame once the response is committed. */
-export const recordResponseCall = defineCall<{ token: ClaimToken; answer: RecordedResponse; }, { recorded: boolean; }>(
+export const recordAnswerCall = defineCall<{ token: ClaimToken; answer: RecordedResponse; }, { recorded: boolean; }>(
     "claims.record",
 );
