--- a/batch/segments/src/segmentNotFoundError.ts
+++ b/batch/segments/src/segmentNotFoundError.ts
@@ -3,5 +3,5 @@
 
 /** Returns the error for a segment without a copy. */
 export function segmentNotFoundError(digest: SegmentDigest): KnapweedError {
-    return new KnapweedError("SEGMENT_NOT_FOUND", `No copy of segment ${digest} was found`, { statusCode: 503 });
+    return new KnapweedError("SEGMENT_NOT_FOUND", `Segment ${digest} has no copy here`, { statusCode: 503 });
 }
