--- a/batch/claims/src/claimShard.ts
+++ b/batch/claims/src/claimShard.ts
@@ -20,6 +20,7 @@
 const MAX_INLINE_BODY_BYTES = 16_000;
 const ENTRY_OVERHEAD_BYTES = 400;
 
+/** Options of {@link ClaimShard}. */
 export interface ClaimShardOptions {
     shardId: PartitionId;
     keyValue: KeyValueService;
@@ -31,6 +32,7 @@
     isLive: (executor: InstanceId) => boolean;
     /** Minimum time between two writes of this shard, in milliseconds. */
     commitIntervalMs: number;
+    /** How long claims and recorded responses are stored, in milliseconds. */
     retentionMs: number;
 }
 
@@ -74,6 +76,10 @@
         await this.loading;
     }
 
+    /**
+     * Decides a claim. Resolves once the decision is committed. Rejects with `CLAIM_SHARD_MOVED` (outcome `not-run`) if
+     * this instance no longer owns the shard.
+     */
     async claim(opts: {
         token: ClaimToken;
         requestDigest: string;
