--- a/batch/jobs/src/jobAcceptance.ts
+++ b/batch/jobs/src/jobAcceptance.ts
@@ -31,6 +31,11 @@
         this.opts = opts;
     }
 
+    /**
+     * Accepts a job, or returns the job accepted earlier under the same idempotency key. Rejects with
+     * `IDEMPOTENCY_KEY_REUSED` if that job has another input file or endpoint, with `JOB_NOT_ACCEPTED` (outcome
+     * `not-run`), or with `JOB_OUTCOME_UNKNOWN` (outcome `unknown`).
+     */
     async accept(opts: AcceptOptions): Promise<JobRecord> {
         return await this.findAccepted(opts) ?? await this.create(opts);
     }
