--- a/batch/claims/src/claimLog.ts
+++ b/batch/claims/src/claimLog.ts
@@ -8,24 +8,24 @@
 import type { KeyValueOperation } from "@knapweedwood/core.key-value/keyValueOperation";
 import type { KeyValueService } from "@knapweedwood/core.key-value/keyValueService";
 import type { Random } from "@knapweedwood/core.random/random";
-import type { ClaimEntry } from "./claimEntry.js";
+import type { ClaimLogEntry } from "./claimLogEntry.js";
 import type { ClaimTable } from "./claimTable.js";
 
 const SEQUENCE_DIGITS = 12;
-const PAGE_SIZE_ENTRIES = 50;
-const COMPACT_AFTER_PAGES = 32;
+const LIST_LIMIT_PAGES = 50;
+const MIN_PAGES_TO_MERGE = 32;
 const SMALL_PAGE_BYTES = 64_000;
-const MAX_PAGE_BYTES = 900_000;
+const MAX_MERGED_PAGE_BYTES = 900_000;
 
 interface LogPage {
     sequenceNumber: number;
     sizeBytes: number;
-    entries: ClaimEntry[];
+    entries: ClaimLogEntry[];
 }
 
 interface PageRecord {
     writeId: string;
-    entries: ClaimEntry[];
+    entries: ClaimLogEntry[];
 }
 
 interface ClaimLogOptions {
@@ -33,11 +33,11 @@
     keyValue: KeyValueService;
     clock: Clock;
     random: Random;
-    /** Proof of ownership; undefined while this instance may not commit. */
-    owned: () => OwnedPartition | undefined;
+    /** Returns the partition that proves ownership; undefined while this instance must not commit. */
+    ownedPartition: () => OwnedPartition | undefined;
 }
 
-/** The log of a shard of claims: pages in the key-value service, appended under the owner's fencing number. */
+/** Log of a shard of claims, as pages in the key-value service. Appends use the owner's fencing number. */
 export class ClaimLog {
     private readonly opts: ClaimLogOptions;
     private readonly prefix: string;
@@ -48,18 +48,18 @@
         this.prefix = `/claims/log/${opts.shardId}/`;
     }
 
-    /** Reads all pages. @returns the entries in order, shape [entries] */
-    async load(): Promise<ClaimEntry[]> {
+    /** Reads all pages. @returns the entries in log order, shape [entries] */
+    async load(): Promise<ClaimLogEntry[]> {
         const pages: LogPage[] = [];
         let afterKey: string | undefined;
         do {
-            const found = await this.opts.keyValue.list(this.prefix, { limit: PAGE_SIZE_ENTRIES, afterKey });
+            const found = await this.opts.keyValue.list(this.prefix, { limit: LIST_LIMIT_PAGES, afterKey });
             pages.push(...found.map(entry => ({
                 sequenceNumber: Number(entry.key.slice(this.prefix.length)),
                 sizeBytes: entry.value.length,
                 entries: decodeRecord<PageRecord>(entry.value).entries,
             })));
-            afterKey = found.length === PAGE_SIZE_ENTRIES ? found.at(-1)?.key : undefined;
+            afterKey = found.length === LIST_LIMIT_PAGES ? found.at(-1)?.key : undefined;
         }
         while (afterKey !== undefined);
         this.pages = pages;
@@ -67,7 +67,7 @@
     }
 
     /** Appends one page. @returns whether it was committed */
-    async append(entries: ClaimEntry[]): Promise<boolean> {
+    async append(entries: ClaimLogEntry[]): Promise<boolean> {
         const sequenceNumber = (this.pages.at(-1)?.sequenceNumber ?? 0) + 1;
         const value = this.encode(entries);
         const key = this.keyOf(sequenceNumber);
@@ -78,33 +78,37 @@
         return true;
     }
 
-    /** Merges small pages into one, without what later entries have replaced, and removes expired pages. */
+    /** Merges small pages into one, drops entries that later entries replaced, and removes expired pages. */
     async compact(table: ClaimTable, expiredBeforeMs: number): Promise<void> {
         const expired = this.pages.filter(page => page.entries.every(entry => entry.atMs < expiredBeforeMs));
         const firstSmall = this.pages.findLastIndex(page => page.sizeBytes > SMALL_PAGE_BYTES) + 1;
         const small = this.pages.slice(firstSmall).filter(page => !expired.includes(page));
-        const merged = small.length < COMPACT_AFTER_PAGES ? [] : takeWhileFits(small);
-        if (merged.length + expired.length === 0) {
+        const pagesToMerge = small.length < MIN_PAGES_TO_MERGE ? [] : leadingPagesThatFit(small);
+        if (pagesToMerge.length + expired.length === 0) {
             return;
         }
-        const kept = merged.slice(0, 1).map(page => {
-            const entries = merged.flatMap(other => other.entries).filter(entry => table.isCurrent(entry));
+        const mergedPages = pagesToMerge.slice(0, 1).map(page => {
+            const entries = pagesToMerge.flatMap(other => other.entries).filter(entry => table.isCurrent(entry));
             return { sequenceNumber: page.sequenceNumber, entries, value: this.encode(entries) };
         });
-        const removed = [...expired, ...merged.slice(1)];
+        const removed = [...expired, ...pagesToMerge.slice(1)];
         const operations: KeyValueOperation[] = [
-            ...kept.map(page => ({ kind: "put" as const, key: this.keyOf(page.sequenceNumber), value: page.value })),
+            ...mergedPages.map(page => ({
+                kind: "put" as const,
+                key: this.keyOf(page.sequenceNumber),
+                value: page.value,
+            })),
             ...removed.map(page => ({ kind: "delete" as const, key: this.keyOf(page.sequenceNumber) })),
         ];
         if (await this.commit(operations)) {
-            const rest = this.pages.filter(page => !removed.includes(page) && !merged.includes(page));
-            this.pages = [...rest, ...kept.map(page => ({ ...page, sizeBytes: page.value.length }))]
+            const rest = this.pages.filter(page => !removed.includes(page) && !pagesToMerge.includes(page));
+            this.pages = [...rest, ...mergedPages.map(page => ({ ...page, sizeBytes: page.value.length }))]
                 .sort((left, right) => left.sequenceNumber - right.sequenceNumber);
         }
     }
 
     private async commit(operations: KeyValueOperation[], absentKey?: string): Promise<boolean> {
-        const owned = this.opts.owned();
+        const owned = this.opts.ownedPartition();
         if (owned === undefined) {
             return false;
         }
@@ -120,8 +124,8 @@
         return result.succeeded;
     }
 
-    private encode(entries: ClaimEntry[]): Uint8Array {
-        const writeId = `${this.opts.owned()?.fencingNumber ?? 0}-${this.opts.random.nextInteger(2 ** 31)}`;
+    private encode(entries: ClaimLogEntry[]): Uint8Array {
+        const writeId = `${this.opts.ownedPartition()?.fencingNumber ?? 0}-${this.opts.random.nextInteger(2 ** 31)}`;
         return encodeRecord({ writeId, entries } satisfies PageRecord);
     }
 
@@ -130,11 +134,11 @@
     }
 }
 
-function takeWhileFits(pages: LogPage[]): LogPage[] {
+function leadingPagesThatFit(pages: LogPage[]): LogPage[] {
     let sizeBytes = 0;
     const end = pages.findIndex(page => {
         sizeBytes += page.sizeBytes;
-        return sizeBytes > MAX_PAGE_BYTES;
+        return sizeBytes > MAX_MERGED_PAGE_BYTES;
     });
     return pages.slice(0, end === -1 ? undefined : end);
 }
--- a/batch/claims/src/claimShard.ts
+++ b/batch/claims/src/claimShard.ts
@@ -7,47 +7,49 @@
 import type { PartitionId } from "@knapweedwood/core.ids/partitionId";
 import type { KeyValueService } from "@knapweedwood/core.key-value/keyValueService";
 import type { Random } from "@knapweedwood/core.random/random";
-import type { ClaimEntry } from "./claimEntry.js";
 import { ClaimLog } from "./claimLog.js";
+import type { ClaimLogEntry } from "./claimLogEntry.js";
 import type { ClaimResult } from "./claimResult.js";
 import { ClaimTable } from "./claimTable.js";
 import type { ClaimToken } from "./claimToken.js";
-import type { RecordedAnswer } from "./recordedAnswer.js";
-import type { StoredAnswer } from "./storedAnswer.js";
+import type { RecordedResponse } from "./recordedResponse.js";
+import type { StoredResponse } from "./storedResponse.js";
 
 const MAX_ENTRIES_PER_PAGE = 1000;
 const MAX_PAGE_BYTES = 700_000;
 const MAX_INLINE_BODY_BYTES = 16_000;
 const ENTRY_OVERHEAD_BYTES = 400;
 
+/** Options of {@link ClaimShard}. */
 export interface ClaimShardOptions {
     shardId: PartitionId;
     keyValue: KeyValueService;
     segmentStore: SegmentStore;
     clock: Clock;
     random: Random;
-    owned: () => OwnedPartition | undefined;
-    /** Whether an entry instance that sends a call still lives. */
+    ownedPartition: () => OwnedPartition | undefined;
+    /** Whether the entry instance that sends a call is still live. */
     isLive: (executor: InstanceId) => boolean;
-    /** Least time between two writes of this shard. */
+    /** Minimum time between two writes of this shard, in milliseconds. */
     commitIntervalMs: number;
+    /** How long claims and recorded responses are stored, in milliseconds. */
     retentionMs: number;
 }
 
 interface PendingEntry {
-    entry: ClaimEntry;
+    entry: ClaimLogEntry;
     sizeBytes: number;
-    settle: (isCommitted: boolean) => void;
-    fail: (error: unknown) => void;
+    resolve: (isCommitted: boolean) => void;
+    reject: (error: unknown) => void;
 }
 
-/** The owner of one shard of claims: decides on claims and packs many into one write. */
+/** Owner of one shard of claims. Decides on claims and commits many log entries in one write. */
 export class ClaimShard {
     private readonly opts: ClaimShardOptions;
     private readonly log: ClaimLog;
     private table = new ClaimTable();
-    /** Claims that a running write decides, by claim id. */
-    private readonly deciding = new Map<string, Promise<void>>();
+    /** Claims whose decision is not committed yet, by claim id. Each promise resolves after the write. */
+    private readonly undecidedClaims = new Map<string, Promise<void>>();
     private pending: PendingEntry[] = [];
     private flushing: Promise<void> | undefined;
     private lastCommitAtMs = Number.NEGATIVE_INFINITY;
@@ -58,11 +60,11 @@
         this.log = new ClaimLog(opts);
     }
 
-    /** Reads the shard's log; again where a first time failed. */
+    /** Reads the shard's log once, and again after a failed read or write. */
     async load(): Promise<void> {
         this.loading ??= this.log.load().then(
             entries => {
-                // Compaction tells entries by identity: those of an earlier reading must not stay.
+                // Compaction compares entries by identity, so entries of an earlier read must not remain.
                 this.table = new ClaimTable();
                 entries.forEach(entry => this.table.apply(entry));
             },
@@ -74,6 +76,10 @@
         await this.loading;
     }
 
+    /**
+     * Decides a claim. Resolves once the decision is committed. Rejects with `CLAIM_SHARD_MOVED` (outcome `not-run`) if
+     * this instance no longer owns the shard.
+     */
     async claim(opts: {
         token: ClaimToken;
         requestDigest: string;
@@ -82,14 +88,20 @@
     }): Promise<ClaimResult> {
         const { claimId, tokenId } = opts.token;
         await this.load();
-        for (let other = this.deciding.get(claimId); other !== undefined; other = this.deciding.get(claimId)) {
-            await other;
+        for (
+            let undecided = this.undecidedClaims.get(claimId);
+            undecided !== undefined;
+            undecided = this.undecidedClaims.get(claimId)
+        ) {
+            await undecided;
             await this.load();
         }
         const current = this.table.find(claimId);
         if (current !== undefined) {
             const isOwn = current.kind === "claimed" && current.tokenId === tokenId;
-            return isOwn ? { kind: "granted", token: opts.token } : await this.describe(current, opts.requestDigest);
+            return isOwn
+                ? { kind: "granted", token: opts.token }
+                : await this.toClaimResult(current, opts.requestDigest);
         }
         const nowMs = this.opts.clock.nowMs();
         const { requestDigest, executor } = opts;
@@ -103,28 +115,31 @@
             atMs: nowMs,
             expiresAtMs,
         });
-        const decided = decision.then(() => undefined, () => undefined).finally(() => this.deciding.delete(claimId));
-        this.deciding.set(claimId, decided);
+        const decided = decision.then(() => undefined, () => undefined).finally(() =>
+            this.undecidedClaims.delete(claimId)
+        );
+        this.undecidedClaims.set(claimId, decided);
         if (!await decision) {
-            throw notOwner();
+            throw ownershipLostError();
         }
         return { kind: "granted", token: opts.token };
     }
 
-    /** Records an answer under the token that was granted. @returns whether it stands */
-    async record(token: ClaimToken, answer: RecordedAnswer): Promise<boolean> {
+    /** Records a response under the granted token. @returns whether a response is recorded under this token */
+    async record(token: ClaimToken, response: RecordedResponse): Promise<boolean> {
         await this.load();
         const current = this.table.find(token.claimId);
         if (current?.tokenId !== token.tokenId || current.kind === "recorded") {
             return current?.tokenId === token.tokenId;
         }
         const { claimId, tokenId } = token;
-        const stored = await this.store(answer);
+        const stored = await this.storeResponse(response);
         const atMs = this.opts.clock.nowMs();
         const { requestDigest } = current;
         return await this.append({ kind: "recorded", claimId, tokenId, requestDigest, atMs, answer: stored });
     }
 
+    /** Releases the claim that the token holds. @returns whether the claim no longer exists */
     async release(token: ClaimToken): Promise<boolean> {
         await this.load();
         const current = this.table.find(token.claimId);
@@ -135,20 +150,20 @@
         return await this.append({ kind: "released", claimId, tokenId, atMs: this.opts.clock.nowMs() });
     }
 
-    /** Waits until what was asked is committed. */
+    /** Waits until the pending entries are written; ignores failed writes. */
     async flush(): Promise<void> {
         await this.flushing?.catch(() => undefined);
     }
 
-    private append(entry: ClaimEntry): Promise<boolean> {
+    private append(entry: ClaimLogEntry): Promise<boolean> {
         const bodyBytes = entry.kind === "recorded" ? entry.answer.body?.length ?? 0 : 0;
-        return new Promise((settle, fail) => {
-            this.pending.push({ entry, sizeBytes: bodyBytes + ENTRY_OVERHEAD_BYTES, settle, fail });
-            this.flushing ??= this.flushAll().finally(() => this.flushing = undefined);
+        return new Promise((resolve, reject) => {
+            this.pending.push({ entry, sizeBytes: bodyBytes + ENTRY_OVERHEAD_BYTES, resolve, reject });
+            this.flushing ??= this.commitPending().finally(() => this.flushing = undefined);
         });
     }
 
-    private async flushAll(): Promise<void> {
+    private async commitPending(): Promise<void> {
         const { clock, commitIntervalMs, retentionMs } = this.opts;
         while (this.pending.length > 0) {
             await sleep(clock, this.lastCommitAtMs + commitIntervalMs - clock.nowMs());
@@ -172,12 +187,12 @@
             else {
                 this.loading = undefined;
             }
-            page.forEach(pending => pending.settle(isCommitted));
+            page.forEach(pending => pending.resolve(isCommitted));
         }
         catch (error) {
-            // The page may have been written: what stands is read again before the next decision.
+            // The page may have been written anyway, so the log is read again before the next decision.
             this.loading = undefined;
-            page.forEach(pending => pending.fail(error));
+            page.forEach(pending => pending.reject(error));
         }
     }
 
@@ -190,27 +205,27 @@
         return this.pending.splice(0, end === -1 ? this.pending.length : end);
     }
 
-    private async describe(
-        current: Exclude<ClaimEntry, { kind: "released"; }>,
+    private async toClaimResult(
+        current: Exclude<ClaimLogEntry, { kind: "released"; }>,
         requestDigest: string,
     ): Promise<ClaimResult> {
         const nowMs = this.opts.clock.nowMs();
-        const kind = ClaimTable.describe(current, { requestDigest, nowMs, isLive: this.opts.isLive });
+        const kind = ClaimTable.classify(current, { requestDigest, nowMs, isLive: this.opts.isLive });
         return kind === "recorded" && current.kind === "recorded"
-            ? { kind, answer: await this.read(current.answer) }
+            ? { kind, answer: await this.readResponse(current.answer) }
             : { kind: kind as Exclude<typeof kind, "recorded"> };
     }
 
-    private async store(answer: RecordedAnswer): Promise<StoredAnswer> {
-        const { statusCode, headers } = answer;
-        const body = Buffer.from(answer.body);
+    private async storeResponse(response: RecordedResponse): Promise<StoredResponse> {
+        const { statusCode, headers } = response;
+        const body = Buffer.from(response.body);
         if (body.length <= MAX_INLINE_BODY_BYTES) {
             return { statusCode, headers, body: body.toString("base64"), bodyDigest: undefined };
         }
         return { statusCode, headers, body: undefined, bodyDigest: await this.opts.segmentStore.put(body) };
     }
 
-    private async read(stored: StoredAnswer): Promise<RecordedAnswer> {
+    private async readResponse(stored: StoredResponse): Promise<RecordedResponse> {
         const body = stored.bodyDigest === undefined
             ? Buffer.from(stored.body ?? "", "base64")
             : await this.opts.segmentStore.get(stored.bodyDigest);
@@ -218,8 +233,8 @@
     }
 }
 
-function notOwner(): KnapweedError {
-    return new KnapweedError("CLAIM_SHARD_MOVED", "Another instance owns the shard of the claim", {
+function ownershipLostError(): KnapweedError {
+    return new KnapweedError("CLAIM_SHARD_MOVED", "This instance no longer owns the shard of the claim", {
         outcome: "not-run",
         statusCode: 503,
     });
--- a/batch/claims/src/claimTable.ts
+++ b/batch/claims/src/claimTable.ts
@@ -1,21 +1,21 @@
 import type { InstanceId } from "@knapweedwood/core.ids/instanceId";
-import type { ClaimEntry } from "./claimEntry.js";
+import type { ClaimLogEntry } from "./claimLogEntry.js";
 
-/** How long an executor may be missing from the lagging instance list. */
-const EXECUTOR_GRACE_MS = 10_000;
+/** How long after a claim its executor may be missing from the instance list, which lags behind. */
+const EXECUTOR_LISTING_GRACE_MS = 10_000;
 
-type LiveEntry = Exclude<ClaimEntry, { kind: "released"; }>;
+type UnreleasedEntry = Exclude<ClaimLogEntry, { kind: "released"; }>;
 
-/** The claims of a shard, as its log tells them. */
+/** Current claims of a shard, built from the entries of its log. */
 export class ClaimTable {
-    private readonly claims = new Map<string, LiveEntry>();
+    private readonly claims = new Map<string, UnreleasedEntry>();
 
     get size(): number {
         return this.claims.size;
     }
 
-    /** Takes a committed entry in. Entries come in the order of the log. */
-    apply(entry: ClaimEntry): void {
+    /** Applies a committed entry. Entries must be applied in log order. */
+    apply(entry: ClaimLogEntry): void {
         const current = this.claims.get(entry.claimId);
         if (entry.kind !== "released") {
             if (current?.kind !== "recorded") {
@@ -28,25 +28,25 @@
         }
     }
 
-    find(claimId: string): LiveEntry | undefined {
+    find(claimId: string): UnreleasedEntry | undefined {
         return this.claims.get(claimId);
     }
 
-    /** Whether an entry of the log still says something that a later one does not. */
-    isCurrent(entry: ClaimEntry): boolean {
+    /** Whether no later entry of the log has replaced or released `entry`. */
+    isCurrent(entry: ClaimLogEntry): boolean {
         return this.claims.get(entry.claimId) === entry;
     }
 
-    /** Forgets claims made before `beforeMs`. */
+    /** Removes claims whose current entry was made before `beforeMs`, in milliseconds since the Unix epoch. */
     expire(beforeMs: number): void {
         [...this.claims.values()]
             .filter(entry => entry.atMs < beforeMs)
             .forEach(entry => this.claims.delete(entry.claimId));
     }
 
-    /** What a resend learns of a claim that stands. */
-    static describe(
-        entry: LiveEntry,
+    /** Classifies an existing claim for a repeated request. */
+    static classify(
+        entry: UnreleasedEntry,
         opts: { requestDigest: string; nowMs: number; isLive: (executor: InstanceId) => boolean; },
     ): "conflict" | "recorded" | "unknown" | "in-progress" {
         if (entry.requestDigest !== opts.requestDigest) {
@@ -55,7 +55,7 @@
         if (entry.kind === "recorded") {
             return "recorded";
         }
-        const isListed = opts.nowMs - entry.atMs < EXECUTOR_GRACE_MS || opts.isLive(entry.executor);
+        const isListed = opts.nowMs - entry.atMs < EXECUTOR_LISTING_GRACE_MS || opts.isLive(entry.executor);
         return opts.nowMs >= entry.expiresAtMs || !isListed ? "unknown" : "in-progress";
     }
 }
--- a/batch/claims/src/recordedAnswer.ts
+++ /dev/null
@@ -1,6 +0,0 @@
-/** The answer of a claimed call, as it is given again to a resend. */
-export interface RecordedAnswer {
-    statusCode: number;
-    headers: { [name: string]: string; };
-    body: Uint8Array;
-}
--- a/batch/jobs/src/jobAcceptance.ts
+++ b/batch/jobs/src/jobAcceptance.ts
@@ -18,12 +18,12 @@
 import type { StoredFile } from "./storedFile.js";
 import { toJobRecord } from "./toJobRecord.js";
 
-const FIRST_SERVER_ERROR = 500;
+const MIN_SERVER_ERROR_STATUS = 500;
 const DEFAULT_DUE_MS = 24 * 60 * 60 * 1000;
 
 type AcceptOptions = Parameters<BatchService["createJob"]>[0] & { file: StoredFile; };
 
-/** Accepts jobs: one compare-and-swap under the team's idempotency key decides. */
+/** Accepts jobs. A compare-and-swap on the team's idempotency key ensures at most one job per key. */
 export class JobAcceptance {
     private readonly opts: { keyValue: KeyValueService; clock: Clock; random: Random; };
 
@@ -31,8 +31,13 @@
         this.opts = opts;
     }
 
+    /**
+     * Accepts a job, or returns the job accepted earlier under the same idempotency key. Rejects with
+     * `IDEMPOTENCY_KEY_REUSED` if that job has another input file or endpoint, with `JOB_NOT_ACCEPTED` (outcome
+     * `not-run`), or with `JOB_OUTCOME_UNKNOWN` (outcome `unknown`).
+     */
     async accept(opts: AcceptOptions): Promise<JobRecord> {
-        return await this.accepted(opts) ?? await this.create(opts);
+        return await this.findAccepted(opts) ?? await this.create(opts);
     }
 
     private async create(opts: AcceptOptions): Promise<JobRecord> {
@@ -64,9 +69,9 @@
                 { kind: "put", key: batchKeys.teamJob(opts.teamId, jobId), value: encodeRecord({ jobId }) },
             ],
         });
-        const record = result.succeeded ? toJobRecord(manifest, progress) : await this.acceptedByOther(opts);
+        const record = result.succeeded ? toJobRecord(manifest, progress) : await this.readConcurrentlyAccepted(opts);
         if (record === undefined) {
-            throw new KnapweedError("JOB_NOT_ACCEPTED", "The job was removed while it was accepted", {
+            throw new KnapweedError("JOB_NOT_ACCEPTED", "The job was removed while it was being accepted", {
                 outcome: "not-run",
                 statusCode: 503,
             });
@@ -74,17 +79,20 @@
         return record;
     }
 
-    /** Another request has won the key: its job stands, so that a failure to read it is not "not run". */
-    private async acceptedByOther(opts: AcceptOptions): Promise<JobRecord | undefined> {
+    /**
+     * Returns the job that another request accepted under the same key. That job exists, so a failure to read it must
+     * not be reported as `not-run`.
+     */
+    private async readConcurrentlyAccepted(opts: AcceptOptions): Promise<JobRecord | undefined> {
         try {
-            return await this.accepted(opts);
+            return await this.findAccepted(opts);
         }
         catch (thrown) {
             const error = toKnapweedError(thrown);
-            if (error.statusCode !== undefined && error.statusCode < FIRST_SERVER_ERROR) {
+            if (error.statusCode !== undefined && error.statusCode < MIN_SERVER_ERROR_STATUS) {
                 throw error;
             }
-            throw new KnapweedError("JOB_OUTCOME_UNKNOWN", "A job was accepted under the key, and could not be read", {
+            throw new KnapweedError("JOB_OUTCOME_UNKNOWN", "A job was accepted under the key but could not be read", {
                 cause: error,
                 outcome: "unknown",
                 statusCode: 503,
@@ -93,8 +101,8 @@
         }
     }
 
-    /** The job that was accepted under the same idempotency key before. */
-    private async accepted(opts: AcceptOptions): Promise<JobRecord | undefined> {
+    /** Returns the job accepted earlier under the same idempotency key; undefined if there is none. */
+    private async findAccepted(opts: AcceptOptions): Promise<JobRecord | undefined> {
         const { keyValue } = this.opts;
         const key = batchKeys.idempotency(opts.teamId, opts.idempotencyKey);
         const found = await readRecord<{ jobId: JobId; }>(keyValue, key);
--- a/batch/jobs/src/keyValueBatchService.ts
+++ b/batch/jobs/src/keyValueBatchService.ts
@@ -20,9 +20,9 @@
 import type { JobManifest } from "./jobManifest.js";
 import type { JobProgress } from "./jobProgress.js";
 import type { JobRecord } from "./jobRecord.js";
-import { sizeOf } from "./sizeOf.js";
 import type { StoredFile } from "./storedFile.js";
 import { toJobRecord } from "./toJobRecord.js";
+import { totalSizeBytes } from "./totalSizeBytes.js";
 
 const DEFAULT_LIST_LIMIT = 20;
 
@@ -31,11 +31,11 @@
     segmentStore: SegmentStore;
     clock: Clock;
     random: Random;
-    /** Called once a cancel is committed, so that gates hear of it at once. */
+    /** Called once a cancellation is committed, so that gates are notified immediately. */
     onCancelled?: (jobId: JobId) => void;
 }
 
-/** Files and jobs, kept in the key-value service and in segments. Any entry answers for any job. */
+/** Stores files and jobs in the key-value service and in segments. Any entry can serve any job. */
 export class KeyValueBatchService implements BatchService {
     private readonly opts: KeyValueBatchServiceOptions;
     private readonly acceptance: JobAcceptance;
@@ -57,7 +57,7 @@
             teamId: opts.teamId,
             fileName: opts.fileName,
             purpose: opts.purpose,
-            sizeBytes: sizeOf(segments),
+            sizeBytes: totalSizeBytes(segments),
             createdAtMs: nowMs,
         };
         const key = batchKeys.file(opts.teamId, fileId);
@@ -72,7 +72,7 @@
     }
 
     async getFile(opts: { teamId: TeamId; fileId: FileId; }): Promise<FileRecord> {
-        return (await this.storedFile(opts)).record;
+        return (await this.readStoredFile(opts)).record;
     }
 
     async listFiles(opts: { teamId: TeamId; }): Promise<FileRecord[]> {
@@ -80,21 +80,21 @@
         return files.map(file => file.value.record);
     }
 
-    /** Removes the file's record; the sweep removes segments that no record names. */
+    /** Removes the file's record. The periodic cleanup removes segments that no record references. */
     async deleteFile(opts: { teamId: TeamId; fileId: FileId; }): Promise<void> {
-        await this.storedFile(opts);
+        await this.readStoredFile(opts);
         await this.opts.keyValue.transact([], [{ kind: "delete", key: batchKeys.file(opts.teamId, opts.fileId) }]);
     }
 
     async *readFile(opts: { teamId: TeamId; fileId: FileId; }): AsyncIterable<Uint8Array> {
-        const file = await this.storedFile(opts);
+        const file = await this.readStoredFile(opts);
         for (const segment of file.segments) {
             yield await this.opts.segmentStore.get(segment.digest);
         }
     }
 
     async createJob(opts: Parameters<BatchService["createJob"]>[0]): Promise<JobRecord> {
-        const file = await this.storedFile({ teamId: opts.teamId, fileId: opts.inputFileId });
+        const file = await this.readStoredFile({ teamId: opts.teamId, fileId: opts.inputFileId });
         return await this.acceptance.accept({ ...opts, file });
     }
 
@@ -105,7 +105,7 @@
             readRecord<JobProgress>(keyValue, batchKeys.progress(opts.jobId)),
         ]);
         if (manifest === undefined || progress === undefined || manifest.value.teamId !== opts.teamId) {
-            throw jobNotFound(opts.jobId);
+            throw jobNotFoundError(opts.jobId);
         }
         return toJobRecord(manifest.value, progress.value);
     }
@@ -127,10 +127,10 @@
         return await this.getJob(opts);
     }
 
-    private async storedFile(opts: { teamId: TeamId; fileId: FileId; }): Promise<StoredFile> {
+    private async readStoredFile(opts: { teamId: TeamId; fileId: FileId; }): Promise<StoredFile> {
         const file = await readRecord<StoredFile>(this.opts.keyValue, batchKeys.file(opts.teamId, opts.fileId));
         if (file === undefined) {
-            throw new KnapweedError("FILE_NOT_FOUND", `No file ${opts.fileId}`, {
+            throw new KnapweedError("FILE_NOT_FOUND", `File ${opts.fileId} was not found`, {
                 statusCode: 404,
                 outcome: "not-run",
             });
@@ -139,6 +139,9 @@
     }
 }
 
-function jobNotFound(jobId: JobId): KnapweedError {
-    return new KnapweedError("JOB_NOT_FOUND", `No batch job ${jobId}`, { statusCode: 404, outcome: "not-run" });
+function jobNotFoundError(jobId: JobId): KnapweedError {
+    return new KnapweedError("JOB_NOT_FOUND", `Batch job ${jobId} was not found`, {
+        statusCode: 404,
+        outcome: "not-run",
+    });
 }
--- a/batch/records/src/commitTransaction.ts
+++ b/batch/records/src/commitTransaction.ts
@@ -9,53 +9,59 @@
 
 const RETRY_DELAY_MS = 50;
 const MAX_RETRY_DELAY_MS = 2000;
-const MAX_SETTLE_ATTEMPTS = 8;
+const DEFAULT_MAX_ATTEMPTS = 8;
 
 interface CommitOptions {
     keyValue: KeyValueService;
     clock: Clock;
     random: Random;
     compares: KeyValueCompare[];
-    /** The first put is the witness: its value must differ from any other write of that key. */
+    /** The first put is the marker: its value must differ from that of any other write of the same key. */
     operations: KeyValueOperation[];
-    /** How often a write whose answer was lost is settled before the outcome is given up as unknown. */
+    /** How often the transaction is sent while responses are lost, before its outcome is reported as unknown. */
     maxAttempts?: number;
 }
 
 /**
- * Applies a transaction and settles a lost answer by reading: the transaction took effect where the witness key
- * holds the value that was put. Where it did not, the same transaction is sent again, which its comparisons make safe.
+ * Applies a transaction. After a lost response, sends the same transaction again; its comparisons make that safe. If
+ * the repeated transaction fails its comparisons, reads the marker key: an earlier attempt took effect if the key holds
+ * the value that was put.
  *
- * Throws `KEY_VALUE_UNAVAILABLE` (`not-run`) where it provably had no effect, `KEY_VALUE_ANSWER_LOST` (`unknown`)
- * where that could not be settled.
+ * Rejects with `KEY_VALUE_UNAVAILABLE` (outcome `not-run`) if the transaction provably had no effect, and with
+ * `KEY_VALUE_ANSWER_LOST` (outcome `unknown`) if that could not be determined.
  */
 export async function commitTransaction(opts: CommitOptions): Promise<TransactionResult> {
-    let lost: KnapweedError | undefined;
-    const maxAttempts = opts.maxAttempts ?? MAX_SETTLE_ATTEMPTS;
+    let lostResponseError: KnapweedError | undefined;
+    const maxAttempts = opts.maxAttempts ?? DEFAULT_MAX_ATTEMPTS;
     for (let attempt = 0; attempt < maxAttempts; attempt++) {
         try {
             const result = await opts.keyValue.transact(opts.compares, opts.operations);
-            return result.succeeded || lost === undefined ? result : await settle(opts, result);
+            return result.succeeded || lostResponseError === undefined
+                ? result
+                : await checkEarlierAttempt(opts, result);
         }
         catch (error) {
-            if (!(error instanceof KnapweedError) || (error.outcome !== "unknown" && lost === undefined)) {
+            if (!(error instanceof KnapweedError) || (error.outcome !== "unknown" && lostResponseError === undefined)) {
                 throw error;
             }
-            lost = error.outcome === "unknown" ? error : lost;
+            lostResponseError = error.outcome === "unknown" ? error : lostResponseError;
         }
-        const ceilingMs = Math.min(MAX_RETRY_DELAY_MS, RETRY_DELAY_MS * 2 ** attempt);
-        await sleep(opts.clock, ceilingMs * (0.5 + opts.random.next() / 2));
+        const maxDelayMs = Math.min(MAX_RETRY_DELAY_MS, RETRY_DELAY_MS * 2 ** attempt);
+        await sleep(opts.clock, maxDelayMs * (0.5 + opts.random.next() / 2));
     }
-    throw lost ?? new KnapweedError("KEY_VALUE_ANSWER_LOST", "The write could not be settled", { outcome: "unknown" });
+    throw lostResponseError
+        ?? new KnapweedError("KEY_VALUE_ANSWER_LOST", "Could not determine whether the write took effect", {
+            outcome: "unknown",
+        });
 }
 
-/** A repeated transaction failed its comparisons: perhaps because the first one had taken effect. */
-async function settle(opts: CommitOptions, failed: TransactionResult): Promise<TransactionResult> {
-    const witness = opts.operations.find(operation => operation.kind === "put");
-    if (witness === undefined || witness.kind !== "put") {
+/** Checks whether a repeated transaction failed its comparisons because an earlier attempt had taken effect. */
+async function checkEarlierAttempt(opts: CommitOptions, failed: TransactionResult): Promise<TransactionResult> {
+    const marker = opts.operations.find(operation => operation.kind === "put");
+    if (marker === undefined || marker.kind !== "put") {
         return failed;
     }
-    const entry = failed.current.find(current => current.key === witness.key) ?? await opts.keyValue.get(witness.key);
-    const tookEffect = entry !== undefined && Buffer.compare(entry.value, witness.value) === 0;
+    const entry = failed.current.find(current => current.key === marker.key) ?? await opts.keyValue.get(marker.key);
+    const tookEffect = entry !== undefined && Buffer.compare(entry.value, marker.value) === 0;
     return tookEffect ? { succeeded: true, revision: entry.modRevision, current: [] } : failed;
 }
--- a/batch/segments/src/keyValueSegmentStore.ts
+++ b/batch/segments/src/keyValueSegmentStore.ts
@@ -5,15 +5,15 @@
 import type { SegmentDigest } from "@knapweedwood/core.ids/segmentDigest";
 import type { KeyValueService } from "@knapweedwood/core.key-value/keyValueService";
 import type { Random } from "@knapweedwood/core.random/random";
-import { segmentNotFound } from "./segmentNotFound.js";
+import { segmentNotFoundError } from "./segmentNotFoundError.js";
 import type { SegmentStore } from "./segmentStore.js";
 import { verifySegment } from "./verifySegment.js";
 
 const KEY_PREFIX = "/batch/segments/";
-/** A value holds up to 1 MB; the rest is left for the transaction around it. */
+/** A value holds up to 1 MB. The rest is reserved for the transaction that contains it. */
 const MAX_SEGMENT_BYTES = 900_000;
 
-/** Keeps segments in the key-value service, for deployments without a data folder. */
+/** Stores segments in the key-value service, for deployments without a data folder. */
 export class KeyValueSegmentStore implements SegmentStore {
     readonly maxSegmentBytes = MAX_SEGMENT_BYTES;
     readonly copyCount = 1;
@@ -40,7 +40,7 @@
     async get(digest: SegmentDigest): Promise<Uint8Array> {
         const entry = await this.opts.keyValue.get(KEY_PREFIX + digest);
         if (entry === undefined) {
-            throw segmentNotFound(digest);
+            throw segmentNotFoundError(digest);
         }
         return verifySegment(digest, entry.value);
     }
--- a/batch/segments/src/registerSegmentHolder.ts
+++ b/batch/segments/src/registerSegmentHandlers.ts
@@ -6,8 +6,11 @@
 import { removeSegmentCall } from "./removeSegmentCall.js";
 import type { SegmentStore } from "./segmentStore.js";
 
-/** Lets other entry instances keep copies in this instance's data folder. Sides are refused. */
-export function registerSegmentHolder(opts: { endpoint: LinkEndpoint; store: SegmentStore; }): void {
+/**
+ * Registers the call handlers through which other entry instances store, read and remove copies in this instance's data
+ * folder. Calls from sides are rejected.
+ */
+export function registerSegmentHandlers(opts: { endpoint: LinkEndpoint; store: SegmentStore; }): void {
     const { endpoint, store } = opts;
     endpoint.handle(putSegmentCall, async function*(request, context) {
         requireEntry(context.peer.kind);
@@ -30,6 +33,8 @@
 
 function requireEntry(kind: string): void {
     if (kind !== "entry") {
-        throw new KnapweedError("SEGMENT_ACCESS_DENIED", "Only entry instances keep segments", { outcome: "not-run" });
+        throw new KnapweedError("SEGMENT_ACCESS_DENIED", "Only entry instances may access segments", {
+            outcome: "not-run",
+        });
     }
 }
--- a/batch/segments/src/replicatedSegmentStore.ts
+++ b/batch/segments/src/replicatedSegmentStore.ts
@@ -11,7 +11,7 @@
 import { putSegmentCall } from "./putSegmentCall.js";
 import { removeSegmentCall } from "./removeSegmentCall.js";
 import type { SegmentHolder } from "./segmentHolder.js";
-import { segmentNotFound } from "./segmentNotFound.js";
+import { segmentNotFoundError } from "./segmentNotFoundError.js";
 import type { SegmentStore } from "./segmentStore.js";
 import { verifySegment } from "./verifySegment.js";
 
@@ -22,15 +22,15 @@
 interface ReplicatedSegmentStoreOptions {
     instanceId: InstanceId;
     endpoint: LinkEndpoint;
-    /** The store on this instance's own data folder; undefined where it has none. */
+    /** Store in this instance's own data folder; undefined if it has none. */
     local: SegmentStore | undefined;
-    /** Live instances with a data folder, this one among them where it has one. */
+    /** Returns the live instances with a data folder, including this one if it has one. */
     holders: () => SegmentHolder[];
-    /** Copies, each in a zone of its own, that an acknowledgement waits for. */
+    /** Number of copies, each in a different zone, that are stored before a segment is acknowledged. */
     copyCount?: number;
 }
 
-/** Keeps each segment in two synced copies in two availability zones. */
+/** Stores each segment as synced copies in different availability zones, two by default. */
 export class ReplicatedSegmentStore implements SegmentStore {
     readonly maxSegmentBytes = MAX_SEGMENT_BYTES;
     private readonly opts: ReplicatedSegmentStoreOptions;
@@ -43,25 +43,29 @@
 
     async put(bytes: Uint8Array): Promise<SegmentDigest> {
         const digest = digestOf(bytes);
-        const copies = await this.spread(digest, bytes, []);
+        const copies = await this.replicate(digest, bytes, []);
         if (copies < this.copyCount) {
-            throw new KnapweedError("SEGMENT_NOT_KEPT", `Segment ${digest} has ${copies} of ${this.copyCount} copies`, {
-                hint: "Instances with a data folder must live in two availability zones",
-                outcome: "not-run",
-                statusCode: 503,
-            });
+            throw new KnapweedError(
+                "SEGMENT_NOT_KEPT",
+                `Segment ${digest} has only ${copies} of ${this.copyCount} copies`,
+                {
+                    hint: "Run instances with a data folder in at least two availability zones",
+                    outcome: "not-run",
+                    statusCode: 503,
+                },
+            );
         }
         return digest;
     }
 
     async get(digest: SegmentDigest): Promise<Uint8Array> {
-        for (const holder of this.ranked(digest)) {
+        for (const holder of this.rankedHolders(digest)) {
             const bytes = await this.readFrom(holder, digest);
             if (bytes !== undefined) {
                 return bytes;
             }
         }
-        throw segmentNotFound(digest);
+        throw segmentNotFoundError(digest);
     }
 
     async remove(digest: SegmentDigest): Promise<void> {
@@ -78,35 +82,35 @@
 
     async repair(digest: SegmentDigest): Promise<number> {
         const held = await Promise.all(
-            this.ranked(digest).map(async holder => ({ holder, held: await this.isHeldBy(holder, digest) })),
+            this.rankedHolders(digest).map(async holder => ({ holder, held: await this.hasCopy(holder, digest) })),
         );
         const holders = held.filter(copy => copy.held).map(copy => copy.holder);
         const zoneCount = new Set(holders.map(holder => holder.zone)).size;
         if (zoneCount >= this.copyCount || holders.length === 0) {
             return zoneCount;
         }
-        return await this.spread(digest, await this.get(digest), holders);
+        return await this.replicate(digest, await this.get(digest), holders);
     }
 
-    /** Writes copies until enough zones hold one. @returns the number of zones */
-    private async spread(digest: SegmentDigest, bytes: Uint8Array, holders: SegmentHolder[]): Promise<number> {
+    /** Writes copies until enough zones have one. @returns the number of zones with a copy */
+    private async replicate(digest: SegmentDigest, bytes: Uint8Array, holders: SegmentHolder[]): Promise<number> {
         const zones = new Set<string>(holders.map(holder => holder.zone));
-        let candidates = this.ranked(digest);
+        let candidates = this.rankedHolders(digest);
         while (zones.size < this.copyCount) {
             const chosen = distinctZones(candidates.filter(holder => !zones.has(holder.zone)))
                 .slice(0, this.copyCount - zones.size);
             if (chosen.length === 0) {
                 break;
             }
-            const kept = await Promise.all(chosen.map(holder => this.writeTo(holder, digest, bytes)));
-            chosen.filter((_, index) => kept[index]).forEach(holder => zones.add(holder.zone));
+            const stored = await Promise.all(chosen.map(holder => this.writeTo(holder, digest, bytes)));
+            chosen.filter((_, index) => stored[index]).forEach(holder => zones.add(holder.zone));
             candidates = candidates.filter(holder => !chosen.includes(holder));
         }
         return zones.size;
     }
 
-    /** Holders, this instance first, then by rendezvous rank. */
-    private ranked(digest: SegmentDigest): SegmentHolder[] {
+    /** Returns the holders: this instance first, then the others by rendezvous rank. */
+    private rankedHolders(digest: SegmentDigest): SegmentHolder[] {
         const holders = this.opts.holders();
         const order = rendezvousRank(digest, holders.map(holder => holder.instanceId));
         return holders.toSorted((left, right) => this.rankOf(order, left) - this.rankOf(order, right));
@@ -122,10 +126,10 @@
 
     private async writeTo(holder: SegmentHolder, digest: SegmentDigest, bytes: Uint8Array): Promise<boolean> {
         try {
-            const kept = this.isLocal(holder)
+            const storedDigest = this.isLocal(holder)
                 ? await this.opts.local?.put(bytes)
                 : (await this.call(holder, putSegmentCall, { bytes })).digest;
-            return kept === digest;
+            return storedDigest === digest;
         }
         catch {
             return false;
@@ -144,7 +148,7 @@
         }
     }
 
-    private async isHeldBy(holder: SegmentHolder, digest: SegmentDigest): Promise<boolean> {
+    private async hasCopy(holder: SegmentHolder, digest: SegmentDigest): Promise<boolean> {
         if (this.isLocal(holder)) {
             return await this.readFrom(holder, digest) !== undefined;
         }
--- a/batch/segments/src/writeLineSegments.ts
+++ b/batch/segments/src/writeLineSegments.ts
@@ -5,9 +5,9 @@
 const NEW_LINE = 0x0a;
 
 /**
- * Stores a stream as segments that end at line ends, one segment in memory at a time.
+ * Stores a stream as segments that end at line ends. Holds one segment in memory at a time.
  *
- * Throws `LINE_TOO_LONG` for a line that does not fit into one segment.
+ * Rejects with `LINE_TOO_LONG` for a line that does not fit into one segment.
  *
  * @returns the segments in order, shape [segments]
  */
@@ -29,7 +29,7 @@
             const joined = Buffer.concat(pending);
             const end = joined.lastIndexOf(NEW_LINE, store.maxSegmentBytes - 1) + 1;
             if (end === 0) {
-                throw lineTooLong(store.maxSegmentBytes);
+                throw lineTooLongError(store.maxSegmentBytes);
             }
             await flush(joined.subarray(0, end));
             pending = [joined.subarray(end)];
@@ -42,7 +42,7 @@
     return segments;
 }
 
-function lineTooLong(maxBytes: number): KnapweedError {
+function lineTooLongError(maxBytes: number): KnapweedError {
     return new KnapweedError("LINE_TOO_LONG", `A line is longer than ${maxBytes} bytes`, {
         statusCode: 413,
         outcome: "not-run",
--- a/batch/segments/test/folderSegmentStore.test.ts
+++ b/batch/segments/test/folderSegmentStore.test.ts
@@ -15,38 +15,38 @@
     return { store, dataFolder };
 }
 
-const fileOf = (dataFolder: string, digest: string) => path.join(dataFolder, "segments", digest.slice(0, 2), digest);
+const pathOf = (dataFolder: string, digest: string) => path.join(dataFolder, "segments", digest.slice(0, 2), digest);
 
-test("a torn segment is detected, not served, and written anew", async context => {
+test("a truncated segment is rejected, then removed, and can be stored again", async context => {
     const { store, dataFolder } = await createStore(context);
     const bytes = Buffer.from("a line\nanother line\n");
     const digest = await store.put(bytes);
     assert.deepEqual(await store.get(digest), bytes);
-    await truncate(fileOf(dataFolder, digest), 3);
+    await truncate(pathOf(dataFolder, digest), 3);
     await assert.rejects(store.get(digest), { code: "ERR_KNAPWEED_SEGMENT_CORRUPT" });
     await assert.rejects(store.get(digest), { code: "ERR_KNAPWEED_SEGMENT_NOT_FOUND" });
     await store.put(bytes);
     assert.deepEqual(await store.get(digest), bytes);
 });
 
-test("a folder of an earlier instance is served and cleared of unfinished files", async context => {
+test("a store serves the segments of an earlier instance and removes its unfinished files", async context => {
     const { store, dataFolder } = await createStore(context);
     const digest = await store.put(Buffer.from("kept"));
-    await writeFile(`${fileOf(dataFolder, digest)}.1.0.partial`, "half");
+    await writeFile(`${pathOf(dataFolder, digest)}.1.0.partial`, "half");
     const next = new FolderSegmentStore({ dataFolder });
     await next.prepare();
     assert.equal(Buffer.from(await next.get(digest)).toString(), "kept");
-    assert.deepEqual(await readdir(path.dirname(fileOf(dataFolder, digest))), [digest]);
+    assert.deepEqual(await readdir(path.dirname(pathOf(dataFolder, digest))), [digest]);
 });
 
-test("a folder that can't be written to gives a typed error", async context => {
+test("put rejects with SEGMENT_NOT_KEPT if the folder of the segment can't be created", async context => {
     const { store, dataFolder } = await createStore(context);
     const bytes = Buffer.from("blocked");
     await writeFile(path.join(dataFolder, "segments", digestOf(bytes).slice(0, 2)), "a file where a folder must be");
     await assert.rejects(store.put(bytes), { code: "ERR_KNAPWEED_SEGMENT_NOT_KEPT" });
 });
 
-test("only old segments without a reference are removed", async context => {
+test("removeUnreferenced removes only old segments without a reference", async context => {
     const { store } = await createStore(context);
     const kept = await store.put(Buffer.from("kept"));
     const dropped = await store.put(Buffer.from("dropped"));
@@ -56,7 +56,7 @@
     await assert.rejects(store.get(dropped), { code: "ERR_KNAPWEED_SEGMENT_NOT_FOUND" });
 });
 
-test("a digest that is none never becomes a path", async context => {
+test("an invalid digest is rejected before it is used in a path", async context => {
     const { store } = await createStore(context);
     await assert.rejects(store.remove("../../x" as SegmentDigest), { code: "ERR_KNAPWEED_SEGMENT_DIGEST_INVALID" });
 });
