--- a/api/operators/src/changesOfFiles.ts
+++ b/api/operators/src/changesOfFiles.ts
@@ -3,7 +3,7 @@
 import type { ConfigurationChange } from "@knapweedwood/config.publishing/configurationChange";
 import { parseServiceFiles } from "@knapweedwood/config.service-files/parseServiceFiles";
 import type { ServiceFile } from "@knapweedwood/config.service-files/serviceFile";
-import type { Problem } from "@knapweedwood/config.yaml/problem";
+import type { YamlProblem } from "@knapweedwood/config.yaml/yamlProblem";
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 import { forbidden } from "./forbidden.js";
 import { mayTouchTeam } from "./mayTouchTeam.js";
@@ -47,7 +47,7 @@
     }
 }
 
-function invalid(problems: Problem[]): KnapweedError {
+function invalid(problems: YamlProblem[]): KnapweedError {
     const lines = problems.map(problem =>
         `${problem.file}:${String(problem.line)}: ${problem.path}: ${problem.expected}`
     );
--- a/api/operators/src/operatorsApiOptions.ts
+++ b/api/operators/src/operatorsApiOptions.ts
@@ -1,6 +1,6 @@
 import type { BatchService } from "@knapweedwood/batch.jobs/batchService";
 import type { ConfigurationSource } from "@knapweedwood/config.configuration/configurationSource";
-import type { InForceReport } from "@knapweedwood/config.distribution/inForceReport";
+import type { ActiveRevisionReport } from "@knapweedwood/config.distribution/activeRevisionReport";
 import type { ConfigurationPublisher } from "@knapweedwood/config.publishing/configurationPublisher";
 import type { Clock } from "@knapweedwood/core.clock/clock";
 import type { Revision } from "@knapweedwood/core.ids/revision";
@@ -13,7 +13,7 @@
     publisher: ConfigurationPublisher;
     /** The configuration in force here, and on how many processes it is. */
     configuration: ConfigurationSource & {
-        inForce(revision?: Revision): Promise<InForceReport>;
+        inForce(revision?: Revision): Promise<ActiveRevisionReport>;
         waitFor(revision: Revision, opts: { timeoutMs: number; }): Promise<boolean>;
     };
     jobs: BatchService;
--- a/api/operators/test/operatorsApi.test.ts
+++ b/api/operators/test/operatorsApi.test.ts
@@ -1,5 +1,5 @@
 import type { BatchService } from "@knapweedwood/batch.jobs/batchService";
-import { ConfigurationHolder } from "@knapweedwood/config.distribution/configurationHolder";
+import { ActiveConfiguration } from "@knapweedwood/config.distribution/activeConfiguration";
 import { ConfigurationPublisher } from "@knapweedwood/config.publishing/configurationPublisher";
 import { ConfigurationStore } from "@knapweedwood/config.publishing/configurationStore";
 import { KeyValueChunkSource } from "@knapweedwood/config.publishing/keyValueChunkSource";
@@ -33,7 +33,7 @@
     const clock = new SystemClock();
     const keyValue = new MemoryKeyValueService({ clock });
     const publisher = new ConfigurationPublisher({ keyValue, clock, createChangeId: randomUUID });
-    const holder = new ConfigurationHolder({ onAdopted: () => undefined });
+    const holder = new ActiveConfiguration({ onAdopted: () => undefined });
     const store = new ConfigurationStore({ keyValue });
     const catchUp = async () => {
         const { root } = await store.load();
--- a/bench/capacity/src/measureConfiguration.ts
+++ b/bench/capacity/src/measureConfiguration.ts
@@ -1,4 +1,4 @@
-import { ConfigurationHolder } from "@knapweedwood/config.distribution/configurationHolder";
+import { ActiveConfiguration } from "@knapweedwood/config.distribution/activeConfiguration";
 import type { ChunkSource } from "@knapweedwood/config.publishing/chunkSource";
 import type { ConfigurationChange } from "@knapweedwood/config.publishing/configurationChange";
 import { ConfigurationPublisher } from "@knapweedwood/config.publishing/configurationPublisher";
@@ -65,7 +65,7 @@
         changes: Array.from({ length: teams }, (_, n) => teamChanges(n, 1)).flat(),
     });
     const heapBeforeBytes = heapAfterCollection();
-    const holder = new ConfigurationHolder({ onAdopted: () => undefined });
+    const holder = new ActiveConfiguration({ onAdopted: () => undefined });
     await adoptNewest(holder, keyValue);
     const heapBytes = heapAfterCollection() - heapBeforeBytes;
     const calls = () => keyValue.counters.reads + keyValue.counters.writes;
@@ -88,7 +88,7 @@
 
 /** Adopts revision after revision, as one process of the fleet does, with the chunks at hand. */
 async function measureAdopting(
-    opts: { publisher: ConfigurationPublisher; keyValue: MemoryKeyValueService; holder: ConfigurationHolder; },
+    opts: { publisher: ConfigurationPublisher; keyValue: MemoryKeyValueService; holder: ActiveConfiguration; },
 ): Promise<number> {
     await adoptNewest(opts.holder, opts.keyValue);
     let usedMs = 0;
@@ -104,7 +104,7 @@
     return usedMs / PUBLISHES;
 }
 
-async function adoptNewest(holder: ConfigurationHolder, keyValue: MemoryKeyValueService): Promise<void> {
+async function adoptNewest(holder: ActiveConfiguration, keyValue: MemoryKeyValueService): Promise<void> {
     const { root } = await new ConfigurationStore({ keyValue }).load();
     await holder.adopt(root ?? fail(), new KeyValueChunkSource({ keyValue }));
 }
--- a/config/distribution/src/configurationHolder.ts
+++ b/config/distribution/src/activeConfiguration.ts
@@ -11,7 +11,7 @@
 export type AdoptionListener = (adopted: { root: ConfigurationRoot; before: ConfigurationTree; }) => void;
 
 /** The revision in force in this process. It only rises. */
-export class ConfigurationHolder implements ConfigurationSource {
+export class ActiveConfiguration implements ConfigurationSource {
     private view: ConfigurationView | undefined;
     private heldRoot: ConfigurationRoot | undefined;
     private heldTree = ConfigurationTree.empty;
--- a/config/distribution/src/inForceQuery.ts
+++ b/config/distribution/src/activeRevisionQuery.ts
@@ -5,7 +5,7 @@
 import type { Logger } from "@knapweedwood/observability.logs/logger";
 import type { InstanceList } from "@knapweedwood/routing.instance-list/instanceList";
 import type { InstanceRecord } from "@knapweedwood/routing.instance-list/instanceRecord";
-import type { InForceReport } from "./inForceReport.js";
+import type { ActiveRevisionReport } from "./activeRevisionReport.js";
 import type { MemberRevision } from "./memberRevision.js";
 import { watchersOfZone } from "./watchersOfZone.js";
 import { zoneStatusCall } from "./zoneStatusCall.js";
@@ -13,7 +13,7 @@
 const STATUS_TIMEOUT_MS = 1_000;
 
 /** Asks the watchers of each zone what is in force below them. */
-export class InForceQuery {
+export class ActiveRevisionQuery {
     private readonly identity: PeerIdentity;
     private readonly endpoint: LinkEndpoint;
     private readonly instanceList: InstanceList;
@@ -34,7 +34,7 @@
         this.ownMembers = opts.ownMembers;
     }
 
-    async run(revision: Revision): Promise<InForceReport> {
+    async run(revision: Revision): Promise<ActiveRevisionReport> {
         const instances = (await this.instanceList.list())
             .filter(instance => instance.kind !== "upstream" && instance.region === this.identity.region);
         const answers = await Promise.all(this.watchersOf(instances).map(watcher => this.ask(watcher)));
--- a/config/distribution/src/chunksBeyond.ts
+++ b/config/distribution/src/addedChunks.ts
@@ -2,7 +2,7 @@
 import type { ConfigurationTree } from "@knapweedwood/config.publishing/configurationTree";
 
 /** The chunks that `after` has and `before` lacks, place by place. */
-export function chunksBeyond(
+export function addedChunks(
     before: ConfigurationTree,
     after: ConfigurationTree,
 ): { reference: ChunkReference; text: string; }[] {
--- a/config/distribution/src/distributedConfiguration.ts
+++ b/config/distribution/src/distributedConfiguration.ts
@@ -8,15 +8,15 @@
 import type { InstanceId } from "@knapweedwood/core.ids/instanceId";
 import type { Revision } from "@knapweedwood/core.ids/revision";
 import type { PeerIdentity } from "@knapweedwood/links.calls/peerIdentity";
+import { ActiveConfiguration } from "./activeConfiguration.js";
+import { ActiveRevisionQuery } from "./activeRevisionQuery.js";
+import type { ActiveRevisionReport } from "./activeRevisionReport.js";
+import { addedChunks } from "./addedChunks.js";
 import { announceNotification } from "./announceNotification.js";
-import { beatNotification } from "./beatNotification.js";
-import { chunksBeyond } from "./chunksBeyond.js";
-import { ConfigurationHolder } from "./configurationHolder.js";
 import { deltaNotification } from "./deltaNotification.js";
-import { handleDistributionCalls } from "./distributionHandlers.js";
 import type { DistributionOptions } from "./distributionOptions.js";
-import { InForceQuery } from "./inForceQuery.js";
-import type { InForceReport } from "./inForceReport.js";
+import { handleDistributionCalls } from "./handleDistributionCalls.js";
+import { heartbeatNotification } from "./heartbeatNotification.js";
 import { MemberReports } from "./memberReports.js";
 import type { MemberRevision } from "./memberRevision.js";
 import { Neighbours } from "./neighbours.js";
@@ -40,7 +40,7 @@
  */
 export class DistributedConfiguration implements ConfigurationSource {
     private readonly opts: DistributionOptions;
-    private readonly holder: ConfigurationHolder;
+    private readonly holder: ActiveConfiguration;
     private readonly reports = new MemberReports({ expiryMs: REPORT_EXPIRY_MS });
     private readonly neighbours: Neighbours;
     private readonly fetcher: RevisionFetcher;
@@ -53,7 +53,7 @@
 
     constructor(opts: DistributionOptions) {
         this.opts = opts;
-        this.holder = new ConfigurationHolder({ onAdopted: adopted => this.handleAdopted(adopted) });
+        this.holder = new ActiveConfiguration({ onAdopted: adopted => this.handleAdopted(adopted) });
         this.neighbours = new Neighbours(opts);
         this.fetcher = new RevisionFetcher({
             holder: this.holder,
@@ -71,7 +71,7 @@
             });
         }
         handleDistributionCalls({ endpoint: opts.endpoint, holder: this.holder, members: () => this.members() });
-        opts.endpoint.receive(beatNotification, (beat, peer) => this.handleBeat(beat, peer));
+        opts.endpoint.receive(heartbeatNotification, (beat, peer) => this.handleBeat(beat, peer));
         opts.endpoint.receive(announceNotification, (message, peer) => this.handleAnnounce(message.revision, peer));
         opts.endpoint.receive(deltaNotification, (delta, peer) => this.fetcher.takeDelta(delta, peer));
     }
@@ -109,8 +109,8 @@
     }
 
     /** Counts on how many processes `revision`, or the one in force here, is in force. */
-    inForce(revision: Revision = this.holder.revision): Promise<InForceReport> {
-        const query = new InForceQuery({ ...this.opts, ownMembers: () => this.members() });
+    inForce(revision: Revision = this.holder.revision): Promise<ActiveRevisionReport> {
+        const query = new ActiveRevisionQuery({ ...this.opts, ownMembers: () => this.members() });
         return query.run(revision);
     }
 
@@ -168,11 +168,11 @@
 
     private beat(): void {
         this.reportUpwards();
-        this.neighbours.siblings().forEach(link => link.notify(beatNotification, this.beatMessage([])));
+        this.neighbours.siblings().forEach(link => link.notify(heartbeatNotification, this.beatMessage([])));
     }
 
     private reportUpwards(): void {
-        this.neighbours.parents().forEach(link => link.notify(beatNotification, this.beatMessage(this.members())));
+        this.neighbours.parents().forEach(link => link.notify(heartbeatNotification, this.beatMessage(this.members())));
     }
 
     private beatMessage(members: MemberRevision[]): { revision: Revision; digest: string; members: MemberRevision[]; } {
@@ -230,7 +230,7 @@
         if (links.length === 0) {
             return;
         }
-        const chunks = chunksBeyond(before, this.holder.tree);
+        const chunks = addedChunks(before, this.holder.tree);
         const sizeCharacters = chunks.reduce((sum, chunk) => sum + chunk.text.length, 0);
         const delta = { root, chunks: sizeCharacters > MAX_DELTA_CHARACTERS ? [] : chunks };
         links.forEach(link => link.notify(deltaNotification, delta));
--- a/config/distribution/src/distributionHandlers.ts
+++ b/config/distribution/src/handleDistributionCalls.ts
@@ -1,7 +1,7 @@
 import type { ChunkReference } from "@knapweedwood/config.publishing/chunkReference";
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 import type { LinkEndpoint } from "@knapweedwood/links.calls/linkEndpoint";
-import type { ConfigurationHolder } from "./configurationHolder.js";
+import type { ActiveConfiguration } from "./activeConfiguration.js";
 import { fetchChunksCall } from "./fetchChunksCall.js";
 import { fetchRootCall } from "./fetchRootCall.js";
 import type { MemberRevision } from "./memberRevision.js";
@@ -11,7 +11,7 @@
 
 /** Answers peers that fetch the configuration, or ask on how many processes it is in force. */
 export function handleDistributionCalls(
-    opts: { endpoint: LinkEndpoint; holder: ConfigurationHolder; members: () => MemberRevision[]; },
+    opts: { endpoint: LinkEndpoint; holder: ActiveConfiguration; members: () => MemberRevision[]; },
 ): void {
     const { endpoint, holder } = opts;
     endpoint.handle(fetchRootCall, async function*() {
@@ -28,7 +28,7 @@
     });
 }
 
-function chunkTexts(holder: ConfigurationHolder, references: ChunkReference[]): string[] {
+function chunkTexts(holder: ActiveConfiguration, references: ChunkReference[]): string[] {
     const wanted = new Set(references);
     const texts = new Map(
         holder.tree.chunks(reference => wanted.has(reference)).map(chunk => [chunk.reference, chunk.text]),
--- a/config/distribution/src/neighbours.ts
+++ b/config/distribution/src/neighbours.ts
@@ -6,10 +6,10 @@
 import type { Logger } from "@knapweedwood/observability.logs/logger";
 import type { InstanceList } from "@knapweedwood/routing.instance-list/instanceList";
 import type { InstanceRecord } from "@knapweedwood/routing.instance-list/instanceRecord";
-import type { DistributionPlace } from "./distributionPlace.js";
+import type { DistributionPosition } from "./distributionPosition.js";
 import { planDistribution } from "./planDistribution.js";
 
-const NOWHERE: DistributionPlace = { isWatcher: false, parents: [], siblings: [] };
+const NOWHERE: DistributionPosition = { isWatcher: false, parents: [], siblings: [] };
 const PARENTS_ADDED_PER_TRY = 2;
 const MAX_PARENTS_TRIED = 16;
 const TRY_MORE_PERIOD_MS = 300;
@@ -27,7 +27,7 @@
     private refreshedAtMs = 0;
     private triedMoreAtMs = 0;
     private parentsTried = PARENTS_ADDED_PER_TRY;
-    private currentPlace: DistributionPlace = NOWHERE;
+    private currentPlace: DistributionPosition = NOWHERE;
 
     constructor(
         opts: {
@@ -45,7 +45,7 @@
         this.logger = opts.logger;
     }
 
-    get place(): DistributionPlace {
+    get place(): DistributionPosition {
         return this.currentPlace;
     }
 
--- a/config/distribution/src/planDistribution.ts
+++ b/config/distribution/src/planDistribution.ts
@@ -1,7 +1,7 @@
 import { rendezvousRank } from "@knapweedwood/core.hashing/rendezvousRank";
 import type { InstanceId } from "@knapweedwood/core.ids/instanceId";
 import type { InstanceRecord } from "@knapweedwood/routing.instance-list/instanceRecord";
-import type { DistributionPlace } from "./distributionPlace.js";
+import type { DistributionPosition } from "./distributionPosition.js";
 import { watchersOfZone } from "./watchersOfZone.js";
 
 /** Most processes that one passes revisions on to, as long as a zone has at most `FAN_OUT`³ processes. */
@@ -15,7 +15,7 @@
  */
 export function planDistribution(
     opts: { self: InstanceRecord; instances: readonly InstanceRecord[]; },
-): DistributionPlace {
+): DistributionPosition {
     const { self } = opts;
     const others = opts.instances.filter(instance =>
         instance.instanceId !== self.instanceId && instance.kind !== "upstream"
--- a/config/distribution/src/revisionFetcher.ts
+++ b/config/distribution/src/revisionFetcher.ts
@@ -7,7 +7,7 @@
 import type { PeerIdentity } from "@knapweedwood/links.calls/peerIdentity";
 import { singleFrame } from "@knapweedwood/links.calls/singleFrame";
 import type { Logger } from "@knapweedwood/observability.logs/logger";
-import type { ConfigurationHolder } from "./configurationHolder.js";
+import type { ActiveConfiguration } from "./activeConfiguration.js";
 import { fetchRootCall } from "./fetchRootCall.js";
 import { LinkChunkSource } from "./linkChunkSource.js";
 
@@ -15,14 +15,14 @@
 
 /** Puts newer revisions in force, with the chunks from wherever they are at hand. */
 export class RevisionFetcher {
-    private readonly holder: ConfigurationHolder;
+    private readonly holder: ActiveConfiguration;
     private readonly linkTo: (peer: PeerIdentity) => Link | undefined;
     private readonly logger: Logger;
     private readonly stopped: AbortSignal;
     private readonly fetching = new Set<InstanceId>();
 
     constructor(opts: {
-        holder: ConfigurationHolder;
+        holder: ActiveConfiguration;
         linkTo: (peer: PeerIdentity) => Link | undefined;
         logger: Logger;
         /** Nothing is put in force once it is aborted. */
--- a/config/service-files/src/parseServiceFiles.ts
+++ b/config/service-files/src/parseServiceFiles.ts
@@ -1,6 +1,6 @@
 import { checkConfiguration } from "@knapweedwood/config.configuration/checkConfiguration";
 import type { ConfigurationView } from "@knapweedwood/config.configuration/configurationView";
-import type { Problem } from "@knapweedwood/config.yaml/problem";
+import type { YamlProblem } from "@knapweedwood/config.yaml/yamlProblem";
 import type { ParsedServiceFile } from "./parsedServiceFile.js";
 import { parseServiceFile } from "./parseServiceFile.js";
 import type { ServiceFile } from "./serviceFile.js";
@@ -50,7 +50,7 @@
     ];
 }
 
-function definedTwice(definitions: Definition[]): Problem[] {
+function definedTwice(definitions: Definition[]): YamlProblem[] {
     const first = new Map<string, Definition>();
     return definitions.flatMap(definition => {
         const earlier = first.get(definition.recordKey);
@@ -70,7 +70,7 @@
     definitions: ServiceFileDefinitions,
     list: Definition[],
     current: ConfigurationView | undefined,
-): Problem[] {
+): YamlProblem[] {
     const byKey = new Map(list.map(definition => [definition.recordKey, definition]));
     const merged = {
         services: [
--- a/config/yaml/src/parseYaml.ts
+++ b/config/yaml/src/parseYaml.ts
@@ -2,7 +2,7 @@
 import type { z } from "zod";
 import { offsetOf } from "./offsetOf.js";
 import type { ParsedYaml } from "./parsedYaml.js";
-import type { Problem } from "./problem.js";
+import type { YamlProblem } from "./yamlProblem.js";
 
 /** Bounds what a file of nested aliases can grow to. */
 const MAX_ALIASES = 100;
@@ -13,7 +13,7 @@
 ): ParsedYaml<z.output<Schema>> {
     const lineCounter = new LineCounter();
     const document = parseDocument(opts.text, { lineCounter, prettyErrors: false });
-    const problemAt = (path: readonly PropertyKey[], expected: string): Problem => ({
+    const problemAt = (path: readonly PropertyKey[], expected: string): YamlProblem => ({
         file: opts.file,
         line: lineCounter.linePos(offsetOf(document, path)).line,
         path: textOf(path),
@@ -51,7 +51,7 @@
     }
 }
 
-function problemsOf(issue: z.core.$ZodIssue, problemAt: ParsedYaml<unknown>["problemAt"]): Problem[] {
+function problemsOf(issue: z.core.$ZodIssue, problemAt: ParsedYaml<unknown>["problemAt"]): YamlProblem[] {
     return issue.code === "unrecognized_keys"
         ? issue.keys.map(key => problemAt([...issue.path, key], "no such field; the field is unknown"))
         : [problemAt(issue.path, issue.message)];
--- a/config/yaml/src/problemsError.ts
+++ b/config/yaml/src/problemsError.ts
@@ -1,8 +1,8 @@
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
-import type { Problem } from "./problem.js";
+import type { YamlProblem } from "./yamlProblem.js";
 
 /** One error that names every problem, a line each. */
-export function problemsError(code: string, problems: Problem[]): KnapweedError {
+export function problemsError(code: string, problems: YamlProblem[]): KnapweedError {
     const lines = problems.map(({ file, line, path, expected }) =>
         `${file}:${line}: ${path === "" ? "" : `${path}: `}${expected}`
     );
--- a/config/yaml/src/problem.ts
+++ b/config/yaml/src/yamlProblem.ts
@@ -1,5 +1,5 @@
 /** One thing wrong in a YAML file. */
-export interface Problem {
+export interface YamlProblem {
     file: string;
     /** Counts from 1. */
     line: number;
