--- a/config/configuration/src/checkConfiguration.ts
+++ b/config/configuration/src/checkConfiguration.ts
@@ -17,8 +17,8 @@
     return [
         ...opts.services.flatMap(service => unknownTeams(service, limitsByTeam)),
         ...opts.services.flatMap(service => limitsOverQuota(service, limitsByTeam)),
-        ...modelsOfferedTwice(opts.services),
-        ...opts.services.flatMap(modelsOfWrongKind),
+        ...duplicateModels(opts.services),
+        ...opts.services.flatMap(modelKindMismatches),
     ];
 }
 
@@ -50,7 +50,7 @@
         );
 }
 
-function modelsOfferedTwice(services: readonly ServiceDefinition[]): ConfigurationProblem[] {
+function duplicateModels(services: readonly ServiceDefinition[]): ConfigurationProblem[] {
     const firstOffer = new Map<string, ServiceDefinition>();
     return services.flatMap(service =>
         service.models.flatMap((model, modelIndex) =>
@@ -77,7 +77,7 @@
     );
 }
 
-function modelsOfWrongKind(service: ServiceDefinition): ConfigurationProblem[] {
+function modelKindMismatches(service: ServiceDefinition): ConfigurationProblem[] {
     if (service.kind === "plain" && service.models.length > 0) {
         return [problem(service, ["models"], "expected no models for a service of kind plain")];
     }
--- a/config/distribution/src/activeConfiguration.ts
+++ b/config/distribution/src/activeConfiguration.ts
@@ -13,8 +13,8 @@
 /** The revision in force in this process. It only rises. */
 export class ActiveConfiguration implements ConfigurationSource {
     private view: ConfigurationView | undefined;
-    private heldRoot: ConfigurationRoot | undefined;
-    private heldTree = ConfigurationTree.empty;
+    private activeRoot: ConfigurationRoot | undefined;
+    private activeTree = ConfigurationTree.empty;
     private readonly listeners = new Set<(view: ConfigurationView) => void>();
     private readonly onAdopted: AdoptionListener;
 
@@ -23,16 +23,16 @@
     }
 
     get root(): ConfigurationRoot | undefined {
-        return this.heldRoot;
+        return this.activeRoot;
     }
 
     get tree(): ConfigurationTree {
-        return this.heldTree;
+        return this.activeTree;
     }
 
     /** 0 before the first. */
     get revision(): Revision {
-        return this.heldRoot?.revision ?? (0 as Revision);
+        return this.activeRoot?.revision ?? (0 as Revision);
     }
 
     current(): ConfigurationView | undefined {
@@ -53,14 +53,14 @@
         if (root.revision <= this.revision) {
             return false;
         }
-        const tree = await loadTree({ root, source, known: this.heldTree });
+        const tree = await loadTree({ root, source, cached: this.activeTree });
         if (root.revision <= this.revision) {
             return false;
         }
-        const before = this.heldTree;
+        const before = this.activeTree;
         const view = new TreeConfigurationView(root, tree);
-        this.heldRoot = root;
-        this.heldTree = tree;
+        this.activeRoot = root;
+        this.activeTree = tree;
         this.view = view;
         this.onAdopted({ root, before });
         this.listeners.forEach(listener => listener(view));
--- a/config/distribution/src/activeRevisionQuery.ts
+++ b/config/distribution/src/activeRevisionQuery.ts
@@ -37,9 +37,9 @@
     async run(revision: Revision): Promise<ActiveRevisionReport> {
         const instances = (await this.instanceList.list())
             .filter(instance => instance.kind !== "upstream" && instance.region === this.identity.region);
-        const answers = await Promise.all(this.watchersOf(instances).map(watcher => this.ask(watcher)));
+        const responses = await Promise.all(this.watchersOf(instances).map(watcher => this.queryWatcher(watcher)));
         const revisions = new Map<string, Revision>();
-        [...this.ownMembers(), ...answers.flat()].forEach(member =>
+        [...this.ownMembers(), ...responses.flat()].forEach(member =>
             revisions.set(
                 member.instanceId,
                 Math.max(member.revision, revisions.get(member.instanceId) ?? 0) as Revision,
@@ -57,11 +57,11 @@
             .filter(watcher => watcher.instanceId !== this.identity.instanceId);
     }
 
-    private async ask(watcher: InstanceRecord): Promise<MemberRevision[]> {
+    private async queryWatcher(watcher: InstanceRecord): Promise<MemberRevision[]> {
         try {
             const link = this.endpoint.connect(watcher.address);
-            const answer = await singleFrame(link.call(zoneStatusCall, {}, { timeoutMs: STATUS_TIMEOUT_MS }));
-            return answer.members;
+            const response = await singleFrame(link.call(zoneStatusCall, {}, { timeoutMs: STATUS_TIMEOUT_MS }));
+            return response.members;
         }
         catch (thrown) {
             this.logger.debug("configuration.status-failed", { watcher: watcher.instanceId, error: String(thrown) });
--- a/config/distribution/src/distributedConfiguration.ts
+++ b/config/distribution/src/distributedConfiguration.ts
@@ -23,14 +23,14 @@
 import { RevisionFetcher } from "./revisionFetcher.js";
 import { RootWatcher } from "./rootWatcher.js";
 
-const BEAT_PERIOD_MS = 2_000;
+const HEARTBEAT_PERIOD_MS = 2_000;
 /** Period at which the link to the parent is looked at. */
-const CHECK_PERIOD_MS = 100;
+const PARENT_CHECK_PERIOD_MS = 100;
 const JITTER_SHARE = 0.2;
 const REPORT_EXPIRY_MS = 7_000;
 const REPORT_DELAY_MS = 20;
 const REFRESH_PERIOD_MS = 2_000;
-const ORPHAN_AFTER_MS = 5_000;
+const ORPHAN_TIMEOUT_MS = 5_000;
 const MAX_DELTA_CHARACTERS = 64 * 1024;
 
 /**
@@ -40,28 +40,28 @@
  */
 export class DistributedConfiguration implements ConfigurationSource {
     private readonly opts: DistributionOptions;
-    private readonly holder: ActiveConfiguration;
+    private readonly active: ActiveConfiguration;
     private readonly reports = new MemberReports({ expiryMs: REPORT_EXPIRY_MS });
     private readonly neighbours: Neighbours;
     private readonly fetcher: RevisionFetcher;
     private readonly watcher: RootWatcher | undefined;
     private readonly keyValueSource: ChunkSource | undefined;
     private readonly stopped = new AbortController();
-    private isReportPlanned = false;
-    private heardFromParentAtMs: number;
-    private heardParent: InstanceId | undefined;
+    private isReportScheduled = false;
+    private lastParentContactAtMs: number;
+    private respondingParent: InstanceId | undefined;
 
     constructor(opts: DistributionOptions) {
         this.opts = opts;
-        this.holder = new ActiveConfiguration({ onAdopted: adopted => this.handleAdopted(adopted) });
+        this.active = new ActiveConfiguration({ onAdopted: adopted => this.handleAdopted(adopted) });
         this.neighbours = new Neighbours(opts);
         this.fetcher = new RevisionFetcher({
-            holder: this.holder,
+            active: this.active,
             linkTo: peer => this.neighbours.linkTo(peer),
             logger: opts.logger,
             stopped: this.stopped.signal,
         });
-        this.heardFromParentAtMs = opts.clock.nowMs();
+        this.lastParentContactAtMs = opts.clock.nowMs();
         if (opts.keyValue !== undefined) {
             this.keyValueSource = new KeyValueChunkSource({ keyValue: opts.keyValue });
             this.watcher = new RootWatcher({
@@ -70,16 +70,19 @@
                 onRoot: root => this.handleRoot(root),
             });
         }
-        handleDistributionCalls({ endpoint: opts.endpoint, holder: this.holder, members: () => this.members() });
-        opts.endpoint.receive(heartbeatNotification, (beat, peer) => this.handleBeat(beat, peer));
-        opts.endpoint.receive(announceNotification, (message, peer) => this.handleAnnounce(message.revision, peer));
-        opts.endpoint.receive(deltaNotification, (delta, peer) => this.fetcher.takeDelta(delta, peer));
+        handleDistributionCalls({ endpoint: opts.endpoint, active: this.active, members: () => this.members() });
+        opts.endpoint.receive(
+            heartbeatNotification,
+            (heartbeat, peer) => this.handleHeartbeat(heartbeat, peer),
+        );
+        opts.endpoint.receive(announceNotification, (message, peer) => this.handleAnnouncement(message.revision, peer));
+        opts.endpoint.receive(deltaNotification, (delta, peer) => this.fetcher.applyDelta(delta, peer));
     }
 
     /** Starts following; resolves at once, whether or not a configuration has been found. */
     start(): Promise<void> {
         void this.refreshLoop();
-        void this.beatLoop();
+        void this.heartbeatLoop();
         return Promise.resolve();
     }
 
@@ -90,50 +93,50 @@
     }
 
     current(): ConfigurationView | undefined {
-        return this.holder.current();
+        return this.active.current();
     }
 
     subscribe(listener: (view: ConfigurationView) => void): () => void {
-        return this.holder.subscribe(listener);
+        return this.active.subscribe(listener);
     }
 
     /** Waits until `revision` or a higher one is in force here. @returns whether it is */
     async waitFor(revision: Revision, opts: { timeoutMs: number; }): Promise<boolean> {
         const aborter = new AbortController();
-        const unsubscribe = this.holder.subscribe(view => view.revision >= revision && aborter.abort());
-        if (this.holder.revision < revision) {
+        const unsubscribe = this.active.subscribe(view => view.revision >= revision && aborter.abort());
+        if (this.active.revision < revision) {
             await sleep(this.opts.clock, opts.timeoutMs, aborter.signal);
         }
         unsubscribe();
-        return this.holder.revision >= revision;
+        return this.active.revision >= revision;
     }
 
     /** Counts on how many processes `revision`, or the one in force here, is in force. */
-    inForce(revision: Revision = this.holder.revision): Promise<ActiveRevisionReport> {
+    inForce(revision: Revision = this.active.revision): Promise<ActiveRevisionReport> {
         const query = new ActiveRevisionQuery({ ...this.opts, ownMembers: () => this.members() });
         return query.run(revision);
     }
 
     private members(): MemberRevision[] {
-        const self = { instanceId: this.opts.identity.instanceId, revision: this.holder.revision };
+        const self = { instanceId: this.opts.identity.instanceId, revision: this.active.revision };
         return [self, ...this.reports.members(this.opts.clock.nowMs())];
     }
 
     private async refreshLoop(): Promise<void> {
         while (!this.stopped.signal.aborted) {
-            await this.neighbours.refreshWhereDue();
-            this.followOrNot();
+            await this.neighbours.refreshIfDue();
+            this.updateWatcher();
             await this.pause(REFRESH_PERIOD_MS);
         }
     }
 
     /** Follows the key-value service while this process is a watcher, or while no parent answers. */
-    private followOrNot(): void {
-        const isOrphan = this.opts.clock.nowMs() - this.heardFromParentAtMs > ORPHAN_AFTER_MS;
+    private updateWatcher(): void {
+        const isOrphan = this.opts.clock.nowMs() - this.lastParentContactAtMs > ORPHAN_TIMEOUT_MS;
         if (this.stopped.signal.aborted) {
             return;
         }
-        if (this.neighbours.place.isWatcher || isOrphan) {
+        if (this.neighbours.position.isWatcher || isOrphan) {
             this.watcher?.start();
         }
         else {
@@ -141,42 +144,46 @@
         }
     }
 
-    private async beatLoop(): Promise<void> {
+    private async heartbeatLoop(): Promise<void> {
         const { clock, metrics, random } = this.opts;
         let dueAtMs = 0;
         while (!this.stopped.signal.aborted) {
-            if (this.isUnheard() || clock.nowMs() >= dueAtMs) {
-                this.beat();
-                metrics.gauge("configuration.revision", this.holder.revision);
-                dueAtMs = clock.nowMs() + BEAT_PERIOD_MS * (1 + random.next() * JITTER_SHARE);
+            if (this.needsHeartbeatNow() || clock.nowMs() >= dueAtMs) {
+                this.sendHeartbeats();
+                metrics.gauge("configuration.revision", this.active.revision);
+                dueAtMs = clock.nowMs() + HEARTBEAT_PERIOD_MS * (1 + random.next() * JITTER_SHARE);
             }
-            await this.pause(CHECK_PERIOD_MS);
+            await this.pause(PARENT_CHECK_PERIOD_MS);
         }
     }
 
     /** Whether the parent has not answered since it was linked to, or there is no configuration: then beats follow one another at once. */
-    private isUnheard(): boolean {
-        if (this.neighbours.place.isWatcher) {
-            return this.holder.root === undefined;
+    private needsHeartbeatNow(): boolean {
+        if (this.neighbours.position.isWatcher) {
+            return this.active.root === undefined;
         }
         const parent = this.neighbours.parents().at(0)?.peer?.instanceId;
-        if (parent === undefined || parent !== this.heardParent) {
-            this.heardParent = undefined;
+        if (parent === undefined || parent !== this.respondingParent) {
+            this.respondingParent = undefined;
         }
-        return this.heardParent === undefined;
+        return this.respondingParent === undefined;
     }
 
-    private beat(): void {
+    private sendHeartbeats(): void {
         this.reportUpwards();
-        this.neighbours.siblings().forEach(link => link.notify(heartbeatNotification, this.beatMessage([])));
+        this.neighbours.siblings().forEach(link => link.notify(heartbeatNotification, this.heartbeatMessage([])));
     }
 
     private reportUpwards(): void {
-        this.neighbours.parents().forEach(link => link.notify(heartbeatNotification, this.beatMessage(this.members())));
+        this.neighbours.parents().forEach(link =>
+            link.notify(heartbeatNotification, this.heartbeatMessage(this.members()))
+        );
     }
 
-    private beatMessage(members: MemberRevision[]): { revision: Revision; digest: string; members: MemberRevision[]; } {
-        return { revision: this.holder.revision, digest: this.holder.root?.digest ?? "", members };
+    private heartbeatMessage(
+        members: MemberRevision[],
+    ): { revision: Revision; digest: string; members: MemberRevision[]; } {
+        return { revision: this.active.revision, digest: this.active.root?.digest ?? "", members };
     }
 
     private pause(periodMs: number): Promise<void> {
@@ -184,27 +191,30 @@
         return sleep(clock, periodMs * (1 + random.next() * JITTER_SHARE), this.stopped.signal);
     }
 
-    private handleBeat(
-        beat: { revision: Revision; digest: string; members: MemberRevision[]; },
+    private handleHeartbeat(
+        heartbeat: { revision: Revision; digest: string; members: MemberRevision[]; },
         peer: PeerIdentity,
     ): void {
         if (this.stopped.signal.aborted) {
             return;
         }
-        if (beat.members.length > 0 && this.reports.put(peer.instanceId, beat.members, this.opts.clock.nowMs())) {
-            this.planReport();
+        if (
+            heartbeat.members.length > 0
+            && this.reports.record(peer.instanceId, heartbeat.members, this.opts.clock.nowMs())
+        ) {
+            this.scheduleReport();
         }
-        const announcement = { revision: this.holder.revision, digest: this.holder.root?.digest ?? "" };
+        const announcement = { revision: this.active.revision, digest: this.active.root?.digest ?? "" };
         this.neighbours.linkTo(peer)?.notify(announceNotification, announcement);
-        this.fetcher.fetchWhereNewer(beat.revision, peer);
+        this.fetcher.fetchIfNewer(heartbeat.revision, peer);
     }
 
-    private handleAnnounce(revision: Revision, peer: PeerIdentity): void {
+    private handleAnnouncement(revision: Revision, peer: PeerIdentity): void {
         if (this.neighbours.isParent(peer)) {
-            this.heardFromParentAtMs = this.opts.clock.nowMs();
+            this.lastParentContactAtMs = this.opts.clock.nowMs();
         }
-        this.heardParent = peer.instanceId;
-        this.fetcher.fetchWhereNewer(revision, peer);
+        this.respondingParent = peer.instanceId;
+        this.fetcher.fetchIfNewer(revision, peer);
     }
 
     private handleRoot(root: ConfigurationRoot): void {
@@ -218,11 +228,11 @@
         const ageMs = this.opts.clock.nowMs() - root.publishedAtMs;
         this.opts.logger.info("configuration.in-force", { revision: root.revision, ageMs: Math.round(ageMs) });
         this.opts.metrics.timing("configuration.in_force_ms", ageMs);
-        this.passOn(root, adopted.before);
-        this.planReport();
+        this.forward(root, adopted.before);
+        this.scheduleReport();
     }
 
-    private passOn(root: ConfigurationRoot, before: ConfigurationTree): void {
+    private forward(root: ConfigurationRoot, before: ConfigurationTree): void {
         const links = [
             ...this.reports.children(this.opts.clock.nowMs()).flatMap(child => this.neighbours.linkToId(child) ?? []),
             ...this.neighbours.siblings(),
@@ -230,20 +240,20 @@
         if (links.length === 0) {
             return;
         }
-        const chunks = addedChunks(before, this.holder.tree);
+        const chunks = addedChunks(before, this.active.tree);
         const sizeCharacters = chunks.reduce((sum, chunk) => sum + chunk.text.length, 0);
         const delta = { root, chunks: sizeCharacters > MAX_DELTA_CHARACTERS ? [] : chunks };
         links.forEach(link => link.notify(deltaNotification, delta));
     }
 
     /** Reports upwards soon, gathering the reports that arrive meanwhile. */
-    private planReport(): void {
-        if (this.isReportPlanned) {
+    private scheduleReport(): void {
+        if (this.isReportScheduled) {
             return;
         }
-        this.isReportPlanned = true;
+        this.isReportScheduled = true;
         this.opts.clock.setTimer(REPORT_DELAY_MS, () => {
-            this.isReportPlanned = false;
+            this.isReportScheduled = false;
             if (!this.stopped.signal.aborted) {
                 this.reportUpwards();
             }
--- a/config/distribution/src/handleDistributionCalls.ts
+++ b/config/distribution/src/handleDistributionCalls.ts
@@ -11,14 +11,14 @@
 
 /** Answers peers that fetch the configuration, or ask on how many processes it is in force. */
 export function handleDistributionCalls(
-    opts: { endpoint: LinkEndpoint; holder: ActiveConfiguration; members: () => MemberRevision[]; },
+    opts: { endpoint: LinkEndpoint; active: ActiveConfiguration; members: () => MemberRevision[]; },
 ): void {
-    const { endpoint, holder } = opts;
+    const { endpoint, active } = opts;
     endpoint.handle(fetchRootCall, async function*() {
-        yield holder.root === undefined ? {} : { root: holder.root };
+        yield active.root === undefined ? {} : { root: active.root };
     });
     endpoint.handle(fetchChunksCall, async function*(request) {
-        const texts = chunkTexts(holder, request.references);
+        const texts = chunkTexts(active, request.references);
         for (let start = 0; start < texts.length; start += TEXTS_PER_FRAME) {
             yield { texts: texts.slice(start, start + TEXTS_PER_FRAME) };
         }
@@ -28,10 +28,10 @@
     });
 }
 
-function chunkTexts(holder: ActiveConfiguration, references: ChunkReference[]): string[] {
+function chunkTexts(active: ActiveConfiguration, references: ChunkReference[]): string[] {
     const wanted = new Set(references);
     const texts = new Map(
-        holder.tree.chunks(reference => wanted.has(reference)).map(chunk => [chunk.reference, chunk.text]),
+        active.tree.chunks(reference => wanted.has(reference)).map(chunk => [chunk.reference, chunk.text]),
     );
     return references.map(reference => {
         const text = texts.get(reference);
--- a/config/distribution/src/memberReports.ts
+++ b/config/distribution/src/memberReports.ts
@@ -3,7 +3,7 @@
 
 interface Report {
     members: MemberRevision[];
-    heardAtMs: number;
+    receivedAtMs: number;
 }
 
 /** What the processes below this one reported last. */
@@ -16,9 +16,9 @@
     }
 
     /** @returns whether the report differs from the one before */
-    put(child: InstanceId, members: MemberRevision[], nowMs: number): boolean {
+    record(child: InstanceId, members: MemberRevision[], nowMs: number): boolean {
         const before = this.reports.get(child);
-        this.reports.set(child, { members, heardAtMs: nowMs });
+        this.reports.set(child, { members, receivedAtMs: nowMs });
         return before === undefined || !areSame(before.members, members);
     }
 
@@ -31,23 +31,23 @@
     /** All members below, each with the highest revision reported. */
     members(nowMs: number): MemberRevision[] {
         this.dropExpired(nowMs);
-        return highestOfEach([...this.reports.values()].flatMap(report => report.members));
+        return highestRevisions([...this.reports.values()].flatMap(report => report.members));
     }
 
     private dropExpired(nowMs: number): void {
         this.reports.forEach((report, child) => {
-            if (nowMs - report.heardAtMs > this.expiryMs) {
+            if (nowMs - report.receivedAtMs > this.expiryMs) {
                 this.reports.delete(child);
             }
         });
     }
 }
 
-function highestOfEach(members: MemberRevision[]): MemberRevision[] {
+function highestRevisions(members: MemberRevision[]): MemberRevision[] {
     const highest = new Map<InstanceId, MemberRevision>();
     members.forEach(member => {
-        const known = highest.get(member.instanceId);
-        if (known === undefined || known.revision < member.revision) {
+        const current = highest.get(member.instanceId);
+        if (current === undefined || current.revision < member.revision) {
             highest.set(member.instanceId, member);
         }
     });
--- a/config/distribution/src/neighbours.ts
+++ b/config/distribution/src/neighbours.ts
@@ -9,12 +9,12 @@
 import type { DistributionPosition } from "./distributionPosition.js";
 import { planDistribution } from "./planDistribution.js";
 
-const NOWHERE: DistributionPosition = { isWatcher: false, parents: [], siblings: [] };
+const NO_POSITION: DistributionPosition = { isWatcher: false, parents: [], siblings: [] };
 const PARENTS_ADDED_PER_TRY = 2;
-const MAX_PARENTS_TRIED = 16;
-const TRY_MORE_PERIOD_MS = 300;
+const MAX_PARENTS_TO_TRY = 16;
+const ADD_PARENTS_PERIOD_MS = 300;
 /** How old the instance list may be for a process whose preferred parent answers. */
-const SETTLED_REFRESH_PERIOD_MS = 20_000;
+const CONNECTED_REFRESH_PERIOD_MS = 20_000;
 
 /** The links to the processes beside and above this one, kept in step with the instance list. */
 export class Neighbours {
@@ -22,12 +22,12 @@
     private readonly endpoint: LinkEndpoint;
     private readonly instanceList: InstanceList;
     private readonly logger: Logger;
-    private readonly opened = new Map<string, Link>();
+    private readonly linksByAddress = new Map<string, Link>();
     private readonly clock: Clock;
     private refreshedAtMs = 0;
-    private triedMoreAtMs = 0;
-    private parentsTried = PARENTS_ADDED_PER_TRY;
-    private currentPlace: DistributionPosition = NOWHERE;
+    private parentsAddedAtMs = 0;
+    private parentsToTry = PARENTS_ADDED_PER_TRY;
+    private currentPosition: DistributionPosition = NO_POSITION;
 
     constructor(
         opts: {
@@ -45,14 +45,14 @@
         this.logger = opts.logger;
     }
 
-    get place(): DistributionPosition {
-        return this.currentPlace;
+    get position(): DistributionPosition {
+        return this.currentPosition;
     }
 
     /** Reads the instance list: often while this process watches, or finds no parent, and seldom otherwise. */
-    async refreshWhereDue(): Promise<void> {
+    async refreshIfDue(): Promise<void> {
         const nowMs = this.clock.nowMs();
-        const isFresh = this.isSettled() && nowMs - this.refreshedAtMs < SETTLED_REFRESH_PERIOD_MS;
+        const isFresh = this.isConnectedToParent() && nowMs - this.refreshedAtMs < CONNECTED_REFRESH_PERIOD_MS;
         if (!isFresh) {
             this.refreshedAtMs = nowMs;
             await this.refresh();
@@ -64,13 +64,13 @@
         try {
             const instances = await this.instanceList.list();
             const inRegion = instances.filter(instance => instance.region === this.identity.region);
-            this.currentPlace = planDistribution({ self: this.ownRecord(), instances: inRegion });
-            this.closeVanished(instances);
+            this.currentPosition = planDistribution({ self: this.ownRecord(), instances: inRegion });
+            this.closeUnlisted(instances);
         }
         catch (thrown) {
             this.logger.debug("configuration.instance-list-away", { error: String(thrown) });
-            if (this.currentPlace === NOWHERE) {
-                this.currentPlace = planDistribution({ self: this.ownRecord(), instances: [] });
+            if (this.currentPosition === NO_POSITION) {
+                this.currentPosition = planDistribution({ self: this.ownRecord(), instances: [] });
             }
         }
     }
@@ -81,24 +81,24 @@
      */
     parents(): Link[] {
         const links: Link[] = [];
-        for (const parent of this.currentPlace.parents.slice(0, this.parentsTried)) {
+        for (const parent of this.currentPosition.parents.slice(0, this.parentsToTry)) {
             const link = this.connect(parent);
             if (link.state === "open") {
-                this.parentsTried = Math.max(1, links.length + 1);
+                this.parentsToTry = Math.max(1, links.length + 1);
                 return [link];
             }
             links.push(link);
         }
         this.tryMoreParents();
-        return this.openEntries();
+        return this.openEntryLinks();
     }
 
     siblings(): Link[] {
-        return this.currentPlace.siblings.map(sibling => this.connect(sibling));
+        return this.currentPosition.siblings.map(sibling => this.connect(sibling));
     }
 
     isParent(peer: PeerIdentity): boolean {
-        return this.currentPlace.parents.some(parent => parent.instanceId === peer.instanceId);
+        return this.currentPosition.parents.some(parent => parent.instanceId === peer.instanceId);
     }
 
     linkTo(peer: PeerIdentity): Link | undefined {
@@ -112,36 +112,36 @@
 
     private tryMoreParents(): void {
         const nowMs = this.clock.nowMs();
-        if (nowMs - this.triedMoreAtMs >= TRY_MORE_PERIOD_MS) {
-            this.triedMoreAtMs = nowMs;
-            this.parentsTried = Math.min(MAX_PARENTS_TRIED, this.parentsTried + PARENTS_ADDED_PER_TRY);
+        if (nowMs - this.parentsAddedAtMs >= ADD_PARENTS_PERIOD_MS) {
+            this.parentsAddedAtMs = nowMs;
+            this.parentsToTry = Math.min(MAX_PARENTS_TO_TRY, this.parentsToTry + PARENTS_ADDED_PER_TRY);
         }
     }
 
-    private isSettled(): boolean {
-        const [parent] = this.currentPlace.parents;
-        return parent !== undefined && this.opened.get(parent.address)?.state === "open";
+    private isConnectedToParent(): boolean {
+        const [parent] = this.currentPosition.parents;
+        return parent !== undefined && this.linksByAddress.get(parent.address)?.state === "open";
     }
 
     /** Where no parent is known, such as when the instance list is away, any entry that has linked to this process. */
-    private openEntries(): Link[] {
-        return this.currentPlace.isWatcher
+    private openEntryLinks(): Link[] {
+        return this.currentPosition.isWatcher
             ? []
             : this.endpoint.links().filter(link => link.state === "open" && link.peer?.kind === "entry").slice(0, 2);
     }
 
     private connect(instance: InstanceRecord): Link {
         const link = this.endpoint.connect(instance.address);
-        this.opened.set(instance.address, link);
+        this.linksByAddress.set(instance.address, link);
         return link;
     }
 
-    private closeVanished(instances: InstanceRecord[]): void {
+    private closeUnlisted(instances: InstanceRecord[]): void {
         const listed = new Set(instances.map(instance => instance.address));
-        this.opened.forEach((link, address) => {
+        this.linksByAddress.forEach((link, address) => {
             if (!listed.has(address) && link.state !== "open") {
                 link.close();
-                this.opened.delete(address);
+                this.linksByAddress.delete(address);
             }
         });
     }
--- a/config/distribution/src/planDistribution.ts
+++ b/config/distribution/src/planDistribution.ts
@@ -7,7 +7,7 @@
 /** Most processes that one passes revisions on to, as long as a zone has at most `FAN_OUT`³ processes. */
 const FAN_OUT = 16;
 const SIBLINGS_IN_OTHER_ZONES = 2;
-const MAX_PARENTS_OF_A_KIND = 4;
+const MAX_PARENTS_PER_GROUP = 4;
 
 /**
  * The place of one process: watchers of its zone at the top, relays below them where the zone is large, all others
@@ -30,15 +30,15 @@
         .filter(instance => watchers.every(watcher => watcher.instanceId !== instance.instanceId));
     const relays = relaysOf(self, members, watchers.length);
     const isRelay = relays.some(relay => relay.instanceId === self.instanceId);
-    const preferred = isRelay ? [] : ranked(`configuration/${self.instanceId}/relay`, relays);
+    const preferred = isRelay ? [] : rankInstances(`configuration/${self.instanceId}/relay`, relays);
     const entries = others.filter(instance => instance.kind === "entry");
     const candidates = [
         preferred,
-        ranked(`configuration/${self.instanceId}/watcher`, watchers),
-        ranked(`configuration/${self.instanceId}/entry`, entries.filter(entry => entry.zone === self.zone)),
-        ranked(`configuration/${self.instanceId}/entry`, entries.filter(entry => entry.zone !== self.zone)),
+        rankInstances(`configuration/${self.instanceId}/watcher`, watchers),
+        rankInstances(`configuration/${self.instanceId}/entry`, entries.filter(entry => entry.zone === self.zone)),
+        rankInstances(`configuration/${self.instanceId}/entry`, entries.filter(entry => entry.zone !== self.zone)),
     ];
-    const parents = candidates.flatMap(group => group.slice(0, MAX_PARENTS_OF_A_KIND));
+    const parents = candidates.flatMap(group => group.slice(0, MAX_PARENTS_PER_GROUP));
     return { isWatcher: false, parents: [...new Set(parents)], siblings: [] };
 }
 
@@ -47,18 +47,18 @@
         return [];
     }
     const count = 2 ** Math.ceil(Math.log2(members.length / FAN_OUT));
-    return ranked(`configuration/${self.zone}/relay`, members).slice(0, count);
+    return rankInstances(`configuration/${self.zone}/relay`, members).slice(0, count);
 }
 
 function siblingsOf(self: InstanceRecord, watchers: InstanceRecord[], all: InstanceRecord[]): InstanceRecord[] {
-    const own = watchers.filter(watcher => watcher.instanceId !== self.instanceId);
+    const sameZone = watchers.filter(watcher => watcher.instanceId !== self.instanceId);
     const otherZones = [...new Set(all.map(instance => instance.zone))].filter(zone => zone !== self.zone);
-    const elsewhere = otherZones.flatMap(zone => watchersOfZone(zone, all).filter(watcher => watcher.zone === zone));
+    const inOtherZones = otherZones.flatMap(zone => watchersOfZone(zone, all).filter(watcher => watcher.zone === zone));
     const key = `configuration/${self.instanceId}/sibling`;
-    return [...own, ...ranked(key, elsewhere).slice(0, SIBLINGS_IN_OTHER_ZONES)];
+    return [...sameZone, ...rankInstances(key, inOtherZones).slice(0, SIBLINGS_IN_OTHER_ZONES)];
 }
 
-function ranked(key: string, instances: readonly InstanceRecord[]): InstanceRecord[] {
+function rankInstances(key: string, instances: readonly InstanceRecord[]): InstanceRecord[] {
     const byId = new Map<InstanceId, InstanceRecord>(instances.map(instance => [instance.instanceId, instance]));
     return rendezvousRank(key, [...byId.keys()]).map(instanceId => byId.get(instanceId) as InstanceRecord);
 }
--- a/config/distribution/src/revisionFetcher.ts
+++ b/config/distribution/src/revisionFetcher.ts
@@ -15,36 +15,36 @@
 
 /** Puts newer revisions in force, with the chunks from wherever they are at hand. */
 export class RevisionFetcher {
-    private readonly holder: ActiveConfiguration;
+    private readonly active: ActiveConfiguration;
     private readonly linkTo: (peer: PeerIdentity) => Link | undefined;
     private readonly logger: Logger;
     private readonly stopped: AbortSignal;
     private readonly fetching = new Set<InstanceId>();
 
     constructor(opts: {
-        holder: ActiveConfiguration;
+        active: ActiveConfiguration;
         linkTo: (peer: PeerIdentity) => Link | undefined;
         logger: Logger;
         /** Nothing is put in force once it is aborted. */
         stopped: AbortSignal;
     }) {
-        this.holder = opts.holder;
+        this.active = opts.active;
         this.linkTo = opts.linkTo;
         this.logger = opts.logger;
         this.stopped = opts.stopped;
     }
 
     /** Asks a peer for its revision, where that is newer. */
-    fetchWhereNewer(revision: Revision, peer: PeerIdentity): void {
+    fetchIfNewer(revision: Revision, peer: PeerIdentity): void {
         const link = this.linkTo(peer);
-        if (revision > this.holder.revision && link !== undefined && !this.fetching.has(peer.instanceId)) {
+        if (revision > this.active.revision && link !== undefined && !this.fetching.has(peer.instanceId)) {
             this.fetching.add(peer.instanceId);
             void this.fetchFrom(link).finally(() => this.fetching.delete(peer.instanceId));
         }
     }
 
     /** Takes a revision that a peer passed on; what its delta lacks is fetched from the peer. */
-    takeDelta(
+    applyDelta(
         delta: { root: ConfigurationRoot; chunks: { reference: ChunkReference; text: string; }[]; },
         peer: PeerIdentity,
     ): void {
@@ -58,7 +58,7 @@
     async adopt(root: ConfigurationRoot, source: ChunkSource): Promise<void> {
         try {
             if (!this.stopped.aborted) {
-                await this.holder.adopt(root, source);
+                await this.active.adopt(root, source);
             }
         }
         catch (thrown) {
--- a/config/distribution/src/rootWatcher.ts
+++ b/config/distribution/src/rootWatcher.ts
@@ -7,8 +7,8 @@
 import type { Random } from "@knapweedwood/core.random/random";
 import type { Logger } from "@knapweedwood/observability.logs/logger";
 
-const SWEEP_PERIOD_MS = 1_000;
-const SWEEP_JITTER_MS = 200;
+const POLL_PERIOD_MS = 1_000;
+const POLL_JITTER_MS = 200;
 
 /**
  * Follows the configuration's root in the key-value service: by a watch for speed, and by reading it again and again,
@@ -44,8 +44,8 @@
     start(): void {
         if (this.aborter === undefined) {
             this.aborter = new AbortController();
-            void this.sweep(this.aborter.signal);
-            void this.follow(this.aborter.signal);
+            void this.pollLoop(this.aborter.signal);
+            void this.watchLoop(this.aborter.signal);
         }
     }
 
@@ -62,21 +62,21 @@
         }
     }
 
-    private async sweep(signal: AbortSignal): Promise<void> {
+    private async pollLoop(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
             await this.attempt("configuration.sweep-failed", () => this.read());
             await this.pause(signal);
         }
     }
 
-    private async follow(signal: AbortSignal): Promise<void> {
+    private async watchLoop(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
-            await this.attempt("configuration.watch-lost", () => this.followOnce(signal));
+            await this.attempt("configuration.watch-lost", () => this.watchOnce(signal));
             await this.pause(signal);
         }
     }
 
-    private async followOnce(signal: AbortSignal): Promise<void> {
+    private async watchOnce(signal: AbortSignal): Promise<void> {
         const { revision } = await this.keyValue.transact([], []);
         await this.read();
         const batches = this.keyValue.watch(configurationKeys.root, { afterRevision: revision, signal });
@@ -99,6 +99,6 @@
     }
 
     private pause(signal: AbortSignal): Promise<void> {
-        return sleep(this.clock, SWEEP_PERIOD_MS + this.random.nextInteger(SWEEP_JITTER_MS), signal);
+        return sleep(this.clock, POLL_PERIOD_MS + this.random.nextInteger(POLL_JITTER_MS), signal);
     }
 }
--- a/config/distribution/test/configurationFuzz.test.ts
+++ b/config/distribution/test/configurationFuzz.test.ts
@@ -10,7 +10,7 @@
 const SEED = 20_261_203;
 const ZONES = ["a", "b", "c"];
 const TEAMS = ["cellar", "desk", "portal"];
-const QUIET_MS = 30_000;
+const RECOVERY_MS = 30_000;
 const NAMES = ZONES.flatMap(zone => [`entry-${zone}0`, `entry-${zone}1`, `side-${zone}0`, `side-${zone}1`]);
 
 type Action =
@@ -56,7 +56,7 @@
     },
 );
 
-interface Accepted {
+interface AcceptedPublish {
     revision: number;
     team: string;
     /** Undefined for a rollback. */
@@ -65,12 +65,12 @@
 
 /** Knows what was accepted and what was refused, and nothing of how. */
 class Oracle {
-    readonly accepted: Accepted[] = [];
-    readonly refusedWeights = new Set<number>();
-    private readonly digests = new Map<number, string>();
+    readonly accepted: AcceptedPublish[] = [];
+    readonly rejectedWeights = new Set<number>();
+    private readonly digestsByRevision = new Map<number, string>();
 
     checkRevisions(fleet: FakeFleet): void {
-        fleet.lives.forEach(({ revisions }) => {
+        fleet.startedProcesses.forEach(({ revisions }) => {
             const isRising = revisions.every((revision, index) =>
                 index === 0 || revision > (revisions[index - 1] ?? 0)
             );
@@ -79,9 +79,9 @@
         fleet.processes.forEach(({ configuration }) => {
             const view = configuration.current();
             if (view !== undefined) {
-                const known = this.digests.get(view.revision) ?? view.digest;
-                assert.equal(view.digest, known, `two contents of revision ${view.revision}`);
-                this.digests.set(view.revision, known);
+                const expectedDigest = this.digestsByRevision.get(view.revision) ?? view.digest;
+                assert.equal(view.digest, expectedDigest, `two contents of revision ${view.revision}`);
+                this.digestsByRevision.set(view.revision, expectedDigest);
             }
         });
         const numbers = this.accepted.map(publish => publish.revision);
@@ -99,11 +99,11 @@
         assert.ok((revisions[0] ?? 0) >= this.highest(), "an accepted revision is not in force");
         const view = [...fleet.processes.values()][0]?.configuration.current();
         const weights = (view?.teams() ?? []).map(team => team.weight);
-        assert.ok(weights.every(weight => !this.refusedWeights.has(weight)), "a refused publish is in force");
+        assert.ok(weights.every(weight => !this.rejectedWeights.has(weight)), "a refused publish is in force");
         if (isExact) {
             TEAMS.forEach(team => {
                 const last = this.accepted.filter(publish => publish.team === team)
-                    .reduce<Accepted | undefined>(
+                    .reduce<AcceptedPublish | undefined>(
                         (a, b) => a === undefined || b.revision > a.revision ? b : a,
                         undefined,
                     );
@@ -120,7 +120,7 @@
     const pending: Promise<void>[] = [];
     let weight = 0;
     let isExact = true;
-    const settle = (
+    const recordOutcome = (
         team: string,
         value: number | undefined,
         result: Promise<{ revision: number; published: boolean; }>,
@@ -137,7 +137,7 @@
                     isExact = false;
                 }
                 else if (value !== undefined) {
-                    oracle.refusedWeights.add(value);
+                    oracle.rejectedWeights.add(value);
                 }
             },
         ));
@@ -146,7 +146,7 @@
         switch (step.kind) {
             case "publish":
                 weight += 1;
-                return settle(
+                return recordOutcome(
                     step.team,
                     weight,
                     fleet.createPublisher().publish({
@@ -157,7 +157,7 @@
             case "rollback": {
                 isExact = false;
                 const revision = Math.max(1, oracle.highest() - step.back) as never;
-                return settle("", undefined, fleet.createPublisher().rollback({ revision, actor: "bob" }));
+                return recordOutcome("", undefined, fleet.createPublisher().rollback({ revision, actor: "bob" }));
             }
             case "lose-answers":
                 return fleet.keyValue.faults.loseNextAnswers(step.count);
@@ -187,16 +187,16 @@
         await apply(step);
         oracle.checkRevisions(fleet);
     }
-    calm(fleet);
+    clearFaults(fleet);
     await fleet.run(Promise.all(pending));
-    await fleet.clock.advance(QUIET_MS);
+    await fleet.clock.advance(RECOVERY_MS);
     oracle.checkRevisions(fleet);
     oracle.checkFinal(fleet, isExact);
     fleet.processes.forEach(process => void process.configuration.stop());
 }
 
 /** Ends all faults, and starts what was killed. */
-function calm(fleet: FakeFleet): void {
+function clearFaults(fleet: FakeFleet): void {
     fleet.keyValue.faults.outage = false;
     fleet.keyValue.faults.delayMs = 0;
     fleet.keyValue.faults.loseNextAnswers(0);
--- a/config/distribution/test/fakeFleet.ts
+++ b/config/distribution/test/fakeFleet.ts
@@ -29,7 +29,7 @@
     readonly network: FakeNetwork;
     readonly processes = new Map<InstanceId, FakeProcess>();
     /** Every process that ever lived. */
-    readonly lives: FakeProcess[] = [];
+    readonly startedProcesses: FakeProcess[] = [];
     private readonly random: SeededRandom;
     private changeCount = 0;
     private incarnation = 0;
@@ -37,7 +37,7 @@
     constructor(opts: { seed: number; }) {
         this.random = new SeededRandom(opts.seed);
         this.network = new FakeNetwork({ clock: this.clock, random: this.random });
-        this.announceRegularly();
+        this.announcePeriodically();
     }
 
     start(name: string, kind: "entry" | "side", zone: string): FakeProcess {
@@ -66,7 +66,7 @@
         const started: FakeProcess = { record, configuration, revisions: [] };
         configuration.subscribe(view => started.revisions.push(view.revision));
         this.processes.set(record.instanceId, started);
-        this.lives.push(started);
+        this.startedProcesses.push(started);
         void this.instanceList.announce(record);
         void configuration.start();
         return started;
@@ -109,8 +109,8 @@
         return [...this.processes.values()].map(process => process.configuration.current()?.revision ?? 0);
     }
 
-    private announceRegularly(): void {
+    private announcePeriodically(): void {
         this.processes.forEach(process => void this.instanceList.announce(process.record));
-        this.clock.setTimer(2_000, () => this.announceRegularly());
+        this.clock.setTimer(2_000, () => this.announcePeriodically());
     }
 }
--- a/config/distribution/test/fakeNetwork.ts
+++ b/config/distribution/test/fakeNetwork.ts
@@ -83,7 +83,7 @@
     readonly handlers = new Map<string, AnyHandler>();
     readonly receivers = new Map<string, AnyReceiver>();
     private readonly network: FakeNetwork;
-    private readonly known = new Map<string, Link>();
+    private readonly linksByAddress = new Map<string, Link>();
 
     constructor(opts: { network: FakeNetwork; identity: PeerIdentity; address: string; }) {
         this.network = opts.network;
@@ -107,13 +107,13 @@
     }
 
     connect(address: string): Link {
-        const link = this.known.get(address) ?? this.createLink(address);
-        this.known.set(address, link);
+        const link = this.linksByAddress.get(address) ?? this.createLink(address);
+        this.linksByAddress.set(address, link);
         return link;
     }
 
     links(): Link[] {
-        return [...this.known.values()];
+        return [...this.linksByAddress.values()];
     }
 
     close(): Promise<void> {
@@ -142,7 +142,7 @@
                     target.connect(endpoint.address);
                     target.receivers.get(definition.name)?.(structuredClone(message), endpoint.identity);
                 }),
-            close: () => this.known.delete(address),
+            close: () => this.linksByAddress.delete(address),
         };
     }
 
--- a/config/publishing/src/configurationPublisher.ts
+++ b/config/publishing/src/configurationPublisher.ts
@@ -21,9 +21,9 @@
 
 const MAX_SWAP_ATTEMPTS = 50;
 const RETRY_DELAY_MS = 20;
-const SETTLE_DELAY_MS = 200;
-const SETTLE_TIMEOUT_MS = 10_000;
-const HISTORY_CHANGES_NAMED = 50;
+const CONFIRM_DELAY_MS = 200;
+const CONFIRM_TIMEOUT_MS = 10_000;
+const MAX_CHANGES_PER_HISTORY_ENTRY = 50;
 const DEFAULT_HISTORY_LIMIT = 50;
 const FIRST_REVISION = 1 as Revision;
 const INVALID_STATUS_CODE = 400;
@@ -56,22 +56,22 @@
      * `unknown` where an answer was lost and the key-value service stays away.
      */
     async publish(request: PublishRequest): Promise<PublishResult> {
-        let seen: ConfigurationTree | undefined;
+        let baseTree: ConfigurationTree | undefined;
         const changeId = this.createChangeId();
         for (let attempt = 0; attempt < MAX_SWAP_ATTEMPTS; attempt += 1) {
             const loaded = await this.store.load();
-            seen ??= await this.treeSeen(request, loaded);
-            const planned = plan(request.changes, loaded);
-            const conflicts = conflictsOf(planned.difference, seen, loaded.tree);
+            baseTree ??= await this.loadBaseTree(request, loaded);
+            const planned = planChanges(request.changes, loaded);
+            const conflicts = conflictsOf(planned.difference, baseTree, loaded.tree);
             if (conflicts.length > 0) {
                 throw new PublishConflict(conflicts);
             }
-            check(planned.change.tree);
+            checkTree(planned.change.tree);
             if (request.dryRun === true || planned.difference.length === 0) {
                 return resultOf(loaded.root, planned.difference, false);
             }
-            const history = this.historyOf({ request, changeId, ...planned });
-            if (await this.swapSettled({ modRevision: loaded.modRevision, change: planned.change, history })) {
+            const history = this.createHistoryEntry({ request, changeId, ...planned });
+            if (await this.swapAndConfirm({ modRevision: loaded.modRevision, change: planned.change, history })) {
                 return resultOf(history.root, planned.difference, true);
             }
             await sleep(this.clock, RETRY_DELAY_MS);
@@ -108,13 +108,13 @@
         return differenceOf(await this.store.loadRevision(from), await this.store.loadRevision(to));
     }
 
-    private async treeSeen(request: PublishRequest, loaded: LoadedConfiguration): Promise<ConfigurationTree> {
+    private async loadBaseTree(request: PublishRequest, loaded: LoadedConfiguration): Promise<ConfigurationTree> {
         return request.baseRevision === undefined || request.baseRevision === loaded.root?.revision
             ? loaded.tree
             : this.store.loadRevision(request.baseRevision);
     }
 
-    private historyOf(
+    private createHistoryEntry(
         opts: {
             request: PublishRequest;
             changeId: string;
@@ -134,7 +134,7 @@
             actor: opts.request.actor,
             message: opts.request.message ?? "",
             changes: opts.difference
-                .slice(0, HISTORY_CHANGES_NAMED)
+                .slice(0, MAX_CHANGES_PER_HISTORY_ENTRY)
                 .map(changed => ({ recordKey: changed.recordKey, kind: changed.kind })),
             changeCount: opts.difference.length,
             replaced: opts.change.replaced,
@@ -142,7 +142,7 @@
     }
 
     /** Swaps; where the answer is lost, finds out by reading whether the swap took effect. */
-    private async swapSettled(
+    private async swapAndConfirm(
         opts: { modRevision: number; change: TreeChange; history: HistoryEntry; },
     ): Promise<boolean> {
         try {
@@ -152,7 +152,7 @@
             if (!(thrown instanceof KnapweedError) || thrown.outcome !== "unknown") {
                 throw thrown;
             }
-            return this.settle(opts);
+            return this.confirmSwap(opts);
         }
     }
 
@@ -160,16 +160,16 @@
      * Repeats the swap under the same change id until an answer arrives. Either it takes effect now, or the root has
      * moved, and the audit record of the revision says whose change moved it.
      */
-    private async settle(
+    private async confirmSwap(
         opts: { modRevision: number; change: TreeChange; history: HistoryEntry; },
     ): Promise<boolean> {
         const { root } = opts.history;
-        const deadlineMs = this.clock.nowMs() + SETTLE_TIMEOUT_MS;
+        const deadlineMs = this.clock.nowMs() + CONFIRM_TIMEOUT_MS;
         while (this.clock.nowMs() < deadlineMs) {
-            await sleep(this.clock, SETTLE_DELAY_MS);
-            const settled = await this.trySettle(opts);
-            if (settled !== undefined) {
-                return settled;
+            await sleep(this.clock, CONFIRM_DELAY_MS);
+            const isSwapped = await this.tryConfirmSwap(opts);
+            if (isSwapped !== undefined) {
+                return isSwapped;
             }
         }
         throw new KnapweedError(
@@ -183,7 +183,7 @@
         );
     }
 
-    private async trySettle(
+    private async tryConfirmSwap(
         opts: { modRevision: number; change: TreeChange; history: HistoryEntry; },
     ): Promise<boolean | undefined> {
         try {
@@ -199,7 +199,7 @@
     }
 }
 
-function plan(
+function planChanges(
     changes: ConfigurationChange[],
     loaded: LoadedConfiguration,
 ): { change: TreeChange; difference: RecordDifference[]; revision: Revision; } {
@@ -210,15 +210,15 @@
 
 /** Changes of others to records that this publish would change as well; who wants what is there already has none. */
 function conflictsOf(
-    wanted: RecordDifference[],
-    seen: ConfigurationTree,
+    requested: RecordDifference[],
+    baseTree: ConfigurationTree,
     current: ConfigurationTree,
 ): RecordDifference[] {
-    const touched = new Set(wanted.map(difference => difference.recordKey));
-    return differenceOf(seen, current).filter(difference => touched.has(difference.recordKey));
+    const touched = new Set(requested.map(difference => difference.recordKey));
+    return differenceOf(baseTree, current).filter(difference => touched.has(difference.recordKey));
 }
 
-function check(tree: ConfigurationTree): void {
+function checkTree(tree: ConfigurationTree): void {
     const indexes = tree.groups.map(group => GroupIndex.of(group));
     const problems = checkConfiguration({
         services: indexes.flatMap(index => index.services),
--- a/config/publishing/src/configurationStore.ts
+++ b/config/publishing/src/configurationStore.ts
@@ -23,7 +23,7 @@
 export class ConfigurationStore {
     private readonly keyValue: KeyValueService;
     private readonly source: KeyValueChunkSource;
-    private newest: ConfigurationTree = ConfigurationTree.empty;
+    private newestTree: ConfigurationTree = ConfigurationTree.empty;
 
     constructor(opts: { keyValue: KeyValueService; }) {
         this.keyValue = opts.keyValue;
@@ -37,8 +37,8 @@
             return { root: undefined, tree: ConfigurationTree.empty, modRevision: 0 };
         }
         const root = decode<ConfigurationRoot>(entry);
-        const tree = await loadTree({ root, source: this.source, known: this.newest });
-        this.newest = tree;
+        const tree = await loadTree({ root, source: this.source, cached: this.newestTree });
+        this.newestTree = tree;
         return { root, tree, modRevision: entry.modRevision };
     }
 
@@ -49,7 +49,7 @@
             throw revisionNotFound(revision);
         }
         try {
-            return await loadTree({ root: entry.root, source: this.source, known: this.newest });
+            return await loadTree({ root: entry.root, source: this.source, cached: this.newestTree });
         }
         catch (thrown) {
             throw thrown instanceof KnapweedError && thrown.code === "ERR_KNAPWEED_CHUNK_NOT_FOUND"
@@ -78,27 +78,27 @@
     async swap(opts: { modRevision: number; change: TreeChange; history: HistoryEntry; }): Promise<boolean> {
         const { root } = opts.history;
         const chunks = opts.change.written.map(chunk => put(configurationKeys.chunk(chunk.reference), chunk.text));
-        const expired = await this.expiredChunkOperations(root.revision);
-        const ahead = chunks.splice(0, Math.max(0, chunks.length + expired.length - MAX_OPERATIONS_PER_TRANSACTION));
-        for (let start = 0; start < ahead.length; start += MAX_OPERATIONS_PER_TRANSACTION) {
-            await this.keyValue.transact([], ahead.slice(start, start + MAX_OPERATIONS_PER_TRANSACTION));
+        const cleanup = await this.cleanupOperations(root.revision);
+        const early = chunks.splice(0, Math.max(0, chunks.length + cleanup.length - MAX_OPERATIONS_PER_TRANSACTION));
+        for (let start = 0; start < early.length; start += MAX_OPERATIONS_PER_TRANSACTION) {
+            await this.keyValue.transact([], early.slice(start, start + MAX_OPERATIONS_PER_TRANSACTION));
         }
         const result = await this.keyValue.transact(
             [{ key: configurationKeys.root, modRevision: opts.modRevision }],
             [
                 ...chunks,
-                ...expired.slice(0, MAX_OPERATIONS_PER_TRANSACTION),
+                ...cleanup.slice(0, MAX_OPERATIONS_PER_TRANSACTION),
                 put(configurationKeys.root, JSON.stringify(root)),
                 put(configurationKeys.history(root.revision), JSON.stringify(opts.history)),
             ],
         );
         if (result.succeeded) {
-            this.newest = opts.change.tree;
+            this.newestTree = opts.change.tree;
         }
         return result.succeeded;
     }
 
-    private async expiredChunkOperations(revision: Revision): Promise<KeyValueOperation[]> {
+    private async cleanupOperations(revision: Revision): Promise<KeyValueOperation[]> {
         const expired = (revision - ROLLBACK_WINDOW_REVISIONS) as Revision;
         const entry = expired <= 0 ? undefined : await this.historyEntry(expired);
         const oldest = (revision - HISTORY_WINDOW_REVISIONS) as Revision;
--- a/config/publishing/src/configurationTree.ts
+++ b/config/publishing/src/configurationTree.ts
@@ -46,7 +46,7 @@
     }
 
     record(key: RecordKey): ConfigurationRecord | undefined {
-        const { groupIndex, bucketIndex } = placeOf(key);
+        const { groupIndex, bucketIndex } = positionOf(key);
         return this.groups[groupIndex]?.buckets[bucketIndex]?.records.find(record => recordKeyOf(record) === key);
     }
 
@@ -66,10 +66,10 @@
 
     /** Applies changes, the last one winning where several touch one record. */
     apply(changes: readonly ConfigurationChange[], revision: Revision): TreeChange {
-        const changesByGroup = groupBy(changes, change => placeOf(changeKeyOf(change)).groupIndex);
+        const changesByGroup = groupBy(changes, change => positionOf(changeKeyOf(change)).groupIndex);
         const written: TreeChange["written"] = [];
         const replaced: ChunkReference[] = [];
-        const exchange = (oldReference: ChunkReference, text: string, isEmpty: boolean): ChunkReference => {
+        const replaceChunk = (oldReference: ChunkReference, text: string, isEmpty: boolean): ChunkReference => {
             replaced.push(...(oldReference === NO_CHUNK ? [] : [oldReference]));
             if (isEmpty) {
                 return NO_CHUNK;
@@ -80,25 +80,25 @@
         };
         const groups = this.groups.map((group, groupIndex) => {
             const groupChanges = changesByGroup.get(groupIndex);
-            return groupChanges === undefined ? group : applyToGroup(group, groupChanges, exchange);
+            return groupChanges === undefined ? group : applyToGroup(group, groupChanges, replaceChunk);
         });
         return { tree: new ConfigurationTree(groups), written, replaced };
     }
 }
 
-type Exchange = (oldReference: ChunkReference, text: string, isEmpty: boolean) => ChunkReference;
+type ReplaceChunk = (oldReference: ChunkReference, text: string, isEmpty: boolean) => ChunkReference;
 
-function applyToGroup(group: TreeGroup, changes: ConfigurationChange[], exchange: Exchange): TreeGroup {
-    const changesByBucket = groupBy(changes, change => placeOf(changeKeyOf(change)).bucketIndex);
+function applyToGroup(group: TreeGroup, changes: ConfigurationChange[], replaceChunk: ReplaceChunk): TreeGroup {
+    const changesByBucket = groupBy(changes, change => positionOf(changeKeyOf(change)).bucketIndex);
     const buckets = group.buckets.map((bucket, bucketIndex) => {
         const bucketChanges = changesByBucket.get(bucketIndex);
-        return bucketChanges === undefined ? bucket : applyToBucket(bucket, bucketChanges, exchange);
+        return bucketChanges === undefined ? bucket : applyToBucket(bucket, bucketChanges, replaceChunk);
     });
     const isEmpty = buckets.every(bucket => bucket.reference === NO_CHUNK);
-    return { buckets, reference: exchange(group.reference, groupText(buckets), isEmpty) };
+    return { buckets, reference: replaceChunk(group.reference, groupText(buckets), isEmpty) };
 }
 
-function applyToBucket(bucket: TreeBucket, changes: ConfigurationChange[], exchange: Exchange): TreeBucket {
+function applyToBucket(bucket: TreeBucket, changes: ConfigurationChange[], replaceChunk: ReplaceChunk): TreeBucket {
     const recordsByKey = new Map(bucket.records.map(record => [recordKeyOf(record), record]));
     changes.forEach(change =>
         change.kind === "put"
@@ -108,10 +108,10 @@
     const records = [...recordsByKey.entries()]
         .sort(([left], [right]) => left < right ? -1 : 1)
         .map(([, record]) => record);
-    return { records, reference: exchange(bucket.reference, bucketText(records), records.length === 0) };
+    return { records, reference: replaceChunk(bucket.reference, bucketText(records), records.length === 0) };
 }
 
-function placeOf(key: RecordKey): { groupIndex: number; bucketIndex: number; } {
+function positionOf(key: RecordKey): { groupIndex: number; bucketIndex: number; } {
     const hash = parseInt(digestOf(key).slice(0, DIGEST_CHARACTERS), HEXADECIMAL);
     return {
         groupIndex: hash % GROUP_COUNT,
--- a/config/publishing/src/differenceOf.ts
+++ b/config/publishing/src/differenceOf.ts
@@ -27,7 +27,7 @@
     const later = new Map(after.map(record => [recordKeyOf(record), record]));
     return [...new Set([...earlier.keys(), ...later.keys()])]
         .map(recordKey => ({ recordKey, before: earlier.get(recordKey), after: later.get(recordKey) }))
-        .filter(pair => !isDeepStrictEqual(plain(pair.before), plain(pair.after)))
+        .filter(pair => !isDeepStrictEqual(toPlainJson(pair.before), toPlainJson(pair.after)))
         .map(pair => ({ ...pair, kind: kindOf(pair) }));
 }
 
@@ -38,6 +38,6 @@
     return pair.after === undefined ? "removed" : "changed";
 }
 
-function plain(record: ConfigurationRecord | undefined): unknown {
+function toPlainJson(record: ConfigurationRecord | undefined): unknown {
     return record === undefined ? undefined : JSON.parse(JSON.stringify(record));
 }
--- a/config/publishing/src/groupIndex.ts
+++ b/config/publishing/src/groupIndex.ts
@@ -34,9 +34,9 @@
     }
 
     static of(group: TreeGroup): GroupIndex {
-        const known = GroupIndex.indexes.get(group);
-        if (known !== undefined) {
-            return known;
+        const cached = GroupIndex.indexes.get(group);
+        if (cached !== undefined) {
+            return cached;
         }
         const index = new GroupIndex(group);
         GroupIndex.indexes.set(group, index);
--- a/config/publishing/src/keyValueChunkSource.ts
+++ b/config/publishing/src/keyValueChunkSource.ts
@@ -4,7 +4,7 @@
 import type { ChunkSource } from "./chunkSource.js";
 import { configurationKeys } from "./configurationKeys.js";
 
-const CONCURRENT_READS = 16;
+const MAX_CONCURRENT_READS = 16;
 
 /** Reads chunks from the key-value service. */
 export class KeyValueChunkSource implements ChunkSource {
@@ -16,8 +16,8 @@
 
     async fetch(references: ChunkReference[]): Promise<string[]> {
         const texts: string[] = [];
-        for (let start = 0; start < references.length; start += CONCURRENT_READS) {
-            const batch = references.slice(start, start + CONCURRENT_READS);
+        for (let start = 0; start < references.length; start += MAX_CONCURRENT_READS) {
+            const batch = references.slice(start, start + MAX_CONCURRENT_READS);
             texts.push(...await Promise.all(batch.map(reference => this.read(reference))));
         }
         return texts;
--- a/config/publishing/src/loadTree.ts
+++ b/config/publishing/src/loadTree.ts
@@ -14,29 +14,32 @@
  * Throws `CHUNK_CORRUPT` where a chunk is not what its reference names.
  */
 export async function loadTree(
-    opts: { root: ConfigurationRoot; source: ChunkSource; known: ConfigurationTree; },
+    opts: { root: ConfigurationRoot; source: ChunkSource; cached: ConfigurationTree; },
 ): Promise<ConfigurationTree> {
-    const { root, source, known } = opts;
+    const { root, source, cached } = opts;
     const indexes = await fetchIndexes(opts);
-    const buckets = await fetchBuckets(source, missingBuckets(indexes, known));
+    const buckets = await fetchBuckets(source, missingBuckets(indexes, cached));
     const groups = root.groups.map((reference, groupIndex): TreeGroup => {
         const index = indexes.get(groupIndex);
-        const before = known.groups[groupIndex] as TreeGroup;
+        const before = cached.groups[groupIndex] as TreeGroup;
         return index === undefined
             ? reusableGroup(reference, before)
-            : { reference, buckets: index.map((bucket, place) => bucketOf(bucket, before.buckets[place], buckets)) };
+            : {
+                reference,
+                buckets: index.map((bucket, bucketIndex) => bucketOf(bucket, before.buckets[bucketIndex], buckets)),
+            };
     });
-    return verified(new ConfigurationTree(groups), root);
+    return verifyDigest(new ConfigurationTree(groups), root);
 }
 
 /** The bucket references of each group that has to be read, by the group's place. */
 async function fetchIndexes(
-    opts: { root: ConfigurationRoot; source: ChunkSource; known: ConfigurationTree; },
+    opts: { root: ConfigurationRoot; source: ChunkSource; cached: ConfigurationTree; },
 ): Promise<Map<number, ChunkReference[]>> {
     const missing = opts.root.groups
         .map((reference, groupIndex) => ({ reference, groupIndex }))
         .filter(({ reference, groupIndex }) =>
-            reference !== "" && reference !== opts.known.groups[groupIndex]?.reference
+            reference !== "" && reference !== opts.cached.groups[groupIndex]?.reference
         );
     const texts = await fetchIntact(opts.source, missing.map(({ reference }) => reference));
     return new Map(
@@ -44,10 +47,10 @@
     );
 }
 
-function missingBuckets(indexes: Map<number, ChunkReference[]>, known: ConfigurationTree): ChunkReference[] {
+function missingBuckets(indexes: Map<number, ChunkReference[]>, cached: ConfigurationTree): ChunkReference[] {
     return [...indexes.entries()].flatMap(([groupIndex, references]) =>
-        references.filter((reference, place) =>
-            reference !== "" && reference !== known.groups[groupIndex]?.buckets[place]?.reference
+        references.filter((reference, bucketIndex) =>
+            reference !== "" && reference !== cached.groups[groupIndex]?.buckets[bucketIndex]?.reference
         )
     );
 }
@@ -86,7 +89,7 @@
     return texts;
 }
 
-function verified(tree: ConfigurationTree, root: ConfigurationRoot): ConfigurationTree {
+function verifyDigest(tree: ConfigurationTree, root: ConfigurationRoot): ConfigurationTree {
     if (tree.digest() !== root.digest) {
         throw new KnapweedError("CHUNK_CORRUPT", `Revision ${String(root.revision)} does not match its digest`);
     }
--- a/config/publishing/src/treeConfigurationView.ts
+++ b/config/publishing/src/treeConfigurationView.ts
@@ -28,7 +28,7 @@
     private readonly serviceList: ServiceDefinition[];
     private readonly servicesByName: Map<ServiceName, ServiceDefinition>;
     private readonly servicesByModel: Map<string, ServiceDefinition>;
-    private readonly teamsFound = new Map<TeamId, TeamDefinition>();
+    private readonly teamCache = new Map<TeamId, TeamDefinition>();
 
     constructor(root: Pick<ConfigurationRoot, "revision" | "digest">, tree: ConfigurationTree) {
         this.revision = root.revision;
@@ -59,23 +59,23 @@
     }
 
     team(teamId: TeamId): TeamDefinition | undefined {
-        const known = this.teamsFound.get(teamId);
-        const fields = known === undefined ? firstOf(this.indexes, index => index.teams.get(teamId)) : undefined;
+        const cached = this.teamCache.get(teamId);
+        const fields = cached === undefined ? firstMatch(this.indexes, index => index.teams.get(teamId)) : undefined;
         if (fields === undefined) {
-            return known;
+            return cached;
         }
         const keys = this.indexes.flatMap(index => index.keysByTeam.get(teamId) ?? []);
         const team = { ...fields, keys };
-        this.teamsFound.set(teamId, team);
+        this.teamCache.set(teamId, team);
         return team;
     }
 
     findKey(keyHash: string): FoundKey | undefined {
-        return this.withTeam(firstOf(this.indexes, index => index.keysByHash.get(keyHash)));
+        return this.withTeam(firstMatch(this.indexes, index => index.keysByHash.get(keyHash)));
     }
 
     findKeyById(keyId: KeyId): FoundKey | undefined {
-        return this.withTeam(firstOf(this.indexes, index => index.keysById.get(keyId)));
+        return this.withTeam(firstMatch(this.indexes, index => index.keysById.get(keyId)));
     }
 
     private withTeam(owned: OwnedKey | undefined): FoundKey | undefined {
@@ -84,7 +84,7 @@
     }
 }
 
-function firstOf<Value>(indexes: GroupIndex[], find: (index: GroupIndex) => Value | undefined): Value | undefined {
+function firstMatch<Value>(indexes: GroupIndex[], find: (index: GroupIndex) => Value | undefined): Value | undefined {
     for (const index of indexes) {
         const found = find(index);
         if (found !== undefined) {
--- a/config/service-files/src/parseServiceFiles.ts
+++ b/config/service-files/src/parseServiceFiles.ts
@@ -28,10 +28,10 @@
         services: parsedFiles.flatMap(parsed => parsed.definitions.services),
         teams: parsedFiles.flatMap(parsed => parsed.definitions.teams),
     };
-    const ownProblems = [...parsedFiles.flatMap(parsed => parsed.problems), ...definedTwice(definitionsList)];
+    const ownProblems = [...parsedFiles.flatMap(parsed => parsed.problems), ...duplicateDefinitions(definitionsList)];
     const problems = ownProblems.length > 0
         ? ownProblems
-        : problemsAcross(definitions, definitionsList, opts.current);
+        : crossFileProblems(definitions, definitionsList, opts.current);
     return { definitions, problems };
 }
 
@@ -50,7 +50,7 @@
     ];
 }
 
-function definedTwice(definitions: Definition[]): YamlProblem[] {
+function duplicateDefinitions(definitions: Definition[]): YamlProblem[] {
     const first = new Map<string, Definition>();
     return definitions.flatMap(definition => {
         const earlier = first.get(definition.recordKey);
@@ -58,20 +58,22 @@
             first.set(definition.recordKey, definition);
             return [];
         }
-        const place = earlier.parsed.problemAt(earlier.path, "");
+        const earlierPosition = earlier.parsed.problemAt(earlier.path, "");
         return [definition.parsed.problemAt(
             definition.path,
-            `${definition.recordKey} to be defined once; ${place.file}:${String(place.line)} defines it too`,
+            `${definition.recordKey} to be defined once; ${earlierPosition.file}:${
+                String(earlierPosition.line)
+            } defines it too`,
         )];
     });
 }
 
-function problemsAcross(
+function crossFileProblems(
     definitions: ServiceFileDefinitions,
-    list: Definition[],
+    definitionsList: Definition[],
     current: ConfigurationView | undefined,
 ): YamlProblem[] {
-    const byKey = new Map(list.map(definition => [definition.recordKey, definition]));
+    const byKey = new Map(definitionsList.map(definition => [definition.recordKey, definition]));
     const merged = {
         services: [
             ...(current?.services() ?? []).filter(service => !byKey.has(`service/${service.name}`)),
--- a/config/settings/src/processSettingsShape.ts
+++ b/config/settings/src/processSettingsShape.ts
@@ -2,9 +2,9 @@
 
 const DEFAULT_SHUTDOWN_GRACE_MS = 60_000;
 
-const addressShape = z.strictObject({ host: z.string().default("127.0.0.1"), port: z.int().min(0).max(65_535) });
+const addressSchema = z.strictObject({ host: z.string().default("127.0.0.1"), port: z.int().min(0).max(65_535) });
 
-const tlsShape = z.strictObject({
+const tlsSchema = z.strictObject({
     certificateFile: z.string(),
     keyFile: z.string(),
     /** Certificate authority that the other end is checked against. */
@@ -17,7 +17,7 @@
     region: z.string().min(1),
     zone: z.string().min(1),
     /** Where links from other processes are accepted. */
-    link: addressShape.extend({ tls: tlsShape.optional() }),
+    link: addressSchema.extend({ tls: tlsSchema.optional() }),
     logs: z.strictObject({ level: z.enum(["debug", "info", "warn", "error"]).default("info") }).default({
         level: "info",
     }),
--- a/config/yaml/src/parseYaml.ts
+++ b/config/yaml/src/parseYaml.ts
@@ -16,7 +16,7 @@
     const problemAt = (path: readonly PropertyKey[], expected: string): YamlProblem => ({
         file: opts.file,
         line: lineCounter.linePos(offsetOf(document, path)).line,
-        path: textOf(path),
+        path: formatPath(path),
         expected,
     });
     if (document.errors.length > 0) {
@@ -28,7 +28,7 @@
         }));
         return { value: undefined, problems, problemAt };
     }
-    const content = plainContent(document);
+    const content = toPlainValue(document);
     if (content instanceof Error) {
         return { value: undefined, problems: [problemAt([], `valid YAML: ${content.message}`)], problemAt };
     }
@@ -42,7 +42,7 @@
         };
 }
 
-function plainContent(document: Document): unknown {
+function toPlainValue(document: Document): unknown {
     try {
         return document.toJS({ maxAliasCount: MAX_ALIASES }) ?? {};
     }
@@ -57,7 +57,7 @@
         : [problemAt(issue.path, issue.message)];
 }
 
-function textOf(path: readonly PropertyKey[]): string {
+function formatPath(path: readonly PropertyKey[]): string {
     return path
         .map(part => typeof part === "number" ? `[${String(part)}]` : `.${String(part)}`)
         .join("")
