--- a/config/yaml/src/offsetOf.ts
+++ b/config/yaml/src/offsetOf.ts
@@ -1,6 +1,9 @@
 import { type Document, isMap, isNode, isPair, isScalar, type Node } from "yaml";
 
-/** The offset of the node at `path`, of its key where it is a map entry, or of the nearest ancestor that exists. */
+/**
+ * Returns the character offset of the node at `path` in `document`. For a map entry this is the offset of its key.
+ * If there is no such node, returns the offset of the nearest ancestor that exists, or 0.
+ */
 export function offsetOf(document: Document, path: readonly PropertyKey[]): number {
     for (let length = path.length; length > 0; length -= 1) {
         const offset = keyOffset(document, path.slice(0, length)) ?? nodeOffset(document, path.slice(0, length));
--- a/config/yaml/src/parseYaml.ts
+++ b/config/yaml/src/parseYaml.ts
@@ -4,10 +4,15 @@
 import type { ParsedYaml } from "./parsedYaml.js";
 import type { YamlProblem } from "./yamlProblem.js";
 
-/** Bounds what a file of nested aliases can grow to. */
+/** Limits how far nested aliases can expand a file. */
 const MAX_ALIASES = 100;
 
-/** Reads YAML and checks it by a schema. All problems are found at once, each with its line. */
+/**
+ * Parses YAML text and validates it against a schema.
+ *
+ * @param opts.file file name used in the problems
+ * @returns the parsed value, or every problem found, each with its line
+ */
 export function parseYaml<Schema extends z.ZodType>(
     opts: { file: string; text: string; schema: Schema; },
 ): ParsedYaml<z.output<Schema>> {
@@ -53,7 +58,7 @@
 
 function problemsOf(issue: z.core.$ZodIssue, problemAt: ParsedYaml<unknown>["problemAt"]): YamlProblem[] {
     return issue.code === "unrecognized_keys"
-        ? issue.keys.map(key => problemAt([...issue.path, key], "no such field; the field is unknown"))
+        ? issue.keys.map(key => problemAt([...issue.path, key], "unknown field"))
         : [problemAt(issue.path, issue.message)];
 }
 
--- a/config/yaml/src/parsedYaml.ts
+++ b/config/yaml/src/parsedYaml.ts
@@ -1,11 +1,11 @@
 import type { YamlProblem } from "./yamlProblem.js";
 
-/** A YAML file that was read, with its positions. */
+/** A parsed YAML file. Keeps the source positions to report further problems. */
 export interface ParsedYaml<Value> {
-    /** Undefined where there are problems. */
+    /** Undefined if there are problems. */
     value: Value | undefined;
-    /** Everything wrong by the schema, shape [problems]. */
+    /** Syntax errors and violations of the schema, shape [problems]. */
     problems: YamlProblem[];
-    /** Describes what else is wrong at `path`, with its line. */
+    /** Creates a further problem at `path`, with its line. */
     problemAt(path: readonly PropertyKey[], expected: string): YamlProblem;
 }
--- a/config/yaml/src/problemsError.ts
+++ b/config/yaml/src/problemsError.ts
@@ -1,7 +1,7 @@
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 import type { YamlProblem } from "./yamlProblem.js";
 
-/** One error that names every problem, a line each. */
+/** Returns an error whose message lists every problem, one per line. Its status code is 400, its outcome `not-run`. */
 export function problemsError(code: string, problems: YamlProblem[]): KnapweedError {
     const lines = problems.map(({ file, line, path, expected }) =>
         `${file}:${line}: ${path === "" ? "" : `${path}: `}${expected}`
--- a/config/yaml/src/yamlProblem.ts
+++ b/config/yaml/src/yamlProblem.ts
@@ -1,10 +1,10 @@
-/** One thing wrong in a YAML file. */
+/** A syntax error or an invalid value in a YAML file. */
 export interface YamlProblem {
     file: string;
-    /** Counts from 1. */
+    /** Line number, counted from 1. */
     line: number;
     /** Path of the field, such as `http.port`. */
     path: string;
-    /** What was expected. */
+    /** Description of the expected value. */
     expected: string;
 }
