--- a/config/configuration/src/checkConfiguration.ts
+++ b/config/configuration/src/checkConfiguration.ts
@@ -6,7 +6,7 @@
 const LIMIT_FIELDS = ["requestsPerSecond", "tokensPerSecond", "concurrency"] as const;
 
 /**
- * Checks the rules that span several definitions.
+ * Checks the rules that involve several definitions, and that the models of a service match its kind.
  *
  * @returns every problem found, shape [problems]
  */
@@ -25,12 +25,16 @@
 function unknownTeams(service: ServiceDefinition, teams: Map<string, Limits>): ConfigurationProblem[] {
     const owner = teams.has(service.team)
         ? []
-        : [problem(service, ["team"], `expected a team that is defined; there is no team "${service.team}"`)];
+        : [problem(service, ["team"], `expected a defined team, but team "${service.team}" does not exist`)];
     const callers = (service.callableBy ?? [])
         .map((team, index) => ({ team, index }))
         .filter(caller => !teams.has(caller.team))
         .map(caller =>
-            problem(service, ["callableBy", caller.index], `expected a team that is defined, got "${caller.team}"`)
+            problem(
+                service,
+                ["callableBy", caller.index],
+                `expected a defined team, but team "${caller.team}" does not exist`,
+            )
         );
     return [...owner, ...callers];
 }
@@ -43,7 +47,7 @@
             problem(
                 service,
                 ["limits", field],
-                `expected at most the quota of team "${service.team}", ${String(quota[field])}; got ${
+                `expected at most the quota of team "${service.team}" (${String(quota[field])}), got ${
                     String(service.limits[field])
                 }`,
             )
@@ -69,7 +73,7 @@
                         problem(
                             service,
                             offer.path,
-                            `model or adapter "${offer.name}" is offered twice; service "${earlier.name}" offers it too`,
+                            `model or adapter "${offer.name}" is already offered by service "${earlier.name}"`,
                         ),
                     ];
             })
--- a/config/configuration/src/configurationProblem.ts
+++ b/config/configuration/src/configurationProblem.ts
@@ -1,6 +1,6 @@
-/** A rule that a configuration breaks. */
+/** A violation of a configuration rule. */
 export interface ConfigurationProblem {
-    /** The record concerned, such as `service/assessments`. */
+    /** Key of the record that breaks the rule, such as `service/assessments`. */
     recordKey: string;
     /** Path of the field within the record. */
     path: (string | number)[];
--- a/config/configuration/src/configurationSource.ts
+++ b/config/configuration/src/configurationSource.ts
@@ -1,9 +1,9 @@
 import type { ConfigurationView } from "./configurationView.js";
 
-/** Where a process finds the configuration in force. */
+/** Gives a process access to the active configuration. */
 export interface ConfigurationSource {
-    /** The newest configuration known here; undefined before the first. */
+    /** Returns the newest configuration of this process, or undefined if it has not received one yet. */
     current(): ConfigurationView | undefined;
-    /** Calls `listener` for each newer configuration. @returns a function that stops it */
+    /** Calls `listener` with each newer configuration. @returns a function that removes the listener */
     subscribe(listener: (view: ConfigurationView) => void): () => void;
 }
--- a/config/configuration/src/keyRecord.ts
+++ b/config/configuration/src/keyRecord.ts
@@ -2,7 +2,7 @@
 import type { Limits } from "./limits.js";
 import type { Role } from "./role.js";
 
-/** An API key as it is stored. */
+/** A stored API key. */
 export interface KeyRecord {
     keyId: KeyId;
     /** SHA-256 of the key, in hexadecimal. */
@@ -10,6 +10,7 @@
     role: Role;
     name: string;
     createdAtMs: number;
+    /** Undefined if the key is not revoked. */
     revokedAtMs?: number;
     limits?: Limits;
 }
--- a/config/configuration/src/role.ts
+++ b/config/configuration/src/role.ts
@@ -1,2 +1,2 @@
-/** What the holder of a key may do. */
+/** Role of an API key. It determines which operations the key permits. */
 export type Role = "platform-operator" | "team-operator" | "caller";
--- a/config/configuration/src/serviceDefinition.ts
+++ b/config/configuration/src/serviceDefinition.ts
@@ -3,7 +3,7 @@
 import type { Limits } from "./limits.js";
 import type { ModelDefinition } from "./modelDefinition.js";
 
-/** A service, as its service file defines it. */
+/** Definition of a service from its service file. */
 export interface ServiceDefinition {
     name: ServiceName;
     /** The team that owns the service. */
@@ -11,21 +11,24 @@
     kind: "model-engine" | "plain";
     models: ModelDefinition[];
     roles: ("any" | "prefill" | "decode")[];
-    /** Upstreams that hold the models; undefined means all of the service. */
+    /** Number of upstreams that load the models. Undefined means all upstreams of the service. */
     replicas?: number;
-    /** Whether a call may be run a second time after an unknown outcome. */
+    /** Whether a call may be run again after an unknown outcome. */
     repeatable: boolean;
-    /** Whether the upstreams refuse orders with an old fencing number. */
+    /** Whether the upstreams reject orders that carry an outdated fencing number. */
     checksFencing: boolean;
     limits: Limits;
-    /** Longest time that an online call may take. */
+    /** Maximum duration of an online call. */
     deadlineMs: number;
-    /** When batch jobs are due, counted from acceptance, unless the job says otherwise. */
+    /** Time from the acceptance of a batch job until it is due, unless the job sets its own due time. */
     batchDueMs: number;
-    /** Share in [0, 1] of the step-time objective that batch work may use: 0 favours online latency, 1 batch throughput. */
+    /**
+     * Share of the step-time objective that batch work may use, in [0, 1]. 0 favours online latency, 1 favours batch
+     * throughput.
+     */
     batchBalance: number;
-    /** Step time that keeps the gap between tokens within the objective. */
+    /** Target step time, in ms, that keeps the gap between tokens within the objective. */
     tokenGapObjectiveMs: number;
-    /** Teams that may call the service; undefined means all. */
+    /** Teams that may call the service. Undefined means all teams. */
     callableBy?: TeamId[];
 }
