--- a/config/settings/src/entrySettingsSchema.ts
+++ b/config/settings/src/entrySettingsSchema.ts
@@ -7,10 +7,10 @@
 const DEFAULT_PARTITION_COUNT = 16;
 const MAX_PARTITION_COUNT = 4096;
 
-/** Schema of an entry's settings file. */
+/** Schema of the settings file of an entry. */
 export const entrySettingsSchema = z.strictObject({
     ...processSettingsShape,
-    /** Where callers and operators are served. */
+    /** Address and limits of the HTTP server for callers and operators. */
     http: z.strictObject({
         host: z.string().default("127.0.0.1"),
         port: z.int().min(0).max(65_535),
@@ -23,19 +23,19 @@
         instanceListUrl: z.string(),
         weightStoreUrl: z.string().optional(),
     }),
-    /** SHA-256, in hexadecimal, of the first platform operator's key; used while no configuration exists. */
+    /** SHA-256 of the first platform operator's key, in hexadecimal. Accepted only while no configuration exists. */
     bootstrapKeyHash: z.string().regex(/^[0-9a-f]{64}$/u).optional(),
-    /** Folder for segments; none where the instance has no disk. */
+    /** Folder for segments. Undefined if the instance has no disk. */
     dataFolder: z.string().optional(),
     placement: z.strictObject({
-        /** Loads of models and adapters that the weight store's rate allows at once in the region. */
+        /** Maximum number of concurrent loads of models and adapters in the region, limited by the weight store's rate. */
         maxConcurrentLoads: z.int().min(1).default(DEFAULT_MAX_CONCURRENT_LOADS),
     }).default({ maxConcurrentLoads: DEFAULT_MAX_CONCURRENT_LOADS }),
     batch: z.strictObject({
         partitionCount: z.int().min(1).max(MAX_PARTITION_COUNT).default(DEFAULT_PARTITION_COUNT),
-        /** How long jobs that have ended are kept, whole with their results; without end where it is left out. */
+        /** How long ended jobs are kept with all their results. Undefined keeps them forever. */
         retentionMs: z.int().positive().optional(),
-        /** Where items and results are kept; the same on every entry of a deployment. */
+        /** Where items and results are stored. Every entry of a deployment needs the same value. */
         segmentStore: z.enum(["key-value", "data-folders"]).default("key-value"),
     }).default({ partitionCount: DEFAULT_PARTITION_COUNT, segmentStore: "key-value" }),
 });
--- a/config/settings/src/processSettingsShape.ts
+++ b/config/settings/src/processSettingsShape.ts
@@ -7,16 +7,16 @@
 const tlsSchema = z.strictObject({
     certificateFile: z.string(),
     keyFile: z.string(),
-    /** Certificate authority that the other end is checked against. */
+    /** Certificate authority that the certificate of the peer is verified against. */
     authorityFile: z.string(),
 });
 
-/** Settings that entries and sides share. */
+/** Schema fields of the settings that entries and sides share. */
 export const processSettingsShape = {
     instanceId: z.string().min(1),
     region: z.string().min(1),
     zone: z.string().min(1),
-    /** Where links from other processes are accepted. */
+    /** Address on which links from other processes are accepted. */
     link: addressSchema.extend({ tls: tlsSchema.optional() }),
     logs: z.strictObject({ level: z.enum(["debug", "info", "warn", "error"]).default("info") }).default({
         level: "info",
@@ -27,6 +27,6 @@
         file: z.string().optional(),
         sampleRatio: z.number().min(0).max(1).default(1),
     }).optional(),
-    /** How long calls in progress may take at a planned stop. */
+    /** How long calls in progress may still run during a planned shutdown. */
     shutdownGraceMs: z.int().min(0).default(DEFAULT_SHUTDOWN_GRACE_MS),
 };
--- a/config/settings/src/readSettings.ts
+++ b/config/settings/src/readSettings.ts
@@ -4,7 +4,10 @@
 import { readFile } from "node:fs/promises";
 import type { z } from "zod";
 
-/** Reads a settings file. Throws `SETTINGS_UNREADABLE`, or `SETTINGS_INVALID` that names every problem. */
+/**
+ * Reads a settings file and validates it against `schema`. Rejects with `SETTINGS_UNREADABLE` if the file can't be read,
+ * and with `SETTINGS_INVALID`, which lists every problem, if it breaks the schema.
+ */
 export async function readSettings<Schema extends z.ZodType>(file: string, schema: Schema): Promise<z.output<Schema>> {
     const text = await readFile(file, "utf8").catch((cause: unknown) => {
         throw new KnapweedError("SETTINGS_UNREADABLE", `The settings file ${file} can't be read`, { cause });
--- a/config/settings/test/entrySettings.test.ts
+++ b/config/settings/test/entrySettings.test.ts
@@ -14,13 +14,13 @@
   instanceListUrl: http://127.0.0.1:2380
 `;
 
-test("settings that follow the schema are filled with defaults", () => {
+test("valid settings are completed with defaults", () => {
     const parsed = parseYaml({ file: "entry.yaml", text: SETTINGS, schema: entrySettingsSchema });
     assert.equal(parsed.value?.http.host, "127.0.0.1");
     assert.equal(parsed.value?.batch.partitionCount, 16);
 });
 
-test("every problem is named with its line and path", () => {
+test("every problem is reported with its line and path", () => {
     const text = SETTINGS.replace("port: 8080", "port: many").replace("zone: tt-north-a", "zones: tt-north-a");
     const parsed = parseYaml({ file: "entry.yaml", text, schema: entrySettingsSchema });
     const found = parsed.problems.map(problem => `${problem.line} ${problem.path}`);
@@ -29,7 +29,7 @@
     assert.ok(found.includes("4 zones"), found.join("; "));
 });
 
-test("broken YAML is one typed problem, not a crash", () => {
+test("invalid YAML gives a problem instead of an exception", () => {
     const parsed = parseYaml({ file: "entry.yaml", text: "link: {", schema: entrySettingsSchema });
     assert.equal(parsed.value, undefined);
     assert.equal(parsed.problems[0]?.line, 1);
