--- a/config/service-files/src/limitsSchema.ts
+++ b/config/service-files/src/limitsSchema.ts
@@ -1,6 +1,6 @@
 import { z } from "zod";
 
-/** Limits of a team or a service. */
+/** Schema of the limits of a team or a service. */
 export const limitsSchema = z.strictObject({
     requestsPerSecond: z.number().positive().optional(),
     tokensPerSecond: z.number().positive().optional(),
--- a/config/service-files/src/parseServiceFile.ts
+++ b/config/service-files/src/parseServiceFile.ts
@@ -6,7 +6,7 @@
 import type { ServiceFileDefinitions } from "./serviceFileDefinitions.js";
 import { serviceFileSchema } from "./serviceFileSchema.js";
 
-/** Parses one file, gathering all that is wrong in it by itself. */
+/** Parses one service file and collects its problems. Rules that involve other definitions are not checked. */
 export function parseServiceFile(file: ServiceFile): ParsedServiceFile {
     const { value, problems, problemAt } = parseYaml({ file: file.path, text: file.text, schema: serviceFileSchema });
     const definitions = value === undefined ? { services: [], teams: [] } : toDefinitions(value);
--- a/config/service-files/src/parseServiceFiles.ts
+++ b/config/service-files/src/parseServiceFiles.ts
@@ -14,9 +14,11 @@
 }
 
 /**
- * Parses and checks files together, with every problem at once.
+ * Parses service files and checks them together. The rules that involve several definitions are only checked if each
+ * file is valid and nothing is defined twice.
  *
- * @param opts.current the configuration in force, whose services and teams the files may refer to
+ * @param opts.current the active configuration; the files may refer to its services and teams
+ * @returns the definitions and every problem found
  */
 export function parseServiceFiles(
     files: readonly ServiceFile[],
@@ -61,9 +63,7 @@
         const earlierPosition = earlier.parsed.problemAt(earlier.path, "");
         return [definition.parsed.problemAt(
             definition.path,
-            `${definition.recordKey} to be defined once; ${earlierPosition.file}:${
-                String(earlierPosition.line)
-            } defines it too`,
+            `${definition.recordKey} is already defined at ${earlierPosition.file}:${String(earlierPosition.line)}`,
         )];
     });
 }
--- a/config/service-files/src/parsedServiceFile.ts
+++ b/config/service-files/src/parsedServiceFile.ts
@@ -1,10 +1,10 @@
 import type { YamlProblem } from "@knapweedwood/config.yaml/yamlProblem";
 import type { ServiceFileDefinitions } from "./serviceFileDefinitions.js";
 
-/** One service file with its positions. */
+/** One parsed service file. Keeps the source positions to report further problems. */
 export interface ParsedServiceFile {
     definitions: ServiceFileDefinitions;
     problems: YamlProblem[];
-    /** Describes what is wrong at `path`, with its line. */
+    /** Creates a problem at `path`, with its line. */
     problemAt(path: readonly PropertyKey[], expected: string): YamlProblem;
 }
--- a/config/service-files/src/serviceFile.ts
+++ b/config/service-files/src/serviceFile.ts
@@ -1,6 +1,6 @@
-/** A service file as it was read. */
+/** The text of a service file. */
 export interface ServiceFile {
-    /** Where it was found, for messages. */
+    /** Path of the file, used in messages. */
     path: string;
     text: string;
 }
--- a/config/service-files/src/serviceFileJsonSchema.ts
+++ b/config/service-files/src/serviceFileJsonSchema.ts
@@ -1,7 +1,7 @@
 import { z } from "zod";
 import { serviceFileSchema } from "./serviceFileSchema.js";
 
-/** The JSON Schema of service files, for editors. */
+/** Returns the JSON Schema of service files, for use in editors. */
 export function serviceFileJsonSchema(): object {
     return z.toJSONSchema(serviceFileSchema, { io: "input" });
 }
--- a/config/service-files/src/serviceFileSchema.ts
+++ b/config/service-files/src/serviceFileSchema.ts
@@ -2,7 +2,7 @@
 import { serviceSchema } from "./serviceSchema.js";
 import { teamSchema } from "./teamSchema.js";
 
-/** One `knapweed.yaml`. */
+/** Schema of a service file (`knapweed.yaml`). */
 export const serviceFileSchema = z.strictObject({
     services: z.array(serviceSchema).default([]),
     teams: z.array(teamSchema).default([]),
--- a/config/service-files/src/serviceSchema.ts
+++ b/config/service-files/src/serviceSchema.ts
@@ -15,21 +15,25 @@
     adapters: z.array(adapterSchema).default([]),
 });
 
-/** A service in a service file. */
+/** Schema of a service in a service file. */
 export const serviceSchema = z.strictObject({
     name: nameSchema,
     team: nameSchema.describe("The team that owns the service"),
     kind: z.enum(["model-engine", "plain"]),
     models: z.array(modelSchema).default([]),
     roles: z.array(z.enum(["any", "prefill", "decode"])).min(1).default(["any"]),
-    replicas: z.int().nonnegative().optional().describe("Upstreams that hold the models; all where it is left out"),
+    replicas: z.int().nonnegative().optional().describe(
+        "Number of upstreams that load the models. Default: all upstreams of the service",
+    ),
     repeatable: z.boolean().default(false).describe("Whether a call may run again after an unknown outcome"),
-    checksFencing: z.boolean().default(false).describe("Whether upstreams refuse orders with an old fencing number"),
+    checksFencing: z.boolean().default(false).describe(
+        "Whether the upstreams reject orders with an outdated fencing number",
+    ),
     limits: limitsSchema.default({}),
     deadlineMs: z.int().positive().default(DEFAULT_DEADLINE_MS),
     batchDueMs: z.int().positive().default(DEFAULT_BATCH_DUE_MS),
     batchBalance: z.number().min(0).max(1).default(DEFAULT_BATCH_BALANCE)
-        .describe("0 favours online latency, 1 batch throughput"),
+        .describe("0 favours online latency, 1 favours batch throughput"),
     tokenGapObjectiveMs: z.number().positive().default(DEFAULT_TOKEN_GAP_OBJECTIVE_MS),
-    callableBy: z.array(nameSchema).optional().describe("Teams that may call the service; all where it is left out"),
+    callableBy: z.array(nameSchema).optional().describe("Teams that may call the service. Default: all teams"),
 });
--- a/config/service-files/src/teamSchema.ts
+++ b/config/service-files/src/teamSchema.ts
@@ -2,7 +2,7 @@
 import { limitsSchema } from "./limitsSchema.js";
 import { nameSchema } from "./nameSchema.js";
 
-/** A team in a service file. Keys are made by the operators' API, never written in files. */
+/** Schema of a team in a service file. API keys are created through the operators' API and never appear in files. */
 export const teamSchema = z.strictObject({
     teamId: nameSchema,
     displayName: z.string().min(1).optional(),
--- a/config/service-files/test/parseServiceFiles.test.ts
+++ b/config/service-files/test/parseServiceFiles.test.ts
@@ -3,7 +3,7 @@
 import { parseServiceFiles } from "../src/parseServiceFiles.js";
 import { serviceFileJsonSchema } from "../src/serviceFileJsonSchema.js";
 
-const GOOD = `teams:
+const VALID = `teams:
   - teamId: cellar
     limits: { requestsPerSecond: 100 }
 services:
@@ -16,16 +16,16 @@
       requestsPerSecond: 50
 `;
 
-test("a good file gives definitions with defaults", () => {
-    const result = parseServiceFiles([{ path: "knapweed.yaml", text: GOOD }]);
+test("a valid file gives definitions with defaults", () => {
+    const result = parseServiceFiles([{ path: "knapweed.yaml", text: VALID }]);
     assert.deepEqual(result.problems, []);
     const [service] = result.definitions.services;
     assert.deepEqual([service?.replicas, service?.repeatable, service?.deadlineMs], [undefined, false, 60_000]);
     assert.equal(result.definitions.teams[0]?.displayName, "cellar");
 });
 
-test("every problem of every file is given with file, line and path", () => {
-    const first = GOOD.replace("kind: model-engine", "kind: engine\n    colour: red").replace(
+test("every problem of every file is reported with file, line and path", () => {
+    const first = VALID.replace("kind: model-engine", "kind: engine\n    colour: red").replace(
         "cellar\n    kind",
         "cellar\n    kind",
     );
@@ -46,25 +46,28 @@
     assert.match(result.problems.map(problem => problem.expected).join("\n"), /model-engine/);
 });
 
-test("bad YAML is reported with its line", () => {
+test("invalid YAML is reported with its line", () => {
     const result = parseServiceFiles([{ path: "knapweed.yaml", text: "services:\n  - name: [\n" }]);
     assert.ok(result.problems.length > 0);
     assert.ok(result.problems.every(problem => problem.line >= 2 && problem.expected.startsWith("valid YAML")));
 });
 
-test("an alias bomb is refused", () => {
-    const bomb = ["a: &a [x,x,x,x,x,x,x,x,x]"]
+test("excessive alias expansion is rejected", () => {
+    const lines = ["a: &a [x,x,x,x,x,x,x,x,x]"]
         .concat(
             ["b", "c", "d", "e"].map((name, n) => `${name}: &${name} [${Array(9).fill(`*${"abcd"[n]}`).join(",")}]`),
         );
-    const result = parseServiceFiles([{ path: "knapweed.yaml", text: bomb.join("\n") }]);
+    const result = parseServiceFiles([{ path: "knapweed.yaml", text: lines.join("\n") }]);
     assert.equal(result.problems.length, 1);
 });
 
-test("files are checked together", () => {
-    const other = GOOD.replace("requestsPerSecond: 50", "requestsPerSecond: 500").replace("name: notes", "name: offers")
+test("rules that involve several files are checked", () => {
+    const other = VALID.replace("requestsPerSecond: 50", "requestsPerSecond: 500").replace(
+        "name: notes",
+        "name: offers",
+    )
         .replace(/teams:\n.*\n.*\n/, "").replace("team: cellar", "team: cellar\n    callableBy: [nobody]");
-    const result = parseServiceFiles([{ path: "a.yaml", text: GOOD }, { path: "b.yaml", text: other }]);
+    const result = parseServiceFiles([{ path: "a.yaml", text: VALID }, { path: "b.yaml", text: other }]);
     assert.deepEqual(result.problems.map(problem => [problem.file, problem.line, problem.path]).sort(), [
         ["b.yaml", 4, "services[0].callableBy[0]"],
         ["b.yaml", 7, "services[0].models[0].name"],
@@ -72,13 +75,13 @@
     ]);
 });
 
-test("a service defined twice names the other place", () => {
-    const result = parseServiceFiles([{ path: "a.yaml", text: GOOD }, { path: "b.yaml", text: GOOD }]);
+test("a duplicate definition is reported with the location of the first one", () => {
+    const result = parseServiceFiles([{ path: "a.yaml", text: VALID }, { path: "b.yaml", text: VALID }]);
     assert.match(result.problems[0]?.expected ?? "", /a\.yaml:5/);
     assert.equal(result.problems.length, 2);
 });
 
-test("the JSON Schema requires what a service needs", () => {
+test("the JSON Schema lists the required fields of a service", () => {
     const text = JSON.stringify(serviceFileJsonSchema());
     assert.match(text, /"required":\["name","team","kind"\]/);
 });
