--- a/config/service-files/src/serviceFilesResult.ts
+++ b/config/service-files/src/serviceFilesResult.ts
@@ -1,7 +1,7 @@
 import type { YamlProblem } from "@knapweedwood/config.yaml/yamlProblem";
 import type { ServiceFileDefinitions } from "./serviceFileDefinitions.js";
 
-/** The definitions of all files, and the problems found in them. Definitions are complete only if `problems` is empty. */
+/** The definitions of all files, and the problems found in them. The definitions are valid only without problems. */
 export interface ServiceFilesResult {
     definitions: ServiceFileDefinitions;
     problems: YamlProblem[];
--- a/config/settings/src/readSettings.ts
+++ b/config/settings/src/readSettings.ts
@@ -5,8 +5,8 @@
 import type { z } from "zod";
 
 /**
- * Reads a settings file and validates it against `schema`. Rejects with `SETTINGS_UNREADABLE` if the file can't be read,
- * and with `SETTINGS_INVALID`, which lists every problem, if it breaks the schema.
+ * Reads a settings file and validates it against `schema`. Rejects with `SETTINGS_UNREADABLE` if the file can't be
+ * read. Rejects with `SETTINGS_INVALID`, which lists every problem, if the content does not match the schema.
  */
 export async function readSettings<Schema extends z.ZodType>(file: string, schema: Schema): Promise<z.output<Schema>> {
     const text = await readFile(file, "utf8").catch((cause: unknown) => {
