--- a/config/publishing/src/chunkReferenceOf.ts
+++ b/config/publishing/src/chunkReferenceOf.ts
@@ -4,7 +4,7 @@
 
 const DIGEST_CHARACTERS = 32;
 
-/** The reference of a chunk of this text, written by `revision`. */
+/** Returns the reference of a chunk that has this text and is written by `revision`. */
 export function chunkReferenceOf(text: string, revision: Revision): ChunkReference {
     return `${digestOf(text).slice(0, DIGEST_CHARACTERS)}@${String(revision)}` as ChunkReference;
 }
--- a/config/publishing/src/chunkSource.ts
+++ b/config/publishing/src/chunkSource.ts
@@ -1,10 +1,10 @@
 import type { ChunkReference } from "./chunkReference.js";
 
-/** Where chunks are fetched from: the key-value service, or a peer. */
+/** A source of chunks: the key-value service or a peer. */
 export interface ChunkSource {
     /**
-     * Texts of the chunks, in the order asked for, shape [references.length].
-     * Throws `CHUNK_NOT_FOUND` where one is not held.
+     * Returns the texts of the chunks, in the order of `references`, shape [references.length].
+     * Rejects with `CHUNK_NOT_FOUND` if the source lacks one of them.
      */
     fetch(references: ChunkReference[]): Promise<string[]>;
 }
--- a/config/publishing/src/configurationChange.ts
+++ b/config/publishing/src/configurationChange.ts
@@ -1,7 +1,7 @@
 import type { ConfigurationRecord } from "./configurationRecord.js";
 import type { RecordKey } from "./recordKey.js";
 
-/** A change that an operator asks for. */
+/** A change to one record, requested by an operator. */
 export type ConfigurationChange =
     | { kind: "put"; record: ConfigurationRecord; }
     | { kind: "remove"; recordKey: RecordKey; };
--- a/config/publishing/src/configurationKeys.ts
+++ b/config/publishing/src/configurationKeys.ts
@@ -3,7 +3,7 @@
 
 const REVISION_DIGITS = 12;
 
-/** Keys of the configuration in the key-value service. They are global, not a region's. */
+/** Keys of the configuration in the key-value service. They are global: all regions share them. */
 export const configurationKeys = {
     root: "configuration/root",
     historyPrefix: "configuration/history/",
--- a/config/publishing/src/configurationPublisher.ts
+++ b/config/publishing/src/configurationPublisher.ts
@@ -29,31 +29,37 @@
 const INVALID_STATUS_CODE = 400;
 const UNAVAILABLE_STATUS_CODE = 503;
 
-/** Publishes configurations: checks, merges, swaps the root, and settles lost answers by reading. */
+/**
+ * Publishes configurations: checks them, merges them with concurrent publishes and swaps the root. If the response of a
+ * swap is lost, repeats the swap and reads the audit record to find out whether it took effect.
+ */
 export class ConfigurationPublisher {
     private readonly clock: Clock;
     private readonly createChangeId: () => string;
     private readonly store: ConfigurationStore;
 
-    /** @param opts.createChangeId gives an id that no other publish has, such as a random UUID */
+    /** @param opts.createChangeId returns an id that no other publish has, such as a random UUID */
     constructor(opts: { keyValue: KeyValueService; clock: Clock; createChangeId: () => string; }) {
         this.clock = opts.clock;
         this.createChangeId = opts.createChangeId;
         this.store = new ConfigurationStore(opts);
     }
 
-    /** The newest configuration in the key-value service; undefined before the first publish. */
+    /** Returns the newest configuration in the key-value service, or undefined before the first publish. */
     async current(): Promise<ConfigurationView | undefined> {
         const loaded = await this.store.load();
         return loaded.root === undefined ? undefined : new TreeConfigurationView(loaded.root, loaded.tree);
     }
 
     /**
-     * Publishes changes as one new revision.
+     * Publishes changes as one new revision. Writes nothing if it is a dry run or if no record would change.
      *
-     * Throws `PublishConflict` where someone else changed one of the records since `baseRevision` (or since the
-     * call began), `CONFIGURATION_INVALID` where the result breaks a rule, and `PUBLISH_UNKNOWN` with outcome
-     * `unknown` where an answer was lost and the key-value service stays away.
+     * Rejects with:
+     * - `PublishConflict` if another publish changed one of the records since `baseRevision`, or since the call began
+     *   if there is no `baseRevision`
+     * - `CONFIGURATION_INVALID` if the result breaks a rule
+     * - `PUBLISH_CONTENDED` if other publishes swap the root first at every attempt
+     * - `PUBLISH_UNKNOWN` with outcome `unknown` if a response was lost and the key-value service stays unavailable
      */
     async publish(request: PublishRequest): Promise<PublishResult> {
         let baseTree: ConfigurationTree | undefined;
@@ -76,13 +82,20 @@
             }
             await sleep(this.clock, RETRY_DELAY_MS);
         }
-        throw new KnapweedError("PUBLISH_CONTENDED", "Other publishes kept coming first", {
-            outcome: "not-run",
-            statusCode: UNAVAILABLE_STATUS_CODE,
-        });
+        throw new KnapweedError(
+            "PUBLISH_CONTENDED",
+            "Concurrent publishes changed the configuration first at every attempt",
+            {
+                outcome: "not-run",
+                statusCode: UNAVAILABLE_STATUS_CODE,
+            },
+        );
     }
 
-    /** Publishes the records of an earlier revision as a new, higher one. */
+    /**
+     * Publishes the records of an earlier revision as a new, higher revision. Rejects as `publish` does, and with
+     * `REVISION_NOT_FOUND` if the revision is no longer stored.
+     */
     async rollback(opts: { revision: Revision; actor: string; dryRun?: boolean; }): Promise<PublishResult> {
         const target = await this.store.loadRevision(opts.revision);
         const loaded = await this.store.load();
@@ -95,7 +108,7 @@
         });
     }
 
-    /** Audit records, newest first. */
+    /** Returns the audit records, newest first, shape [0..limit]. */
     async history(opts: { limit?: number; } = {}): Promise<HistoryEntry[]> {
         const { root } = await this.store.load();
         return root === undefined
@@ -103,7 +116,7 @@
             : this.store.history({ newest: root.revision, limit: opts.limit ?? DEFAULT_HISTORY_LIMIT });
     }
 
-    /** The records that differ between two revisions. */
+    /** Returns the records that differ between two revisions. */
     async difference(from: Revision, to: Revision): Promise<RecordDifference[]> {
         return differenceOf(await this.store.loadRevision(from), await this.store.loadRevision(to));
     }
@@ -141,7 +154,7 @@
         };
     }
 
-    /** Swaps; where the answer is lost, finds out by reading whether the swap took effect. */
+    /** Swaps the root. If the response is lost, finds out whether the swap took effect. */
     private async swapAndConfirm(
         opts: { modRevision: number; change: TreeChange; history: HistoryEntry; },
     ): Promise<boolean> {
@@ -157,8 +170,8 @@
     }
 
     /**
-     * Repeats the swap under the same change id until an answer arrives. Either it takes effect now, or the root has
-     * moved, and the audit record of the revision says whose change moved it.
+     * Repeats the swap with the same change id until a response arrives. Either the swap takes effect now, or the root
+     * has changed meanwhile. Then the audit record of the revision shows which change id made it.
      */
     private async confirmSwap(
         opts: { modRevision: number; change: TreeChange; history: HistoryEntry; },
@@ -174,11 +187,11 @@
         }
         throw new KnapweedError(
             "PUBLISH_UNKNOWN",
-            `Whether revision ${String(root.revision)} was published is unknown`,
+            `The response was lost, so revision ${String(root.revision)} may or may not have been published`,
             {
                 outcome: "unknown",
                 statusCode: UNAVAILABLE_STATUS_CODE,
-                hint: `Look for change ${root.changeId} in the history once the key-value service is back.`,
+                hint: `Look for change ${root.changeId} in the history once the key-value service is available again.`,
             },
         );
     }
@@ -208,7 +221,10 @@
     return { change, difference: differenceOf(loaded.tree, change.tree), revision };
 }
 
-/** Changes of others to records that this publish would change as well; who wants what is there already has none. */
+/**
+ * Returns the changes that others made to records which this publish changes too. A record that already has the
+ * requested content is no conflict.
+ */
 function conflictsOf(
     requested: RecordDifference[],
     baseTree: ConfigurationTree,
--- a/config/publishing/src/configurationRecord.ts
+++ b/config/publishing/src/configurationRecord.ts
@@ -3,7 +3,7 @@
 import type { TeamDefinition } from "@knapweedwood/config.configuration/teamDefinition";
 import type { TeamId } from "@knapweedwood/core.ids/teamId";
 
-/** The unit of change: a service, a team without its keys, or one key. */
+/** The unit of a change: a service, a team without its keys, or one key. */
 export type ConfigurationRecord =
     | { kind: "service"; service: ServiceDefinition; }
     | { kind: "team"; team: Omit<TeamDefinition, "keys">; }
--- a/config/publishing/src/configurationRoot.ts
+++ b/config/publishing/src/configurationRoot.ts
@@ -1,12 +1,12 @@
 import type { Revision } from "@knapweedwood/core.ids/revision";
 import type { ChunkReference } from "./chunkReference.js";
 
-/** The one value that a publish swaps. Everything else hangs below it by digest. */
+/** The single value that a publish swaps. It refers to all chunks by digest, directly or through group chunks. */
 export interface ConfigurationRoot {
     revision: Revision;
-    /** Digest over `groups`. */
+    /** Digest of `groups`. */
     digest: string;
-    /** Names the publish that made this root, so that a lost answer can be settled by reading. */
+    /** Id of the publish that wrote this root. After a lost response it shows whether the publish took effect. */
     changeId: string;
     publishedAtMs: number;
     /** References of the group chunks, shape [GROUP_COUNT]. */
--- a/config/publishing/src/configurationStore.ts
+++ b/config/publishing/src/configurationStore.ts
@@ -14,12 +14,12 @@
 
 const MAX_OPERATIONS_PER_TRANSACTION = 64;
 const NOT_FOUND_STATUS_CODE = 404;
-/** Revisions whose chunks are kept, so that they can be rolled back to. */
+/** Number of revisions whose chunks are kept, so that a rollback to them is possible. */
 const ROLLBACK_WINDOW_REVISIONS = 1000;
-/** Revisions whose audit record is kept. */
+/** Number of revisions whose audit records are kept. */
 const HISTORY_WINDOW_REVISIONS = 20_000;
 
-/** The configuration as it lies in the key-value service. */
+/** Reads and writes the configuration in the key-value service. */
 export class ConfigurationStore {
     private readonly keyValue: KeyValueService;
     private readonly source: KeyValueChunkSource;
@@ -30,7 +30,7 @@
         this.source = new KeyValueChunkSource(opts);
     }
 
-    /** Reads the newest revision, fetching only the chunks that an earlier call has not. */
+    /** Reads the newest revision. Fetches only the chunks that earlier calls have not fetched. */
     async load(): Promise<LoadedConfiguration> {
         const entry = await this.keyValue.get(configurationKeys.root);
         if (entry === undefined) {
@@ -42,7 +42,7 @@
         return { root, tree, modRevision: entry.modRevision };
     }
 
-    /** Reads a revision within the rollback window. Throws `REVISION_NOT_FOUND` for others. */
+    /** Reads a revision within the rollback window. Rejects with `REVISION_NOT_FOUND` for other revisions. */
     async loadRevision(revision: Revision): Promise<ConfigurationTree> {
         const entry = await this.historyEntry(revision);
         if (entry === undefined) {
@@ -58,12 +58,13 @@
         }
     }
 
+    /** Returns the audit record of `revision`, or undefined if it is not stored. */
     async historyEntry(revision: Revision): Promise<HistoryEntry | undefined> {
         const entry = await this.keyValue.get(configurationKeys.history(revision));
         return entry === undefined ? undefined : decode<HistoryEntry>(entry);
     }
 
-    /** Audit records, newest first, shape [0..limit]. */
+    /** Returns the audit records up to revision `newest`, newest first, shape [0..limit]. */
     async history(opts: { newest: Revision; limit: number; }): Promise<HistoryEntry[]> {
         const afterKey = configurationKeys.history(Math.max(0, opts.newest - opts.limit) as Revision);
         const entries = await this.keyValue.list(configurationKeys.historyPrefix, { limit: opts.limit, afterKey });
@@ -71,9 +72,10 @@
     }
 
     /**
-     * Swaps the root and writes what belongs to it.
+     * Swaps the root, writes its chunks and its audit record, and deletes data that leaves the retention windows.
+     * Chunks that exceed the transaction limit are written before.
      *
-     * @returns whether the root was still the one of `modRevision`
+     * @returns whether the swap took effect, which requires that the root still had `modRevision`
      */
     async swap(opts: { modRevision: number; change: TreeChange; history: HistoryEntry; }): Promise<boolean> {
         const { root } = opts.history;
@@ -98,6 +100,7 @@
         return result.succeeded;
     }
 
+    /** Returns the operations that delete data outside the rollback and history windows once `revision` is published. */
     private async cleanupOperations(revision: Revision): Promise<KeyValueOperation[]> {
         const expired = (revision - ROLLBACK_WINDOW_REVISIONS) as Revision;
         const entry = expired <= 0 ? undefined : await this.historyEntry(expired);
@@ -121,9 +124,9 @@
 }
 
 function revisionNotFound(revision: Revision): KnapweedError {
-    return new KnapweedError("REVISION_NOT_FOUND", `Revision ${String(revision)} is not kept`, {
+    return new KnapweedError("REVISION_NOT_FOUND", `Revision ${String(revision)} is not stored`, {
         outcome: "not-run",
         statusCode: NOT_FOUND_STATUS_CODE,
-        hint: "`knapweed config history` lists the revisions that are.",
+        hint: "`knapweed config history` lists the stored revisions.",
     });
 }
--- a/config/publishing/src/configurationTree.ts
+++ b/config/publishing/src/configurationTree.ts
@@ -19,8 +19,8 @@
 const NO_CHUNK = "" as ChunkReference;
 
 /**
- * The records of one revision, in two levels of chunks: a change of one record writes one bucket and one group,
- * however many records there are. Immutable; revisions share the parts that did not change.
+ * The records of one revision, in two levels of chunks: groups and buckets. A change of one record writes one bucket
+ * and one group, however many records there are. Immutable. Revisions share the parts that did not change.
  */
 export class ConfigurationTree {
     static readonly empty = new ConfigurationTree(Array.from({ length: GROUP_COUNT }, () => emptyGroup()));
@@ -32,7 +32,7 @@
         this.groups = groups;
     }
 
-    /** References of the groups, shape [GROUP_COUNT]. */
+    /** Returns the references of the groups, shape [GROUP_COUNT]. */
     groupReferences(): ChunkReference[] {
         return this.groups.map(group => group.reference);
     }
@@ -50,7 +50,7 @@
         return this.groups[groupIndex]?.buckets[bucketIndex]?.records.find(record => recordKeyOf(record) === key);
     }
 
-    /** The chunks whose references `isWanted` picks, groups before their buckets. */
+    /** Returns the chunks whose references satisfy `isWanted`. All groups come before the buckets. */
     chunks(isWanted: (reference: ChunkReference) => boolean): { reference: ChunkReference; text: string; }[] {
         const isPresent = (part: { reference: ChunkReference; }) =>
             part.reference !== NO_CHUNK && isWanted(part.reference);
@@ -64,7 +64,7 @@
         return [...groups, ...buckets];
     }
 
-    /** Applies changes, the last one winning where several touch one record. */
+    /** Returns the tree after `changes`. If several changes affect one record, the last one wins. */
     apply(changes: readonly ConfigurationChange[], revision: Revision): TreeChange {
         const changesByGroup = groupBy(changes, change => positionOf(changeKeyOf(change)).groupIndex);
         const written: TreeChange["written"] = [];
--- a/config/publishing/src/differenceOf.ts
+++ b/config/publishing/src/differenceOf.ts
@@ -5,7 +5,7 @@
 import type { RecordKey } from "./recordKey.js";
 import { recordKeyOf } from "./recordKeyOf.js";
 
-/** The records that differ between two trees, in key order; looks only at buckets that differ. */
+/** Returns the records that differ between two trees, in key order. Compares only buckets with different references. */
 export function differenceOf(before: ConfigurationTree, after: ConfigurationTree): RecordDifference[] {
     return after.groups
         .flatMap((group, groupIndex) =>
--- a/config/publishing/src/groupBy.ts
+++ b/config/publishing/src/groupBy.ts
@@ -1,4 +1,4 @@
-/** Groups `values` by what `keyOf` gives, in order of first appearance. */
+/** Groups `values` by the key that `keyOf` returns, in the order in which the keys first appear. */
 export function groupBy<Value, Key>(values: readonly Value[], keyOf: (value: Value) => Key): Map<Key, Value[]> {
     const groups = new Map<Key, Value[]>();
     values.forEach(value => {
--- a/config/publishing/src/groupIndex.ts
+++ b/config/publishing/src/groupIndex.ts
@@ -5,7 +5,7 @@
 import type { OwnedKey } from "./ownedKey.js";
 import type { TreeGroup } from "./treeGroup.js";
 
-/** The records of one group, by what they are looked up by. Made once for each group that a revision changed. */
+/** Lookup tables for the records of one group. Each group is indexed only once, so unchanged groups keep their index. */
 export class GroupIndex {
     private static readonly indexes = new WeakMap<TreeGroup, GroupIndex>();
 
@@ -33,6 +33,7 @@
         );
     }
 
+    /** Returns the index of `group`, and creates it on the first call. */
     static of(group: TreeGroup): GroupIndex {
         const cached = GroupIndex.indexes.get(group);
         if (cached !== undefined) {
--- a/config/publishing/src/historyEntry.ts
+++ b/config/publishing/src/historyEntry.ts
@@ -6,12 +6,12 @@
 /** The audit record of one publish. */
 export interface HistoryEntry {
     root: ConfigurationRoot;
-    /** Who published: the id of the key, or a name given by the command line. */
+    /** Who published: the id of the API key, or a name given on the command line. */
     actor: string;
     message: string;
     changes: { recordKey: RecordKey; kind: RecordDifference["kind"]; }[];
-    /** Number of records changed; `changes` names the first ones only. */
+    /** Number of changed records. `changes` lists only the first ones. */
     changeCount: number;
-    /** Chunks that this revision no longer refers to, deleted once it leaves the rollback window. */
+    /** Chunks that this revision replaced. They are deleted when it leaves the rollback window. */
     replaced: ChunkReference[];
 }
--- a/config/publishing/src/loadTree.ts
+++ b/config/publishing/src/loadTree.ts
@@ -9,9 +9,9 @@
 import type { TreeGroup } from "./treeGroup.js";
 
 /**
- * Builds the tree of `root`, fetching only the chunks that `known` lacks. A record's place in the tree never changes, so
- * that groups and buckets are compared place by place.
- * Throws `CHUNK_CORRUPT` where a chunk is not what its reference names.
+ * Builds the tree of `root`. Fetches only the chunks that `cached` lacks. A record never changes its position in the
+ * tree, so groups and buckets are compared with those at the same position.
+ * Rejects with `CHUNK_CORRUPT` if a chunk does not match its reference, or the tree does not match the root's digest.
  */
 export async function loadTree(
     opts: { root: ConfigurationRoot; source: ChunkSource; cached: ConfigurationTree; },
@@ -32,7 +32,7 @@
     return verifyDigest(new ConfigurationTree(groups), root);
 }
 
-/** The bucket references of each group that has to be read, by the group's place. */
+/** Fetches the index chunks of the groups that `cached` lacks. Returns their bucket references by group index. */
 async function fetchIndexes(
     opts: { root: ConfigurationRoot; source: ChunkSource; cached: ConfigurationTree; },
 ): Promise<Map<number, ChunkReference[]>> {
@@ -83,7 +83,7 @@
     references.forEach((reference, index) => {
         const text = texts[index];
         if (text === undefined || !isChunkIntact(reference, text)) {
-            throw new KnapweedError("CHUNK_CORRUPT", `Chunk ${reference} is not what its reference names`);
+            throw new KnapweedError("CHUNK_CORRUPT", `Chunk ${reference} does not match the digest in its reference`);
         }
     });
     return texts;
--- a/config/publishing/src/publishConflict.ts
+++ b/config/publishing/src/publishConflict.ts
@@ -3,16 +3,16 @@
 
 const CONFLICT_STATUS_CODE = 409;
 
-/** Someone else changed a record that the publish touches. Nothing was published. */
+/** Error of a publish that changes a record which another publish has changed meanwhile. Nothing was published. */
 export class PublishConflict extends KnapweedError {
     readonly conflicts: RecordDifference[];
 
     constructor(conflicts: RecordDifference[]) {
         const names = conflicts.map(conflict => conflict.recordKey).join(", ");
-        super("PUBLISH_CONFLICT", `Changed by someone else meanwhile: ${names}`, {
+        super("PUBLISH_CONFLICT", `Another publish has changed these records meanwhile: ${names}`, {
             outcome: "not-run",
             statusCode: CONFLICT_STATUS_CODE,
-            hint: "Read the records again, bring in the change, and publish once more.",
+            hint: "Read the records again, reapply your changes and publish again.",
         });
         this.conflicts = conflicts;
     }
--- a/config/publishing/src/publishRequest.ts
+++ b/config/publishing/src/publishRequest.ts
@@ -1,14 +1,14 @@
 import type { Revision } from "@knapweedwood/core.ids/revision";
 import type { ConfigurationChange } from "./configurationChange.js";
 
-/** A publish, as an operator asks for it. */
+/** A request of an operator to publish changes. */
 export interface PublishRequest {
     /** Who publishes, for the audit trail. */
     actor: string;
     changes: ConfigurationChange[];
     message?: string;
-    /** The revision that the operator has seen; changes of the same records since then are a conflict. */
+    /** Revision that the changes are based on. Changes by others to the same records since then are a conflict. */
     baseRevision?: Revision;
-    /** Checks and shows the difference only. */
+    /** Whether to only check the changes and return the difference, without publishing. */
     dryRun?: boolean;
 }
--- a/config/publishing/src/publishResult.ts
+++ b/config/publishing/src/publishResult.ts
@@ -1,9 +1,9 @@
 import type { Revision } from "@knapweedwood/core.ids/revision";
 import type { RecordDifference } from "./recordDifference.js";
 
-/** Outcome of a publish. */
+/** Result of a publish. */
 export interface PublishResult {
-    /** The revision published, or the current one where nothing changed or nothing was to be written. */
+    /** The published revision. The current revision if nothing changed or for a dry run; 0 if there is none. */
     revision: Revision;
     digest: string;
     difference: RecordDifference[];
--- a/config/publishing/src/recordDifference.ts
+++ b/config/publishing/src/recordDifference.ts
@@ -1,7 +1,7 @@
 import type { ConfigurationRecord } from "./configurationRecord.js";
 import type { RecordKey } from "./recordKey.js";
 
-/** How one record differs between two revisions. Undefined stands for absent. */
+/** The difference of one record between two revisions. `before` and `after` are undefined if the record is absent. */
 export interface RecordDifference {
     recordKey: RecordKey;
     kind: "added" | "changed" | "removed";
--- a/config/publishing/src/recordKey.ts
+++ b/config/publishing/src/recordKey.ts
@@ -1,4 +1,4 @@
 import type { Brand } from "@knapweedwood/core.ids/brand";
 
-/** Names a record: `service/NAME`, `team/ID` or `key/ID`. */
+/** Key of a record: `service/NAME`, `team/ID` or `key/ID`. */
 export type RecordKey = Brand<string, "RecordKey">;
--- a/config/publishing/src/recordKeyOf.ts
+++ b/config/publishing/src/recordKeyOf.ts
@@ -1,7 +1,7 @@
 import type { ConfigurationRecord } from "./configurationRecord.js";
 import type { RecordKey } from "./recordKey.js";
 
-/** The key that names `record`. */
+/** Returns the key of `record`. */
 export function recordKeyOf(record: ConfigurationRecord): RecordKey {
     switch (record.kind) {
         case "service":
--- a/config/publishing/src/treeChange.ts
+++ b/config/publishing/src/treeChange.ts
@@ -1,7 +1,7 @@
 import type { ChunkReference } from "./chunkReference.js";
 import type { ConfigurationTree } from "./configurationTree.js";
 
-/** What a change does to a tree. */
+/** Result of applying changes to a tree: the new tree, the chunks to write, and the chunks that they replace. */
 export interface TreeChange {
     tree: ConfigurationTree;
     written: { reference: ChunkReference; text: string; }[];
--- a/config/publishing/src/treeConfigurationView.ts
+++ b/config/publishing/src/treeConfigurationView.ts
@@ -18,8 +18,8 @@
 }
 
 /**
- * A view straight on a tree: it shares the indexes of all groups that did not change with the views of other revisions,
- * so that taking a new revision costs little however many teams there are.
+ * A configuration view backed directly by a tree. It shares the indexes of all unchanged groups with the views of other
+ * revisions, so adopting a new revision costs little however many teams there are.
  */
 export class TreeConfigurationView implements ConfigurationView {
     readonly revision: Revision;
@@ -51,7 +51,7 @@
         return this.servicesByModel.get(model);
     }
 
-    /** Costs time in proportion to the number of teams. */
+    /** Takes time proportional to the number of teams. */
     teams(): TeamDefinition[] {
         return this.indexes
             .flatMap(index => [...index.teams.keys()])
--- a/config/publishing/test/configurationPublisher.test.ts
+++ b/config/publishing/test/configurationPublisher.test.ts
@@ -23,7 +23,7 @@
     return { keyValue, publisher: createPublisher(keyValue) };
 }
 
-test("a publish shows its difference and can be read back by another process", async () => {
+test("a publish returns its difference and can be read by another process", async () => {
     const { keyValue, publisher } = setUp();
     const result = await publisher.publish({ actor: "ann", changes: [team("cellar"), service("notes", "cellar")] });
     assert.equal(result.revision, 1);
@@ -46,7 +46,7 @@
     assert.equal(keyValue.counters.writes, writes);
 });
 
-test("racing publishes of different records all go through, each as its own revision", async () => {
+test("concurrent publishes of different records all succeed, each with its own revision", async () => {
     const { keyValue } = setUp();
     const results = await Promise.all(
         Array.from(
@@ -59,7 +59,7 @@
     assert.equal((await createPublisher(keyValue).current())?.teams().length, 8);
 });
 
-test("a change of the same record since the base revision is a conflict that names it", async () => {
+test("a change of the same record since the base revision is a conflict that lists the record", async () => {
     const { publisher } = setUp();
     const first = await publisher.publish({ actor: "ann", changes: [team("cellar", 1), team("desk", 1)] });
     await publisher.publish({ actor: "bob", changes: [team("cellar", 2)] });
@@ -74,7 +74,7 @@
     assert.equal(disjoint.revision, 3);
 });
 
-test("a lost answer is settled by reading: published once, and reported as published", async () => {
+test("after a lost response, the changes are published once and reported as published", async () => {
     const { keyValue, publisher } = setUp();
     await publisher.publish({ actor: "ann", changes: [team("cellar")] });
     keyValue.faults.loseNextAnswers(1);
@@ -83,7 +83,7 @@
     assert.equal((await publisher.history()).length, 2);
 });
 
-test("a lost answer followed by another publish is still recognized as published", async () => {
+test("a publish with a lost response is recognized as published after another publish", async () => {
     const { keyValue, publisher } = setUp();
     await publisher.publish({ actor: "ann", changes: [team("cellar")] });
     keyValue.faults.loseNextAnswers(1);
@@ -93,7 +93,7 @@
     assert.equal((await publisher.history()).length, 3);
 });
 
-test("during an outage a publish is refused as not run", async () => {
+test("a publish during an outage is rejected with outcome not-run", async () => {
     const { keyValue, publisher } = setUp();
     keyValue.faults.outage = true;
     await assert.rejects(
@@ -102,7 +102,7 @@
     );
 });
 
-test("a rollback is a new, higher revision with the earlier records", async () => {
+test("a rollback publishes the earlier records as a new, higher revision", async () => {
     const { publisher } = setUp();
     const first = await publisher.publish({ actor: "ann", changes: [team("cellar", 1)] });
     await publisher.publish({ actor: "bob", changes: [team("cellar", 9), team("desk")] });
@@ -115,7 +115,7 @@
     assert.deepEqual([newest?.actor, newest?.message], ["ann", "rollback to 1"]);
 });
 
-test("a configuration that breaks a rule is refused whole", async () => {
+test("a configuration that breaks a rule is rejected as a whole", async () => {
     const { publisher } = setUp();
     await publisher.publish({ actor: "ann", changes: [team("cellar"), service("notes", "cellar")] });
     const removal = { kind: "remove" as const, recordKey: "team/cellar" as RecordKey };
--- a/config/publishing/test/sampleRecords.ts
+++ b/config/publishing/test/sampleRecords.ts
@@ -4,7 +4,7 @@
 import type { TeamId } from "@knapweedwood/core.ids/teamId";
 import type { ConfigurationChange } from "../src/configurationChange.js";
 
-/** Changes for tests. */
+/** Creates changes for tests. */
 export const sampleRecords = {
     team: (teamId: string, weight = 1): ConfigurationChange => ({
         kind: "put",
