--- a/config/publishing/src/configurationStore.ts
+++ b/config/publishing/src/configurationStore.ts
@@ -100,7 +100,7 @@
         return result.succeeded;
     }
 
-    /** Returns the operations that delete data outside the rollback and history windows once `revision` is published. */
+    /** Returns the operations that delete data outside the rollback and history windows of `revision`. */
     private async cleanupOperations(revision: Revision): Promise<KeyValueOperation[]> {
         const expired = (revision - ROLLBACK_WINDOW_REVISIONS) as Revision;
         const entry = expired <= 0 ? undefined : await this.historyEntry(expired);
--- a/config/publishing/src/groupIndex.ts
+++ b/config/publishing/src/groupIndex.ts
@@ -5,7 +5,7 @@
 import type { OwnedKey } from "./ownedKey.js";
 import type { TreeGroup } from "./treeGroup.js";
 
-/** Lookup tables for the records of one group. Each group is indexed only once, so unchanged groups keep their index. */
+/** Lookup tables for the records of one group. Each group is indexed once, so unchanged groups keep theirs. */
 export class GroupIndex {
     private static readonly indexes = new WeakMap<TreeGroup, GroupIndex>();
 
