--- a/bench/config-churn/src/readAdoptions.ts
+++ b/bench/config-churn/src/readAdoptions.ts
@@ -1,6 +1,6 @@
 import type { Adoption } from "./adoption.js";
 
-const EVENT = '"event":"configuration.in-force"';
+const EVENT = '"event":"configuration-adopted"';
 
 /** The revisions that a process put in force, in order, from its log. */
 export function readAdoptions(log: string): Adoption[] {
--- a/bench/config-churn/test/judging.test.ts
+++ b/bench/config-churn/test/judging.test.ts
@@ -16,7 +16,7 @@
 test("adoptions are read from log lines, others are passed over", () => {
     const log = [
         '{"event":"link.opened"}',
-        '{"time":"1970-01-01T00:00:05.000Z","level":"info","event":"configuration.in-force","revision":3,"ageMs":12}',
+        '{"time":"1970-01-01T00:00:05.000Z","level":"info","event":"configuration-adopted","revision":3,"ageMs":12}',
         "started",
     ];
     assert.deepEqual(readAdoptions(log.join("\n")), [{ revision: 3, atMs: 5000, ageMs: 12 }]);
--- a/config/distribution/src/activeConfiguration.ts
+++ b/config/distribution/src/activeConfiguration.ts
@@ -7,10 +7,10 @@
 import { TreeConfigurationView } from "@knapweedwood/config.publishing/treeConfigurationView";
 import type { Revision } from "@knapweedwood/core.ids/revision";
 
-/** Told of each adoption, with the tree before it. */
+/** Called on each adoption with the new root and the tree that was active before. */
 export type AdoptionListener = (adopted: { root: ConfigurationRoot; before: ConfigurationTree; }) => void;
 
-/** The revision in force in this process. It only rises. */
+/** The active configuration of this process. Its revision never decreases. */
 export class ActiveConfiguration implements ConfigurationSource {
     private view: ConfigurationView | undefined;
     private activeRoot: ConfigurationRoot | undefined;
@@ -30,7 +30,7 @@
         return this.activeTree;
     }
 
-    /** 0 before the first. */
+    /** The active revision; 0 before the first adoption. */
     get revision(): Revision {
         return this.activeRoot?.revision ?? (0 as Revision);
     }
@@ -45,9 +45,10 @@
     }
 
     /**
-     * Puts `root` in force where it is newer than what is. Chunks are checked against their digests before.
+     * Loads the revision of `root` and makes it active if it is newer than the active one. Chunks are verified against
+     * their digests before. Rejects with `CHUNK_CORRUPT` if one does not match, or with the error of `source`.
      *
-     * @returns whether it was put in force
+     * @returns whether the revision became active
      */
     async adopt(root: ConfigurationRoot, source: ChunkSource): Promise<boolean> {
         if (root.revision <= this.revision) {
--- a/config/distribution/src/activeRevisionQuery.ts
+++ b/config/distribution/src/activeRevisionQuery.ts
@@ -12,7 +12,7 @@
 
 const STATUS_TIMEOUT_MS = 1_000;
 
-/** Asks the watchers of each zone what is in force below them. */
+/** Asks the watchers of each zone for the active revisions of the processes below them. */
 export class ActiveRevisionQuery {
     private readonly identity: PeerIdentity;
     private readonly endpoint: LinkEndpoint;
@@ -34,6 +34,7 @@
         this.ownMembers = opts.ownMembers;
     }
 
+    /** Returns how many processes of the region have `revision` or a higher one active. */
     async run(revision: Revision): Promise<ActiveRevisionReport> {
         const instances = (await this.instanceList.list())
             .filter(instance => instance.kind !== "upstream" && instance.region === this.identity.region);
@@ -64,7 +65,7 @@
             return response.members;
         }
         catch (thrown) {
-            this.logger.debug("configuration.status-failed", { watcher: watcher.instanceId, error: String(thrown) });
+            this.logger.debug("configuration-status-failed", { watcher: watcher.instanceId, error: String(thrown) });
             return [];
         }
     }
--- a/config/distribution/src/addedChunks.ts
+++ b/config/distribution/src/addedChunks.ts
@@ -1,7 +1,7 @@
 import type { ChunkReference } from "@knapweedwood/config.publishing/chunkReference";
 import type { ConfigurationTree } from "@knapweedwood/config.publishing/configurationTree";
 
-/** The chunks that `after` has and `before` lacks, place by place. */
+/** Returns the chunks of `after` that differ from those at the same position in `before`. */
 export function addedChunks(
     before: ConfigurationTree,
     after: ConfigurationTree,
--- a/config/distribution/src/distributedConfiguration.ts
+++ b/config/distribution/src/distributedConfiguration.ts
@@ -24,7 +24,7 @@
 import { RootWatcher } from "./rootWatcher.js";
 
 const HEARTBEAT_PERIOD_MS = 2_000;
-/** Period at which the link to the parent is looked at. */
+/** Period at which the link to the parent is checked. */
 const PARENT_CHECK_PERIOD_MS = 100;
 const JITTER_SHARE = 0.2;
 const REPORT_EXPIRY_MS = 7_000;
@@ -34,9 +34,9 @@
 const MAX_DELTA_CHARACTERS = 64 * 1024;
 
 /**
- * The configuration in force at this process. A few watchers a zone follow the key-value service; all others get
- * deltas over links from a parent. Beats carry revisions both ways, so that whoever missed a delta fetches it, and
- * carry what is in force upwards.
+ * Keeps the configuration of this process up to date. A few watchers per zone follow the key-value service. All other
+ * processes receive deltas from a parent over links. Heartbeats and their responses exchange revisions, so that a
+ * process that missed a delta fetches it. Heartbeats also report the active revisions to the parent.
  */
 export class DistributedConfiguration implements ConfigurationSource {
     private readonly opts: DistributionOptions;
@@ -79,7 +79,7 @@
         opts.endpoint.receive(deltaNotification, (delta, peer) => this.fetcher.applyDelta(delta, peer));
     }
 
-    /** Starts following; resolves at once, whether or not a configuration has been found. */
+    /** Starts to follow the configuration. Resolves immediately, whether or not a configuration has been found. */
     start(): Promise<void> {
         void this.refreshLoop();
         void this.heartbeatLoop();
@@ -100,7 +100,12 @@
         return this.active.subscribe(listener);
     }
 
-    /** Waits until `revision` or a higher one is in force here. @returns whether it is */
+    /**
+     * Waits until `revision` or a higher one is active in this process.
+     *
+     * @param opts.timeoutMs maximum time to wait
+     * @returns whether it is active
+     */
     async waitFor(revision: Revision, opts: { timeoutMs: number; }): Promise<boolean> {
         const aborter = new AbortController();
         const unsubscribe = this.active.subscribe(view => view.revision >= revision && aborter.abort());
@@ -111,7 +116,7 @@
         return this.active.revision >= revision;
     }
 
-    /** Counts on how many processes `revision`, or the one in force here, is in force. */
+    /** Returns how many processes have `revision` active. The default is the active revision of this process. */
     inForce(revision: Revision = this.active.revision): Promise<ActiveRevisionReport> {
         const query = new ActiveRevisionQuery({ ...this.opts, ownMembers: () => this.members() });
         return query.run(revision);
@@ -130,7 +135,7 @@
         }
     }
 
-    /** Follows the key-value service while this process is a watcher, or while no parent answers. */
+    /** Follows the key-value service while this process is a watcher or no parent responds. */
     private updateWatcher(): void {
         const isOrphan = this.opts.clock.nowMs() - this.lastParentContactAtMs > ORPHAN_TIMEOUT_MS;
         if (this.stopped.signal.aborted) {
@@ -157,7 +162,10 @@
         }
     }
 
-    /** Whether the parent has not answered since it was linked to, or there is no configuration: then beats follow one another at once. */
+    /**
+     * Returns whether to send heartbeats at every check instead of every period. This is so while the parent has not
+     * responded since its link was opened and, on a watcher, while there is no configuration.
+     */
     private needsHeartbeatNow(): boolean {
         if (this.neighbours.position.isWatcher) {
             return this.active.root === undefined;
@@ -226,7 +234,7 @@
     private handleAdopted(adopted: { root: ConfigurationRoot; before: ConfigurationTree; }): void {
         const { root } = adopted;
         const ageMs = this.opts.clock.nowMs() - root.publishedAtMs;
-        this.opts.logger.info("configuration.in-force", { revision: root.revision, ageMs: Math.round(ageMs) });
+        this.opts.logger.info("configuration-adopted", { revision: root.revision, ageMs: Math.round(ageMs) });
         this.opts.metrics.timing("configuration.in_force_ms", ageMs);
         this.forward(root, adopted.before);
         this.scheduleReport();
@@ -246,7 +254,7 @@
         links.forEach(link => link.notify(deltaNotification, delta));
     }
 
-    /** Reports upwards soon, gathering the reports that arrive meanwhile. */
+    /** Reports to the parent after a short delay, to combine reports that arrive in the meantime. */
     private scheduleReport(): void {
         if (this.isReportScheduled) {
             return;
--- a/config/distribution/src/distributionOptions.ts
+++ b/config/distribution/src/distributionOptions.ts
@@ -7,12 +7,12 @@
 import type { Metrics } from "@knapweedwood/observability.metrics/metrics";
 import type { InstanceList } from "@knapweedwood/routing.instance-list/instanceList";
 
-/** What a {@link DistributedConfiguration} is made of. */
+/** Dependencies of a {@link DistributedConfiguration}. */
 export interface DistributionOptions {
     identity: PeerIdentity;
     clock: Clock;
     random: Random;
-    /** Undefined for a process that gets the configuration over links only. */
+    /** Undefined for a process that receives the configuration only over links. */
     keyValue: KeyValueService | undefined;
     instanceList: InstanceList;
     endpoint: LinkEndpoint;
--- a/config/distribution/src/distributionPosition.ts
+++ b/config/distribution/src/distributionPosition.ts
@@ -1,11 +1,11 @@
 import type { InstanceRecord } from "@knapweedwood/routing.instance-list/instanceRecord";
 
-/** Where a process stands in the distribution of configurations. */
+/** Position of a process in the distribution tree of configurations. */
 export interface DistributionPosition {
     /** Whether this process watches the key-value service for its zone. */
     isWatcher: boolean;
-    /** Processes to get revisions from, the preferred one first. */
+    /** Processes that can supply revisions, in order of preference. */
     parents: InstanceRecord[];
-    /** Watchers to compare revisions with, where this process is one. */
+    /** Other watchers to compare revisions with. Empty if this process is not a watcher. */
     siblings: InstanceRecord[];
 }
--- a/config/distribution/src/handleDistributionCalls.ts
+++ b/config/distribution/src/handleDistributionCalls.ts
@@ -9,7 +9,7 @@
 
 const TEXTS_PER_FRAME = 16;
 
-/** Answers peers that fetch the configuration, or ask on how many processes it is in force. */
+/** Registers the handlers for peers that fetch the configuration or query the active revisions. */
 export function handleDistributionCalls(
     opts: { endpoint: LinkEndpoint; active: ActiveConfiguration; members: () => MemberRevision[]; },
 ): void {
@@ -36,7 +36,7 @@
     return references.map(reference => {
         const text = texts.get(reference);
         if (text === undefined) {
-            throw new KnapweedError("CHUNK_NOT_FOUND", `Chunk ${reference} is not held here any more`, {
+            throw new KnapweedError("CHUNK_NOT_FOUND", `Chunk ${reference} is not part of the active configuration`, {
                 outcome: "not-run",
             });
         }
--- a/config/distribution/src/linkChunkSource.ts
+++ b/config/distribution/src/linkChunkSource.ts
@@ -6,7 +6,7 @@
 
 const REFERENCES_PER_CALL = 128;
 
-/** Fetches chunks from a peer, after those that came with a delta. */
+/** Fetches chunks from a peer, except those that a delta has already delivered. */
 export class LinkChunkSource implements ChunkSource {
     private readonly link: Link;
     private readonly timeoutMs: number;
--- a/config/distribution/src/memberReports.ts
+++ b/config/distribution/src/memberReports.ts
@@ -6,7 +6,7 @@
     receivedAtMs: number;
 }
 
-/** What the processes below this one reported last. */
+/** The latest reports of the processes below this one. Reports expire after `expiryMs`. */
 export class MemberReports {
     private readonly reports = new Map<InstanceId, Report>();
     private readonly expiryMs: number;
@@ -15,20 +15,20 @@
         this.expiryMs = opts.expiryMs;
     }
 
-    /** @returns whether the report differs from the one before */
+    /** Records the report of `child`. @returns whether it differs from the previous one */
     record(child: InstanceId, members: MemberRevision[], nowMs: number): boolean {
         const before = this.reports.get(child);
         this.reports.set(child, { members, receivedAtMs: nowMs });
         return before === undefined || !areSame(before.members, members);
     }
 
-    /** Children heard of lately. */
+    /** Returns the children whose reports have not expired. */
     children(nowMs: number): InstanceId[] {
         this.dropExpired(nowMs);
         return [...this.reports.keys()];
     }
 
-    /** All members below, each with the highest revision reported. */
+    /** Returns all processes below this one, each with the highest reported revision. */
     members(nowMs: number): MemberRevision[] {
         this.dropExpired(nowMs);
         return highestRevisions([...this.reports.values()].flatMap(report => report.members));
--- a/config/distribution/src/memberRevision.ts
+++ b/config/distribution/src/memberRevision.ts
@@ -1,7 +1,7 @@
 import type { InstanceId } from "@knapweedwood/core.ids/instanceId";
 import type { Revision } from "@knapweedwood/core.ids/revision";
 
-/** The revision in force at one process; 0 before its first. */
+/** The active revision of one process; 0 before its first. */
 export interface MemberRevision {
     instanceId: InstanceId;
     revision: Revision;
--- a/config/distribution/src/neighbours.ts
+++ b/config/distribution/src/neighbours.ts
@@ -13,10 +13,10 @@
 const PARENTS_ADDED_PER_TRY = 2;
 const MAX_PARENTS_TO_TRY = 16;
 const ADD_PARENTS_PERIOD_MS = 300;
-/** How old the instance list may be for a process whose preferred parent answers. */
+/** Maximum age of the instance list while the link to the preferred parent is open. */
 const CONNECTED_REFRESH_PERIOD_MS = 20_000;
 
-/** The links to the processes beside and above this one, kept in step with the instance list. */
+/** The links to the parents and siblings of this process. They follow the instance list. */
 export class Neighbours {
     private readonly identity: PeerIdentity;
     private readonly endpoint: LinkEndpoint;
@@ -49,7 +49,10 @@
         return this.currentPosition;
     }
 
-    /** Reads the instance list: often while this process watches, or finds no parent, and seldom otherwise. */
+    /**
+     * Reads the instance list if it is due. It is due at every call while the link to the preferred parent is not open,
+     * as on a watcher, and rarely otherwise.
+     */
     async refreshIfDue(): Promise<void> {
         const nowMs = this.clock.nowMs();
         const isFresh = this.isConnectedToParent() && nowMs - this.refreshedAtMs < CONNECTED_REFRESH_PERIOD_MS;
@@ -59,7 +62,7 @@
         }
     }
 
-    /** Reads the instance list and takes the place that follows from it; keeps the old place where it is away. */
+    /** Reads the instance list and updates the position. Keeps the old position if the list is unavailable. */
     private async refresh(): Promise<void> {
         try {
             const instances = await this.instanceList.list();
@@ -68,7 +71,7 @@
             this.closeUnlisted(instances);
         }
         catch (thrown) {
-            this.logger.debug("configuration.instance-list-away", { error: String(thrown) });
+            this.logger.debug("configuration-instance-list-unavailable", { error: String(thrown) });
             if (this.currentPosition === NO_POSITION) {
                 this.currentPosition = planDistribution({ self: this.ownRecord(), instances: [] });
             }
@@ -76,8 +79,8 @@
     }
 
     /**
-     * The link to the first parent that answers. While none does, links to more of them with each call, for the
-     * instance list may show processes that are gone.
+     * Returns the open link to the most preferred parent. While there is none, returns links to entries and gradually
+     * opens links to more parents, because the instance list may still show processes that have stopped.
      */
     parents(): Link[] {
         const links: Link[] = [];
@@ -93,6 +96,7 @@
         return this.openEntryLinks();
     }
 
+    /** Returns the links to the siblings, and opens those that are missing. */
     siblings(): Link[] {
         return this.currentPosition.siblings.map(sibling => this.connect(sibling));
     }
@@ -101,6 +105,7 @@
         return this.currentPosition.parents.some(parent => parent.instanceId === peer.instanceId);
     }
 
+    /** Returns the link to `peer`, an open one if there is one. */
     linkTo(peer: PeerIdentity): Link | undefined {
         return this.linkToId(peer.instanceId);
     }
@@ -123,7 +128,10 @@
         return parent !== undefined && this.linksByAddress.get(parent.address)?.state === "open";
     }
 
-    /** Where no parent is known, such as when the instance list is away, any entry that has linked to this process. */
+    /**
+     * Returns up to two open links to entries, none on a watcher. They replace the parents while no link to a parent is
+     * open, for example because the instance list is unavailable and no parent is known.
+     */
     private openEntryLinks(): Link[] {
         return this.currentPosition.isWatcher
             ? []
--- a/config/distribution/src/planDistribution.ts
+++ b/config/distribution/src/planDistribution.ts
@@ -4,14 +4,15 @@
 import type { DistributionPosition } from "./distributionPosition.js";
 import { watchersOfZone } from "./watchersOfZone.js";
 
-/** Most processes that one passes revisions on to, as long as a zone has at most `FAN_OUT`³ processes. */
+/** Maximum number of processes that one process forwards revisions to, in zones of up to `FAN_OUT`³ processes. */
 const FAN_OUT = 16;
 const SIBLINGS_IN_OTHER_ZONES = 2;
 const MAX_PARENTS_PER_GROUP = 4;
 
 /**
- * The place of one process: watchers of its zone at the top, relays below them where the zone is large, all others
- * below the relays. Relays double in number rather than grow by one, so that a process seldom changes its parent.
+ * Returns the position of one process. The watchers of its zone are at the top. Relays are below them if the zone is
+ * large, and all other processes are below the relays. The number of relays doubles rather than grows by one, so that a
+ * process rarely changes its parent.
  */
 export function planDistribution(
     opts: { self: InstanceRecord; instances: readonly InstanceRecord[]; },
--- a/config/distribution/src/revisionFetcher.ts
+++ b/config/distribution/src/revisionFetcher.ts
@@ -13,7 +13,7 @@
 
 const FETCH_TIMEOUT_MS = 5_000;
 
-/** Puts newer revisions in force, with the chunks from wherever they are at hand. */
+/** Adopts newer revisions. Takes the chunks from a delta, a peer or the key-value service. */
 export class RevisionFetcher {
     private readonly active: ActiveConfiguration;
     private readonly linkTo: (peer: PeerIdentity) => Link | undefined;
@@ -25,7 +25,7 @@
         active: ActiveConfiguration;
         linkTo: (peer: PeerIdentity) => Link | undefined;
         logger: Logger;
-        /** Nothing is put in force once it is aborted. */
+        /** No load of a revision starts after it is aborted. */
         stopped: AbortSignal;
     }) {
         this.active = opts.active;
@@ -34,7 +34,7 @@
         this.stopped = opts.stopped;
     }
 
-    /** Asks a peer for its revision, where that is newer. */
+    /** Fetches the revision of a peer if it is newer than the active one. Runs at most one fetch per peer at a time. */
     fetchIfNewer(revision: Revision, peer: PeerIdentity): void {
         const link = this.linkTo(peer);
         if (revision > this.active.revision && link !== undefined && !this.fetching.has(peer.instanceId)) {
@@ -43,7 +43,7 @@
         }
     }
 
-    /** Takes a revision that a peer passed on; what its delta lacks is fetched from the peer. */
+    /** Adopts a revision that a peer forwarded. Chunks that the delta lacks are fetched from the peer. */
     applyDelta(
         delta: { root: ConfigurationRoot; chunks: { reference: ChunkReference; text: string; }[]; },
         peer: PeerIdentity,
@@ -54,7 +54,7 @@
         }
     }
 
-    /** Puts a revision in force where it is newer. Failures are logged, and made good by a later beat or sweep. */
+    /** Makes a revision active if it is newer. A failure is logged; a later heartbeat or poll retries. */
     async adopt(root: ConfigurationRoot, source: ChunkSource): Promise<void> {
         try {
             if (!this.stopped.aborted) {
@@ -62,7 +62,7 @@
             }
         }
         catch (thrown) {
-            this.logger.debug("configuration.adopt-failed", { revision: root.revision, error: String(thrown) });
+            this.logger.debug("configuration-adopt-failed", { revision: root.revision, error: String(thrown) });
         }
     }
 
@@ -74,7 +74,7 @@
             }
         }
         catch (thrown) {
-            this.logger.debug("configuration.fetch-failed", { error: String(thrown) });
+            this.logger.debug("configuration-fetch-failed", { error: String(thrown) });
         }
     }
 }
--- a/config/distribution/src/rootWatcher.ts
+++ b/config/distribution/src/rootWatcher.ts
@@ -11,8 +11,8 @@
 const POLL_JITTER_MS = 200;
 
 /**
- * Follows the configuration's root in the key-value service: by a watch for speed, and by reading it again and again,
- * which finds what a lost or silent watch missed.
+ * Follows the root of the configuration in the key-value service. A watch reports changes quickly. Periodic reads find
+ * changes that a lost or silent watch missed.
  */
 export class RootWatcher {
     private readonly keyValue: KeyValueService;
@@ -40,7 +40,7 @@
         return this.aborter !== undefined;
     }
 
-    /** Starts following; has no effect while it does. */
+    /** Starts to follow the root. Has no effect if it is already running. */
     start(): void {
         if (this.aborter === undefined) {
             this.aborter = new AbortController();
@@ -54,7 +54,7 @@
         this.aborter = undefined;
     }
 
-    /** Reads the root once. Throws where the key-value service is away. */
+    /** Reads the root once. Rejects if the key-value service is unavailable. */
     async read(): Promise<void> {
         const entry = await this.keyValue.get(configurationKeys.root);
         if (entry !== undefined) {
@@ -64,14 +64,14 @@
 
     private async pollLoop(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
-            await this.attempt("configuration.sweep-failed", () => this.read());
+            await this.attempt("configuration-root-read-failed", () => this.read());
             await this.pause(signal);
         }
     }
 
     private async watchLoop(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
-            await this.attempt("configuration.watch-lost", () => this.watchOnce(signal));
+            await this.attempt("configuration-watch-lost", () => this.watchOnce(signal));
             await this.pause(signal);
         }
     }
--- a/config/distribution/src/watchersOfZone.ts
+++ b/config/distribution/src/watchersOfZone.ts
@@ -5,8 +5,8 @@
 const WATCHERS_PER_ZONE = 2;
 
 /**
- * The entries that watch the key-value service for `zone`, shape [0..WATCHERS_PER_ZONE]. Entries of other zones stand
- * in where the zone has none; leaving ones are taken only where all are leaving.
+ * Returns the entries that watch the key-value service for `zone`, shape [0..WATCHERS_PER_ZONE]. If the zone has no
+ * entries, entries of other zones watch for it. Leaving entries are used only if all candidates are leaving.
  */
 export function watchersOfZone(zone: ZoneName, instances: readonly InstanceRecord[]): InstanceRecord[] {
     const entries = instances.filter(instance => instance.kind === "entry");
--- a/config/distribution/src/zoneStatusCall.ts
+++ b/config/distribution/src/zoneStatusCall.ts
@@ -1,5 +1,5 @@
 import { defineCall } from "@knapweedwood/links.calls/defineCall";
 import type { MemberRevision } from "./memberRevision.js";
 
-/** Asks a watcher what is in force at itself and below it; one frame. */
+/** Requests the active revisions of a watcher and of the processes below it. The response is one frame. */
 export const zoneStatusCall = defineCall<object, { members: MemberRevision[]; }>("configuration.zone-status");
--- a/config/distribution/test/configurationFuzz.test.ts
+++ b/config/distribution/test/configurationFuzz.test.ts
@@ -63,7 +63,7 @@
     weight: number | undefined;
 }
 
-/** Knows what was accepted and what was refused, and nothing of how. */
+/** Records which publishes were accepted or rejected and checks the fleet against them, whatever its internal state. */
 class Oracle {
     readonly accepted: AcceptedPublish[] = [];
     readonly rejectedWeights = new Set<number>();
@@ -74,32 +74,35 @@
             const isRising = revisions.every((revision, index) =>
                 index === 0 || revision > (revisions[index - 1] ?? 0)
             );
-            assert.ok(isRising, `revisions went ${revisions.join(", ")}`);
+            assert.ok(isRising, `revisions do not increase: ${revisions.join(", ")}`);
         });
         fleet.processes.forEach(({ configuration }) => {
             const view = configuration.current();
             if (view !== undefined) {
                 const expectedDigest = this.digestsByRevision.get(view.revision) ?? view.digest;
-                assert.equal(view.digest, expectedDigest, `two contents of revision ${view.revision}`);
+                assert.equal(view.digest, expectedDigest, `revision ${view.revision} has two contents`);
                 this.digestsByRevision.set(view.revision, expectedDigest);
             }
         });
         const numbers = this.accepted.map(publish => publish.revision);
-        assert.equal(new Set(numbers).size, numbers.length, "one revision was given to two publishes");
+        assert.equal(new Set(numbers).size, numbers.length, "two publishes got the same revision");
     }
 
     highest(): number {
         return Math.max(0, ...this.accepted.map(publish => publish.revision));
     }
 
-    /** Weights of all teams that must hold where no rollback and no unknown outcome came after. */
+    /**
+     * Checks that all processes agree, that no accepted revision was undone and that no rejected publish is active. If
+     * `isExact`, which requires that there was no rollback and no unknown outcome, also checks the weight of each team.
+     */
     checkFinal(fleet: FakeFleet, isExact: boolean): void {
         const revisions = fleet.revisions();
-        assert.equal(new Set(revisions).size, 1, `not all agree: ${revisions.join(", ")}`);
-        assert.ok((revisions[0] ?? 0) >= this.highest(), "an accepted revision is not in force");
+        assert.equal(new Set(revisions).size, 1, `processes have different revisions: ${revisions.join(", ")}`);
+        assert.ok((revisions[0] ?? 0) >= this.highest(), "an accepted revision is not active");
         const view = [...fleet.processes.values()][0]?.configuration.current();
         const weights = (view?.teams() ?? []).map(team => team.weight);
-        assert.ok(weights.every(weight => !this.rejectedWeights.has(weight)), "a refused publish is in force");
+        assert.ok(weights.every(weight => !this.rejectedWeights.has(weight)), "a rejected publish is active");
         if (isExact) {
             TEAMS.forEach(team => {
                 const last = this.accepted.filter(publish => publish.team === team)
@@ -108,7 +111,7 @@
                         undefined,
                     );
                 const found = view?.teams().find(candidate => candidate.teamId === team);
-                assert.equal(found?.weight, last?.weight, `team ${team} is not as last accepted`);
+                assert.equal(found?.weight, last?.weight, `team ${team} does not have the weight last accepted`);
             });
         }
     }
@@ -195,7 +198,7 @@
     fleet.processes.forEach(process => void process.configuration.stop());
 }
 
-/** Ends all faults, and starts what was killed. */
+/** Clears all faults and restarts killed processes. */
 function clearFaults(fleet: FakeFleet): void {
     fleet.keyValue.faults.outage = false;
     fleet.keyValue.faults.delayMs = 0;
@@ -206,7 +209,7 @@
         .forEach(each => fleet.start(each, each.startsWith("entry") ? "entry" : "side", each.slice(-2, -1)));
 }
 
-test("an accepted revision is never undone, and after quiet all agree", async () => {
+test("an accepted revision is never undone, and all processes agree once faults end", async () => {
     await fc.assert(
         fc.asyncProperty(fc.array(action, { minLength: 5, maxLength: 40 }), runActions),
         { seed: SEED, numRuns: RUNS },
--- a/config/distribution/test/distributedConfiguration.test.ts
+++ b/config/distribution/test/distributedConfiguration.test.ts
@@ -14,7 +14,7 @@
     return fleet;
 }
 
-test("a publish reaches every process over links, and is counted as in force everywhere", async () => {
+test("a publish reaches every process over links and is reported as active everywhere", async () => {
     const fleet = startFleet({ entriesPerZone: 3, sidesPerZone: 5 });
     await fleet.clock.advance(6_000);
     const publisher = fleet.createPublisher();
@@ -32,7 +32,7 @@
     assert.equal(fleet.keyValue.counters.activeWatches, 6);
 });
 
-test("a process that is cut off is named as missing, and catches up when it is back", async () => {
+test("a disconnected process is reported as missing and catches up once reconnected", async () => {
     const fleet = startFleet({ entriesPerZone: 2, sidesPerZone: 3 });
     await fleet.clock.advance(6_000);
     fleet.network.setCut("side-a0:1", true);
@@ -47,7 +47,7 @@
     assert.deepEqual(new Set(fleet.revisions()), new Set([1]));
 });
 
-test("a process that starts during an outage takes the newest revision that a peer holds", async () => {
+test("a process that starts during an outage adopts the newest revision of a peer", async () => {
     const fleet = startFleet({ entriesPerZone: 2, sidesPerZone: 1 });
     const publisher = fleet.createPublisher();
     await fleet.run(publisher.publish({ actor: "ann", changes: [sampleChange("cellar", 1)] }));
@@ -60,7 +60,7 @@
     assert.deepEqual(newcomers.map(newcomer => newcomer.revisions), [[2], [2]]);
 });
 
-test("a process alone during an outage serves nothing", async () => {
+test("a single process during an outage has no configuration", async () => {
     const fleet = new FakeFleet({ seed: 1 });
     fleet.keyValue.faults.outage = true;
     const alone = fleet.start("entry-a0", "entry", "a");
@@ -68,7 +68,7 @@
     assert.equal(alone.configuration.current(), undefined);
 });
 
-test("the loss of every watcher of a zone is made good by others", async () => {
+test("revisions still reach a zone after the loss of all its watchers", async () => {
     const fleet = startFleet({ entriesPerZone: 4, sidesPerZone: 2 });
     await fleet.clock.advance(6_000);
     ["entry-a0", "entry-a1", "entry-a2"].forEach(name => fleet.kill(name));
@@ -79,7 +79,7 @@
     assert.deepEqual(new Set(fleet.revisions()), new Set([1]));
 });
 
-test("a zone of hundreds of processes is reached through relays", async () => {
+test("a publish reaches a zone of more than 150 processes through relays", async () => {
     const fleet = new FakeFleet({ seed: 3 });
     Array.from({ length: 4 }, (_, n) => fleet.start(`entry-${n}`, "entry", "a"));
     Array.from({ length: 150 }, (_, n) => fleet.start(`side-${n}`, "side", "a"));
--- a/config/distribution/test/fakeFleet.ts
+++ b/config/distribution/test/fakeFleet.ts
@@ -17,18 +17,18 @@
 export interface FakeProcess {
     record: InstanceRecord;
     configuration: DistributedConfiguration;
-    /** Each revision that was put in force, in order, for this life of the process. */
+    /** Each revision that became active, in order, since this process started. */
     revisions: number[];
 }
 
-/** Processes of one region on fake links, with a stand-in platform and a manual clock. */
+/** Processes of one region, connected by fake links, with a stand-in platform and a manual clock. */
 export class FakeFleet {
     readonly clock = new ManualClock(1_000_000);
     readonly keyValue = new MemoryKeyValueService({ clock: this.clock });
     readonly instanceList = new MemoryInstanceList({ clock: this.clock, lagMs: 500 });
     readonly network: FakeNetwork;
     readonly processes = new Map<InstanceId, FakeProcess>();
-    /** Every process that ever lived. */
+    /** Every process ever started, including killed ones. */
     readonly startedProcesses: FakeProcess[] = [];
     private readonly random: SeededRandom;
     private changeCount = 0;
@@ -92,7 +92,7 @@
         });
     }
 
-    /** Lets time pass until `promise` settles. */
+    /** Advances the clock until `promise` settles. */
     async run<Value>(promise: Promise<Value>): Promise<Value> {
         let isSettled = false;
         const settle = () => {
--- a/config/distribution/test/fakeNetwork.ts
+++ b/config/distribution/test/fakeNetwork.ts
@@ -11,7 +11,7 @@
 type AnyHandler = CallHandler<unknown, unknown>;
 type AnyReceiver = (message: unknown, peer: PeerIdentity) => void;
 
-/** Links in memory that lose, delay, reorder and double messages. */
+/** In-memory links that lose, delay, reorder and duplicate messages. */
 export class FakeNetwork {
     lossRate = 0;
     duplicationRate = 0;
@@ -26,7 +26,7 @@
         this.random = opts.random;
     }
 
-    /** The endpoint of a process at `address`; replaces that of an earlier process there. */
+    /** Creates the endpoint of a process at `address`. Replaces the endpoint of an earlier process at this address. */
     attach(identity: PeerIdentity, address: string): FakeEndpoint {
         const endpoint = new FakeEndpoint({ network: this, identity, address });
         this.endpoints.set(address, endpoint);
@@ -37,7 +37,7 @@
         this.endpoints.delete(address);
     }
 
-    /** Cuts an address off from all others, or joins it again. */
+    /** Disconnects an address from all others, or reconnects it. */
     setCut(address: string, isCut: boolean): void {
         if (isCut) {
             this.cut.add(address);
@@ -62,7 +62,7 @@
         return new Promise(resolve => this.clock.setTimer(this.random.next() * this.maxDelayMs, resolve));
     }
 
-    /** Sends a message, with the faults set. */
+    /** Sends a message, subject to the configured loss, duplication and delay. */
     transmit(from: FakeEndpoint, address: string, deliver: (target: FakeEndpoint) => void): void {
         const copies = this.random.next() < this.lossRate ? 0 : this.random.next() < this.duplicationRate ? 2 : 1;
         Array.from({ length: copies }).forEach(() => {
@@ -121,7 +121,7 @@
         return Promise.resolve();
     }
 
-    /** The identity of the process at `address`, where it can be reached. */
+    /** Returns the identity of the process at `address`, or undefined if it is unreachable. */
     peerAt(address: string): PeerIdentity | undefined {
         return this.network.find(this, address)?.identity;
     }
--- a/config/distribution/test/sampleChange.ts
+++ b/config/distribution/test/sampleChange.ts
@@ -1,7 +1,7 @@
 import type { ConfigurationChange } from "@knapweedwood/config.publishing/configurationChange";
 import type { TeamId } from "@knapweedwood/core.ids/teamId";
 
-/** A change that puts a team with this weight. */
+/** Returns a change that puts a team with this weight. */
 export function sampleChange(teamId: string, weight: number): ConfigurationChange {
     return {
         kind: "put",
