--- a/config/configuration/src/checkConfiguration.ts
+++ b/config/configuration/src/checkConfiguration.ts
@@ -6,7 +6,7 @@
 const LIMIT_FIELDS = ["requestsPerSecond", "tokensPerSecond", "concurrency"] as const;
 
 /**
- * Checks the rules that span several definitions.
+ * Checks the rules that involve several definitions, and that the models of a service match its kind.
  *
  * @returns every problem found, shape [problems]
  */
@@ -17,20 +17,24 @@
     return [
         ...opts.services.flatMap(service => unknownTeams(service, limitsByTeam)),
         ...opts.services.flatMap(service => limitsOverQuota(service, limitsByTeam)),
-        ...modelsOfferedTwice(opts.services),
-        ...opts.services.flatMap(modelsOfWrongKind),
+        ...duplicateModels(opts.services),
+        ...opts.services.flatMap(modelKindMismatches),
     ];
 }
 
 function unknownTeams(service: ServiceDefinition, teams: Map<string, Limits>): ConfigurationProblem[] {
     const owner = teams.has(service.team)
         ? []
-        : [problem(service, ["team"], `expected a team that is defined; there is no team "${service.team}"`)];
+        : [problem(service, ["team"], `expected a defined team, but team "${service.team}" does not exist`)];
     const callers = (service.callableBy ?? [])
         .map((team, index) => ({ team, index }))
         .filter(caller => !teams.has(caller.team))
         .map(caller =>
-            problem(service, ["callableBy", caller.index], `expected a team that is defined, got "${caller.team}"`)
+            problem(
+                service,
+                ["callableBy", caller.index],
+                `expected a defined team, but team "${caller.team}" does not exist`,
+            )
         );
     return [...owner, ...callers];
 }
@@ -43,14 +47,14 @@
             problem(
                 service,
                 ["limits", field],
-                `expected at most the quota of team "${service.team}", ${String(quota[field])}; got ${
+                `expected at most the quota of team "${service.team}" (${String(quota[field])}), got ${
                     String(service.limits[field])
                 }`,
             )
         );
 }
 
-function modelsOfferedTwice(services: readonly ServiceDefinition[]): ConfigurationProblem[] {
+function duplicateModels(services: readonly ServiceDefinition[]): ConfigurationProblem[] {
     const firstOffer = new Map<string, ServiceDefinition>();
     return services.flatMap(service =>
         service.models.flatMap((model, modelIndex) =>
@@ -69,7 +73,7 @@
                         problem(
                             service,
                             offer.path,
-                            `model or adapter "${offer.name}" is offered twice; service "${earlier.name}" offers it too`,
+                            `model or adapter "${offer.name}" is already offered by service "${earlier.name}"`,
                         ),
                     ];
             })
@@ -77,7 +81,7 @@
     );
 }
 
-function modelsOfWrongKind(service: ServiceDefinition): ConfigurationProblem[] {
+function modelKindMismatches(service: ServiceDefinition): ConfigurationProblem[] {
     if (service.kind === "plain" && service.models.length > 0) {
         return [problem(service, ["models"], "expected no models for a service of kind plain")];
     }
--- a/config/distribution/src/configurationHolder.ts
+++ b/config/distribution/src/activeConfiguration.ts
@@ -7,14 +7,14 @@
 import { TreeConfigurationView } from "@knapweedwood/config.publishing/treeConfigurationView";
 import type { Revision } from "@knapweedwood/core.ids/revision";
 
-/** Told of each adoption, with the tree before it. */
+/** Called on each adoption with the new root and the tree that was active before. */
 export type AdoptionListener = (adopted: { root: ConfigurationRoot; before: ConfigurationTree; }) => void;
 
-/** The revision in force in this process. It only rises. */
-export class ConfigurationHolder implements ConfigurationSource {
+/** The active configuration of this process. Its revision never decreases. */
+export class ActiveConfiguration implements ConfigurationSource {
     private view: ConfigurationView | undefined;
-    private heldRoot: ConfigurationRoot | undefined;
-    private heldTree = ConfigurationTree.empty;
+    private activeRoot: ConfigurationRoot | undefined;
+    private activeTree = ConfigurationTree.empty;
     private readonly listeners = new Set<(view: ConfigurationView) => void>();
     private readonly onAdopted: AdoptionListener;
 
@@ -23,16 +23,16 @@
     }
 
     get root(): ConfigurationRoot | undefined {
-        return this.heldRoot;
+        return this.activeRoot;
     }
 
     get tree(): ConfigurationTree {
-        return this.heldTree;
+        return this.activeTree;
     }
 
-    /** 0 before the first. */
+    /** The active revision; 0 before the first adoption. */
     get revision(): Revision {
-        return this.heldRoot?.revision ?? (0 as Revision);
+        return this.activeRoot?.revision ?? (0 as Revision);
     }
 
     current(): ConfigurationView | undefined {
@@ -45,22 +45,23 @@
     }
 
     /**
-     * Puts `root` in force where it is newer than what is. Chunks are checked against their digests before.
+     * Loads the revision of `root` and makes it active if it is newer than the active one. Chunks are verified against
+     * their digests before. Rejects with `CHUNK_CORRUPT` if one does not match, or with the error of `source`.
      *
-     * @returns whether it was put in force
+     * @returns whether the revision became active
      */
     async adopt(root: ConfigurationRoot, source: ChunkSource): Promise<boolean> {
         if (root.revision <= this.revision) {
             return false;
         }
-        const tree = await loadTree({ root, source, known: this.heldTree });
+        const tree = await loadTree({ root, source, cached: this.activeTree });
         if (root.revision <= this.revision) {
             return false;
         }
-        const before = this.heldTree;
+        const before = this.activeTree;
         const view = new TreeConfigurationView(root, tree);
-        this.heldRoot = root;
-        this.heldTree = tree;
+        this.activeRoot = root;
+        this.activeTree = tree;
         this.view = view;
         this.onAdopted({ root, before });
         this.listeners.forEach(listener => listener(view));
--- a/config/distribution/src/inForceQuery.ts
+++ b/config/distribution/src/activeRevisionQuery.ts
@@ -5,15 +5,15 @@
 import type { Logger } from "@knapweedwood/observability.logs/logger";
 import type { InstanceList } from "@knapweedwood/routing.instance-list/instanceList";
 import type { InstanceRecord } from "@knapweedwood/routing.instance-list/instanceRecord";
-import type { InForceReport } from "./inForceReport.js";
+import type { ActiveRevisionReport } from "./activeRevisionReport.js";
 import type { MemberRevision } from "./memberRevision.js";
 import { watchersOfZone } from "./watchersOfZone.js";
 import { zoneStatusCall } from "./zoneStatusCall.js";
 
 const STATUS_TIMEOUT_MS = 1_000;
 
-/** Asks the watchers of each zone what is in force below them. */
-export class InForceQuery {
+/** Asks the watchers of each zone for the active revisions of the processes below them. */
+export class ActiveRevisionQuery {
     private readonly identity: PeerIdentity;
     private readonly endpoint: LinkEndpoint;
     private readonly instanceList: InstanceList;
@@ -34,12 +34,13 @@
         this.ownMembers = opts.ownMembers;
     }
 
-    async run(revision: Revision): Promise<InForceReport> {
+    /** Returns how many processes of the region have `revision` or a higher one active. */
+    async run(revision: Revision): Promise<ActiveRevisionReport> {
         const instances = (await this.instanceList.list())
             .filter(instance => instance.kind !== "upstream" && instance.region === this.identity.region);
-        const answers = await Promise.all(this.watchersOf(instances).map(watcher => this.ask(watcher)));
+        const responses = await Promise.all(this.watchersOf(instances).map(watcher => this.queryWatcher(watcher)));
         const revisions = new Map<string, Revision>();
-        [...this.ownMembers(), ...answers.flat()].forEach(member =>
+        [...this.ownMembers(), ...responses.flat()].forEach(member =>
             revisions.set(
                 member.instanceId,
                 Math.max(member.revision, revisions.get(member.instanceId) ?? 0) as Revision,
@@ -57,14 +58,14 @@
             .filter(watcher => watcher.instanceId !== this.identity.instanceId);
     }
 
-    private async ask(watcher: InstanceRecord): Promise<MemberRevision[]> {
+    private async queryWatcher(watcher: InstanceRecord): Promise<MemberRevision[]> {
         try {
             const link = this.endpoint.connect(watcher.address);
-            const answer = await singleFrame(link.call(zoneStatusCall, {}, { timeoutMs: STATUS_TIMEOUT_MS }));
-            return answer.members;
+            const response = await singleFrame(link.call(zoneStatusCall, {}, { timeoutMs: STATUS_TIMEOUT_MS }));
+            return response.members;
         }
         catch (thrown) {
-            this.logger.debug("configuration.status-failed", { watcher: watcher.instanceId, error: String(thrown) });
+            this.logger.debug("configuration-status-failed", { watcher: watcher.instanceId, error: String(thrown) });
             return [];
         }
     }
--- a/config/distribution/src/memberReports.ts
+++ b/config/distribution/src/memberReports.ts
@@ -3,10 +3,10 @@
 
 interface Report {
     members: MemberRevision[];
-    heardAtMs: number;
+    receivedAtMs: number;
 }
 
-/** What the processes below this one reported last. */
+/** The latest reports of the processes below this one. Reports expire after `expiryMs`. */
 export class MemberReports {
     private readonly reports = new Map<InstanceId, Report>();
     private readonly expiryMs: number;
@@ -15,39 +15,39 @@
         this.expiryMs = opts.expiryMs;
     }
 
-    /** @returns whether the report differs from the one before */
-    put(child: InstanceId, members: MemberRevision[], nowMs: number): boolean {
+    /** Records the report of `child`. @returns whether it differs from the previous one */
+    record(child: InstanceId, members: MemberRevision[], nowMs: number): boolean {
         const before = this.reports.get(child);
-        this.reports.set(child, { members, heardAtMs: nowMs });
+        this.reports.set(child, { members, receivedAtMs: nowMs });
         return before === undefined || !areSame(before.members, members);
     }
 
-    /** Children heard of lately. */
+    /** Returns the children whose reports have not expired. */
     children(nowMs: number): InstanceId[] {
         this.dropExpired(nowMs);
         return [...this.reports.keys()];
     }
 
-    /** All members below, each with the highest revision reported. */
+    /** Returns all processes below this one, each with the highest reported revision. */
     members(nowMs: number): MemberRevision[] {
         this.dropExpired(nowMs);
-        return highestOfEach([...this.reports.values()].flatMap(report => report.members));
+        return highestRevisions([...this.reports.values()].flatMap(report => report.members));
     }
 
     private dropExpired(nowMs: number): void {
         this.reports.forEach((report, child) => {
-            if (nowMs - report.heardAtMs > this.expiryMs) {
+            if (nowMs - report.receivedAtMs > this.expiryMs) {
                 this.reports.delete(child);
             }
         });
     }
 }
 
-function highestOfEach(members: MemberRevision[]): MemberRevision[] {
+function highestRevisions(members: MemberRevision[]): MemberRevision[] {
     const highest = new Map<InstanceId, MemberRevision>();
     members.forEach(member => {
-        const known = highest.get(member.instanceId);
-        if (known === undefined || known.revision < member.revision) {
+        const current = highest.get(member.instanceId);
+        if (current === undefined || current.revision < member.revision) {
             highest.set(member.instanceId, member);
         }
     });
--- a/config/distribution/src/revisionFetcher.ts
+++ b/config/distribution/src/revisionFetcher.ts
@@ -7,44 +7,44 @@
 import type { PeerIdentity } from "@knapweedwood/links.calls/peerIdentity";
 import { singleFrame } from "@knapweedwood/links.calls/singleFrame";
 import type { Logger } from "@knapweedwood/observability.logs/logger";
-import type { ConfigurationHolder } from "./configurationHolder.js";
+import type { ActiveConfiguration } from "./activeConfiguration.js";
 import { fetchRootCall } from "./fetchRootCall.js";
 import { LinkChunkSource } from "./linkChunkSource.js";
 
 const FETCH_TIMEOUT_MS = 5_000;
 
-/** Puts newer revisions in force, with the chunks from wherever they are at hand. */
+/** Adopts newer revisions. Takes the chunks from a delta, a peer or the key-value service. */
 export class RevisionFetcher {
-    private readonly holder: ConfigurationHolder;
+    private readonly active: ActiveConfiguration;
     private readonly linkTo: (peer: PeerIdentity) => Link | undefined;
     private readonly logger: Logger;
     private readonly stopped: AbortSignal;
     private readonly fetching = new Set<InstanceId>();
 
     constructor(opts: {
-        holder: ConfigurationHolder;
+        active: ActiveConfiguration;
         linkTo: (peer: PeerIdentity) => Link | undefined;
         logger: Logger;
-        /** Nothing is put in force once it is aborted. */
+        /** No load of a revision starts after it is aborted. */
         stopped: AbortSignal;
     }) {
-        this.holder = opts.holder;
+        this.active = opts.active;
         this.linkTo = opts.linkTo;
         this.logger = opts.logger;
         this.stopped = opts.stopped;
     }
 
-    /** Asks a peer for its revision, where that is newer. */
-    fetchWhereNewer(revision: Revision, peer: PeerIdentity): void {
+    /** Fetches the revision of a peer if it is newer than the active one. Runs at most one fetch per peer at a time. */
+    fetchIfNewer(revision: Revision, peer: PeerIdentity): void {
         const link = this.linkTo(peer);
-        if (revision > this.holder.revision && link !== undefined && !this.fetching.has(peer.instanceId)) {
+        if (revision > this.active.revision && link !== undefined && !this.fetching.has(peer.instanceId)) {
             this.fetching.add(peer.instanceId);
             void this.fetchFrom(link).finally(() => this.fetching.delete(peer.instanceId));
         }
     }
 
-    /** Takes a revision that a peer passed on; what its delta lacks is fetched from the peer. */
-    takeDelta(
+    /** Adopts a revision that a peer forwarded. Chunks that the delta lacks are fetched from the peer. */
+    applyDelta(
         delta: { root: ConfigurationRoot; chunks: { reference: ChunkReference; text: string; }[]; },
         peer: PeerIdentity,
     ): void {
@@ -54,15 +54,15 @@
         }
     }
 
-    /** Puts a revision in force where it is newer. Failures are logged, and made good by a later beat or sweep. */
+    /** Makes a revision active if it is newer. A failure is logged; a later heartbeat or poll retries. */
     async adopt(root: ConfigurationRoot, source: ChunkSource): Promise<void> {
         try {
             if (!this.stopped.aborted) {
-                await this.holder.adopt(root, source);
+                await this.active.adopt(root, source);
             }
         }
         catch (thrown) {
-            this.logger.debug("configuration.adopt-failed", { revision: root.revision, error: String(thrown) });
+            this.logger.debug("configuration-adopt-failed", { revision: root.revision, error: String(thrown) });
         }
     }
 
@@ -74,7 +74,7 @@
             }
         }
         catch (thrown) {
-            this.logger.debug("configuration.fetch-failed", { error: String(thrown) });
+            this.logger.debug("configuration-fetch-failed", { error: String(thrown) });
         }
     }
 }
--- a/config/distribution/src/rootWatcher.ts
+++ b/config/distribution/src/rootWatcher.ts
@@ -7,12 +7,12 @@
 import type { Random } from "@knapweedwood/core.random/random";
 import type { Logger } from "@knapweedwood/observability.logs/logger";
 
-const SWEEP_PERIOD_MS = 1_000;
-const SWEEP_JITTER_MS = 200;
+const POLL_PERIOD_MS = 1_000;
+const POLL_JITTER_MS = 200;
 
 /**
- * Follows the configuration's root in the key-value service: by a watch for speed, and by reading it again and again,
- * which finds what a lost or silent watch missed.
+ * Follows the root of the configuration in the key-value service. A watch reports changes quickly. Periodic reads find
+ * changes that a lost or silent watch missed.
  */
 export class RootWatcher {
     private readonly keyValue: KeyValueService;
@@ -40,12 +40,12 @@
         return this.aborter !== undefined;
     }
 
-    /** Starts following; has no effect while it does. */
+    /** Starts to follow the root. Has no effect if it is already running. */
     start(): void {
         if (this.aborter === undefined) {
             this.aborter = new AbortController();
-            void this.sweep(this.aborter.signal);
-            void this.follow(this.aborter.signal);
+            void this.pollLoop(this.aborter.signal);
+            void this.watchLoop(this.aborter.signal);
         }
     }
 
@@ -54,7 +54,7 @@
         this.aborter = undefined;
     }
 
-    /** Reads the root once. Throws where the key-value service is away. */
+    /** Reads the root once. Rejects if the key-value service is unavailable. */
     async read(): Promise<void> {
         const entry = await this.keyValue.get(configurationKeys.root);
         if (entry !== undefined) {
@@ -62,21 +62,21 @@
         }
     }
 
-    private async sweep(signal: AbortSignal): Promise<void> {
+    private async pollLoop(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
-            await this.attempt("configuration.sweep-failed", () => this.read());
+            await this.attempt("configuration-root-read-failed", () => this.read());
             await this.pause(signal);
         }
     }
 
-    private async follow(signal: AbortSignal): Promise<void> {
+    private async watchLoop(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
-            await this.attempt("configuration.watch-lost", () => this.followOnce(signal));
+            await this.attempt("configuration-watch-lost", () => this.watchOnce(signal));
             await this.pause(signal);
         }
     }
 
-    private async followOnce(signal: AbortSignal): Promise<void> {
+    private async watchOnce(signal: AbortSignal): Promise<void> {
         const { revision } = await this.keyValue.transact([], []);
         await this.read();
         const batches = this.keyValue.watch(configurationKeys.root, { afterRevision: revision, signal });
@@ -99,6 +99,6 @@
     }
 
     private pause(signal: AbortSignal): Promise<void> {
-        return sleep(this.clock, SWEEP_PERIOD_MS + this.random.nextInteger(SWEEP_JITTER_MS), signal);
+        return sleep(this.clock, POLL_PERIOD_MS + this.random.nextInteger(POLL_JITTER_MS), signal);
     }
 }
--- a/config/distribution/test/configurationFuzz.test.ts
+++ b/config/distribution/test/configurationFuzz.test.ts
@@ -10,7 +10,7 @@
 const SEED = 20_261_203;
 const ZONES = ["a", "b", "c"];
 const TEAMS = ["cellar", "desk", "portal"];
-const QUIET_MS = 30_000;
+const RECOVERY_MS = 30_000;
 const NAMES = ZONES.flatMap(zone => [`entry-${zone}0`, `entry-${zone}1`, `side-${zone}0`, `side-${zone}1`]);
 
 type Action =
@@ -56,59 +56,62 @@
     },
 );
 
-interface Accepted {
+interface AcceptedPublish {
     revision: number;
     team: string;
     /** Undefined for a rollback. */
     weight: number | undefined;
 }
 
-/** Knows what was accepted and what was refused, and nothing of how. */
+/** Records which publishes were accepted or rejected and checks the fleet against them, whatever its internal state. */
 class Oracle {
-    readonly accepted: Accepted[] = [];
-    readonly refusedWeights = new Set<number>();
-    private readonly digests = new Map<number, string>();
+    readonly accepted: AcceptedPublish[] = [];
+    readonly rejectedWeights = new Set<number>();
+    private readonly digestsByRevision = new Map<number, string>();
 
     checkRevisions(fleet: FakeFleet): void {
-        fleet.lives.forEach(({ revisions }) => {
+        fleet.startedProcesses.forEach(({ revisions }) => {
             const isRising = revisions.every((revision, index) =>
                 index === 0 || revision > (revisions[index - 1] ?? 0)
             );
-            assert.ok(isRising, `revisions went ${revisions.join(", ")}`);
+            assert.ok(isRising, `revisions do not increase: ${revisions.join(", ")}`);
         });
         fleet.processes.forEach(({ configuration }) => {
             const view = configuration.current();
             if (view !== undefined) {
-                const known = this.digests.get(view.revision) ?? view.digest;
-                assert.equal(view.digest, known, `two contents of revision ${view.revision}`);
-                this.digests.set(view.revision, known);
+                const expectedDigest = this.digestsByRevision.get(view.revision) ?? view.digest;
+                assert.equal(view.digest, expectedDigest, `revision ${view.revision} has two contents`);
+                this.digestsByRevision.set(view.revision, expectedDigest);
             }
         });
         const numbers = this.accepted.map(publish => publish.revision);
-        assert.equal(new Set(numbers).size, numbers.length, "one revision was given to two publishes");
+        assert.equal(new Set(numbers).size, numbers.length, "two publishes got the same revision");
     }
 
     highest(): number {
         return Math.max(0, ...this.accepted.map(publish => publish.revision));
     }
 
-    /** Weights of all teams that must hold where no rollback and no unknown outcome came after. */
+    /**
+     * Checks that all processes agree, that no accepted revision was undone and that no rejected publish is active. If
+     * `isExact`, which requires that there was no rollback and no unknown outcome, also checks the weight of each team.
+     */
     checkFinal(fleet: FakeFleet, isExact: boolean): void {
         const revisions = fleet.revisions();
-        assert.equal(new Set(revisions).size, 1, `not all agree: ${revisions.join(", ")}`);
-        assert.ok((revisions[0] ?? 0) >= this.highest(), "an accepted revision is not in force");
+        assert.equal(new Set(revisions).size, 1, `processes have different revisions: ${revisions.join(", ")}`);
+        assert.ok((revisions[0] ?? 0) >= this.highest(), "an accepted revision is not active");
         const view = [...fleet.processes.values()][0]?.configuration.current();
         const weights = (view?.teams() ?? []).map(team => team.weight);
-        assert.ok(weights.every(weight => !this.refusedWeights.has(weight)), "a refused publish is in force");
+        assert.ok(weights.every(weight => !this.rejectedWeights.has(weight)), "a rejected publish is active");
         if (isExact) {
             TEAMS.forEach(team => {
                 const last = this.accepted.filter(publish => publish.team === team)
-                    .reduce<Accepted | undefined>(
+                    .reduce<AcceptedPublish | undefined>(
                         (a, b) => a === undefined || b.revision > a.revision ? b : a,
                         undefined,
                     );
                 const found = view?.teams().find(candidate => candidate.teamId === team);
-                assert.equal(found?.weight, last?.weight, `team ${team} is not as last accepted`);
+                assert.equal(found?.weight, last?.weight, `team ${team} does not have the weight last accepted`);
             });
         }
     }
@@ -120,7 +123,7 @@
     const pending: Promise<void>[] = [];
     let weight = 0;
     let isExact = true;
-    const settle = (
+    const recordOutcome = (
         team: string,
         value: number | undefined,
         result: Promise<{ revision: number; published: boolean; }>,
@@ -137,7 +140,7 @@
                     isExact = false;
                 }
                 else if (value !== undefined) {
-                    oracle.refusedWeights.add(value);
+                    oracle.rejectedWeights.add(value);
                 }
             },
         ));
@@ -146,7 +149,7 @@
         switch (step.kind) {
             case "publish":
                 weight += 1;
-                return settle(
+                return recordOutcome(
                     step.team,
                     weight,
                     fleet.createPublisher().publish({
@@ -157,7 +160,7 @@
             case "rollback": {
                 isExact = false;
                 const revision = Math.max(1, oracle.highest() - step.back) as never;
-                return settle("", undefined, fleet.createPublisher().rollback({ revision, actor: "bob" }));
+                return recordOutcome("", undefined, fleet.createPublisher().rollback({ revision, actor: "bob" }));
             }
             case "lose-answers":
                 return fleet.keyValue.faults.loseNextAnswers(step.count);
@@ -187,16 +190,16 @@
         await apply(step);
         oracle.checkRevisions(fleet);
     }
-    calm(fleet);
+    clearFaults(fleet);
     await fleet.run(Promise.all(pending));
-    await fleet.clock.advance(QUIET_MS);
+    await fleet.clock.advance(RECOVERY_MS);
     oracle.checkRevisions(fleet);
     oracle.checkFinal(fleet, isExact);
     fleet.processes.forEach(process => void process.configuration.stop());
 }
 
-/** Ends all faults, and starts what was killed. */
-function calm(fleet: FakeFleet): void {
+/** Clears all faults and restarts killed processes. */
+function clearFaults(fleet: FakeFleet): void {
     fleet.keyValue.faults.outage = false;
     fleet.keyValue.faults.delayMs = 0;
     fleet.keyValue.faults.loseNextAnswers(0);
@@ -206,7 +209,7 @@
         .forEach(each => fleet.start(each, each.startsWith("entry") ? "entry" : "side", each.slice(-2, -1)));
 }
 
-test("an accepted revision is never undone, and after quiet all agree", async () => {
+test("an accepted revision is never undone, and all processes agree once faults end", async () => {
     await fc.assert(
         fc.asyncProperty(fc.array(action, { minLength: 5, maxLength: 40 }), runActions),
         { seed: SEED, numRuns: RUNS },
--- a/config/distribution/test/fakeFleet.ts
+++ b/config/distribution/test/fakeFleet.ts
@@ -17,19 +17,19 @@
 export interface FakeProcess {
     record: InstanceRecord;
     configuration: DistributedConfiguration;
-    /** Each revision that was put in force, in order, for this life of the process. */
+    /** Each revision that became active, in order, since this process started. */
     revisions: number[];
 }
 
-/** Processes of one region on fake links, with a stand-in platform and a manual clock. */
+/** Processes of one region, connected by fake links, with a stand-in platform and a manual clock. */
 export class FakeFleet {
     readonly clock = new ManualClock(1_000_000);
     readonly keyValue = new MemoryKeyValueService({ clock: this.clock });
     readonly instanceList = new MemoryInstanceList({ clock: this.clock, lagMs: 500 });
     readonly network: FakeNetwork;
     readonly processes = new Map<InstanceId, FakeProcess>();
-    /** Every process that ever lived. */
-    readonly lives: FakeProcess[] = [];
+    /** Every process ever started, including killed ones. */
+    readonly startedProcesses: FakeProcess[] = [];
     private readonly random: SeededRandom;
     private changeCount = 0;
     private incarnation = 0;
@@ -37,7 +37,7 @@
     constructor(opts: { seed: number; }) {
         this.random = new SeededRandom(opts.seed);
         this.network = new FakeNetwork({ clock: this.clock, random: this.random });
-        this.announceRegularly();
+        this.announcePeriodically();
     }
 
     start(name: string, kind: "entry" | "side", zone: string): FakeProcess {
@@ -66,7 +66,7 @@
         const started: FakeProcess = { record, configuration, revisions: [] };
         configuration.subscribe(view => started.revisions.push(view.revision));
         this.processes.set(record.instanceId, started);
-        this.lives.push(started);
+        this.startedProcesses.push(started);
         void this.instanceList.announce(record);
         void configuration.start();
         return started;
@@ -92,7 +92,7 @@
         });
     }
 
-    /** Lets time pass until `promise` settles. */
+    /** Advances the clock until `promise` settles. */
     async run<Value>(promise: Promise<Value>): Promise<Value> {
         let isSettled = false;
         const settle = () => {
@@ -109,8 +109,8 @@
         return [...this.processes.values()].map(process => process.configuration.current()?.revision ?? 0);
     }
 
-    private announceRegularly(): void {
+    private announcePeriodically(): void {
         this.processes.forEach(process => void this.instanceList.announce(process.record));
-        this.clock.setTimer(2_000, () => this.announceRegularly());
+        this.clock.setTimer(2_000, () => this.announcePeriodically());
     }
 }
--- a/config/publishing/src/configurationPublisher.ts
+++ b/config/publishing/src/configurationPublisher.ts
@@ -21,68 +21,81 @@
 
 const MAX_SWAP_ATTEMPTS = 50;
 const RETRY_DELAY_MS = 20;
-const SETTLE_DELAY_MS = 200;
-const SETTLE_TIMEOUT_MS = 10_000;
-const HISTORY_CHANGES_NAMED = 50;
+const CONFIRM_DELAY_MS = 200;
+const CONFIRM_TIMEOUT_MS = 10_000;
+const MAX_CHANGES_PER_HISTORY_ENTRY = 50;
 const DEFAULT_HISTORY_LIMIT = 50;
 const FIRST_REVISION = 1 as Revision;
 const INVALID_STATUS_CODE = 400;
 const UNAVAILABLE_STATUS_CODE = 503;
 
-/** Publishes configurations: checks, merges, swaps the root, and settles lost answers by reading. */
+/**
+ * Publishes configurations: checks them, merges them with concurrent publishes and swaps the root. If the response of a
+ * swap is lost, repeats the swap and reads the audit record to find out whether it took effect.
+ */
 export class ConfigurationPublisher {
     private readonly clock: Clock;
     private readonly createChangeId: () => string;
     private readonly store: ConfigurationStore;
 
-    /** @param opts.createChangeId gives an id that no other publish has, such as a random UUID */
+    /** @param opts.createChangeId returns an id that no other publish has, such as a random UUID */
     constructor(opts: { keyValue: KeyValueService; clock: Clock; createChangeId: () => string; }) {
         this.clock = opts.clock;
         this.createChangeId = opts.createChangeId;
         this.store = new ConfigurationStore(opts);
     }
 
-    /** The newest configuration in the key-value service; undefined before the first publish. */
+    /** Returns the newest configuration in the key-value service, or undefined before the first publish. */
     async current(): Promise<ConfigurationView | undefined> {
         const loaded = await this.store.load();
         return loaded.root === undefined ? undefined : new TreeConfigurationView(loaded.root, loaded.tree);
     }
 
     /**
-     * Publishes changes as one new revision.
+     * Publishes changes as one new revision. Writes nothing if it is a dry run or if no record would change.
      *
-     * Throws `PublishConflict` where someone else changed one of the records since `baseRevision` (or since the
-     * call began), `CONFIGURATION_INVALID` where the result breaks a rule, and `PUBLISH_UNKNOWN` with outcome
-     * `unknown` where an answer was lost and the key-value service stays away.
+     * Rejects with:
+     * - `PublishConflict` if another publish changed one of the records since `baseRevision`, or since the call began
+     *   if there is no `baseRevision`
+     * - `CONFIGURATION_INVALID` if the result breaks a rule
+     * - `PUBLISH_CONTENDED` if other publishes swap the root first at every attempt
+     * - `PUBLISH_UNKNOWN` with outcome `unknown` if a response was lost and the key-value service stays unavailable
      */
     async publish(request: PublishRequest): Promise<PublishResult> {
-        let seen: ConfigurationTree | undefined;
+        let baseTree: ConfigurationTree | undefined;
         const changeId = this.createChangeId();
         for (let attempt = 0; attempt < MAX_SWAP_ATTEMPTS; attempt += 1) {
             const loaded = await this.store.load();
-            seen ??= await this.treeSeen(request, loaded);
-            const planned = plan(request.changes, loaded);
-            const conflicts = conflictsOf(planned.difference, seen, loaded.tree);
+            baseTree ??= await this.loadBaseTree(request, loaded);
+            const planned = planChanges(request.changes, loaded);
+            const conflicts = conflictsOf(planned.difference, baseTree, loaded.tree);
             if (conflicts.length > 0) {
                 throw new PublishConflict(conflicts);
             }
-            check(planned.change.tree);
+            checkTree(planned.change.tree);
             if (request.dryRun === true || planned.difference.length === 0) {
                 return resultOf(loaded.root, planned.difference, false);
             }
-            const history = this.historyOf({ request, changeId, ...planned });
-            if (await this.swapSettled({ modRevision: loaded.modRevision, change: planned.change, history })) {
+            const history = this.createHistoryEntry({ request, changeId, ...planned });
+            if (await this.swapAndConfirm({ modRevision: loaded.modRevision, change: planned.change, history })) {
                 return resultOf(history.root, planned.difference, true);
             }
             await sleep(this.clock, RETRY_DELAY_MS);
         }
-        throw new KnapweedError("PUBLISH_CONTENDED", "Other publishes kept coming first", {
-            outcome: "not-run",
-            statusCode: UNAVAILABLE_STATUS_CODE,
-        });
+        throw new KnapweedError(
+            "PUBLISH_CONTENDED",
+            "Concurrent publishes changed the configuration first at every attempt",
+            {
+                outcome: "not-run",
+                statusCode: UNAVAILABLE_STATUS_CODE,
+            },
+        );
     }
 
-    /** Publishes the records of an earlier revision as a new, higher one. */
+    /**
+     * Publishes the records of an earlier revision as a new, higher revision. Rejects as `publish` does, and with
+     * `REVISION_NOT_FOUND` if the revision is no longer stored.
+     */
     async rollback(opts: { revision: Revision; actor: string; dryRun?: boolean; }): Promise<PublishResult> {
         const target = await this.store.loadRevision(opts.revision);
         const loaded = await this.store.load();
@@ -95,7 +108,7 @@
         });
     }
 
-    /** Audit records, newest first. */
+    /** Returns the audit records, newest first, shape [0..limit]. */
     async history(opts: { limit?: number; } = {}): Promise<HistoryEntry[]> {
         const { root } = await this.store.load();
         return root === undefined
@@ -103,18 +116,18 @@
             : this.store.history({ newest: root.revision, limit: opts.limit ?? DEFAULT_HISTORY_LIMIT });
     }
 
-    /** The records that differ between two revisions. */
+    /** Returns the records that differ between two revisions. */
     async difference(from: Revision, to: Revision): Promise<RecordDifference[]> {
         return differenceOf(await this.store.loadRevision(from), await this.store.loadRevision(to));
     }
 
-    private async treeSeen(request: PublishRequest, loaded: LoadedConfiguration): Promise<ConfigurationTree> {
+    private async loadBaseTree(request: PublishRequest, loaded: LoadedConfiguration): Promise<ConfigurationTree> {
         return request.baseRevision === undefined || request.baseRevision === loaded.root?.revision
             ? loaded.tree
             : this.store.loadRevision(request.baseRevision);
     }
 
-    private historyOf(
+    private createHistoryEntry(
         opts: {
             request: PublishRequest;
             changeId: string;
@@ -134,15 +147,15 @@
             actor: opts.request.actor,
             message: opts.request.message ?? "",
             changes: opts.difference
-                .slice(0, HISTORY_CHANGES_NAMED)
+                .slice(0, MAX_CHANGES_PER_HISTORY_ENTRY)
                 .map(changed => ({ recordKey: changed.recordKey, kind: changed.kind })),
             changeCount: opts.difference.length,
             replaced: opts.change.replaced,
         };
     }
 
-    /** Swaps; where the answer is lost, finds out by reading whether the swap took effect. */
-    private async swapSettled(
+    /** Swaps the root. If the response is lost, finds out whether the swap took effect. */
+    private async swapAndConfirm(
         opts: { modRevision: number; change: TreeChange; history: HistoryEntry; },
     ): Promise<boolean> {
         try {
@@ -152,38 +165,38 @@
             if (!(thrown instanceof KnapweedError) || thrown.outcome !== "unknown") {
                 throw thrown;
             }
-            return this.settle(opts);
+            return this.confirmSwap(opts);
         }
     }
 
     /**
-     * Repeats the swap under the same change id until an answer arrives. Either it takes effect now, or the root has
-     * moved, and the audit record of the revision says whose change moved it.
+     * Repeats the swap with the same change id until a response arrives. Either the swap takes effect now, or the root
+     * has changed meanwhile. Then the audit record of the revision shows which change id made it.
      */
-    private async settle(
+    private async confirmSwap(
         opts: { modRevision: number; change: TreeChange; history: HistoryEntry; },
     ): Promise<boolean> {
         const { root } = opts.history;
-        const deadlineMs = this.clock.nowMs() + SETTLE_TIMEOUT_MS;
+        const deadlineMs = this.clock.nowMs() + CONFIRM_TIMEOUT_MS;
         while (this.clock.nowMs() < deadlineMs) {
-            await sleep(this.clock, SETTLE_DELAY_MS);
-            const settled = await this.trySettle(opts);
-            if (settled !== undefined) {
-                return settled;
+            await sleep(this.clock, CONFIRM_DELAY_MS);
+            const isSwapped = await this.tryConfirmSwap(opts);
+            if (isSwapped !== undefined) {
+                return isSwapped;
             }
         }
         throw new KnapweedError(
             "PUBLISH_UNKNOWN",
-            `Whether revision ${String(root.revision)} was published is unknown`,
+            `The response was lost, so revision ${String(root.revision)} may or may not have been published`,
             {
                 outcome: "unknown",
                 statusCode: UNAVAILABLE_STATUS_CODE,
-                hint: `Look for change ${root.changeId} in the history once the key-value service is back.`,
+                hint: `Look for change ${root.changeId} in the history once the key-value service is available again.`,
             },
         );
     }
 
-    private async trySettle(
+    private async tryConfirmSwap(
         opts: { modRevision: number; change: TreeChange; history: HistoryEntry; },
     ): Promise<boolean | undefined> {
         try {
@@ -199,7 +212,7 @@
     }
 }
 
-function plan(
+function planChanges(
     changes: ConfigurationChange[],
     loaded: LoadedConfiguration,
 ): { change: TreeChange; difference: RecordDifference[]; revision: Revision; } {
@@ -208,17 +221,20 @@
     return { change, difference: differenceOf(loaded.tree, change.tree), revision };
 }
 
-/** Changes of others to records that this publish would change as well; who wants what is there already has none. */
+/**
+ * Returns the changes that others made to records which this publish changes too. A record that already has the
+ * requested content is no conflict.
+ */
 function conflictsOf(
-    wanted: RecordDifference[],
-    seen: ConfigurationTree,
+    requested: RecordDifference[],
+    baseTree: ConfigurationTree,
     current: ConfigurationTree,
 ): RecordDifference[] {
-    const touched = new Set(wanted.map(difference => difference.recordKey));
-    return differenceOf(seen, current).filter(difference => touched.has(difference.recordKey));
+    const touched = new Set(requested.map(difference => difference.recordKey));
+    return differenceOf(baseTree, current).filter(difference => touched.has(difference.recordKey));
 }
 
-function check(tree: ConfigurationTree): void {
+function checkTree(tree: ConfigurationTree): void {
     const indexes = tree.groups.map(group => GroupIndex.of(group));
     const problems = checkConfiguration({
         services: indexes.flatMap(index => index.services),
--- a/config/publishing/src/loadTree.ts
+++ b/config/publishing/src/loadTree.ts
@@ -9,34 +9,37 @@
 import type { TreeGroup } from "./treeGroup.js";
 
 /**
- * Builds the tree of `root`, fetching only the chunks that `known` lacks. A record's place in the tree never changes, so
- * that groups and buckets are compared place by place.
- * Throws `CHUNK_CORRUPT` where a chunk is not what its reference names.
+ * Builds the tree of `root`. Fetches only the chunks that `cached` lacks. A record never changes its position in the
+ * tree, so groups and buckets are compared with those at the same position.
+ * Rejects with `CHUNK_CORRUPT` if a chunk does not match its reference, or the tree does not match the root's digest.
  */
 export async function loadTree(
-    opts: { root: ConfigurationRoot; source: ChunkSource; known: ConfigurationTree; },
+    opts: { root: ConfigurationRoot; source: ChunkSource; cached: ConfigurationTree; },
 ): Promise<ConfigurationTree> {
-    const { root, source, known } = opts;
+    const { root, source, cached } = opts;
     const indexes = await fetchIndexes(opts);
-    const buckets = await fetchBuckets(source, missingBuckets(indexes, known));
+    const buckets = await fetchBuckets(source, missingBuckets(indexes, cached));
     const groups = root.groups.map((reference, groupIndex): TreeGroup => {
         const index = indexes.get(groupIndex);
-        const before = known.groups[groupIndex] as TreeGroup;
+        const before = cached.groups[groupIndex] as TreeGroup;
         return index === undefined
             ? reusableGroup(reference, before)
-            : { reference, buckets: index.map((bucket, place) => bucketOf(bucket, before.buckets[place], buckets)) };
+            : {
+                reference,
+                buckets: index.map((bucket, bucketIndex) => bucketOf(bucket, before.buckets[bucketIndex], buckets)),
+            };
     });
-    return verified(new ConfigurationTree(groups), root);
+    return verifyDigest(new ConfigurationTree(groups), root);
 }
 
-/** The bucket references of each group that has to be read, by the group's place. */
+/** Fetches the index chunks of the groups that `cached` lacks. Returns their bucket references by group index. */
 async function fetchIndexes(
-    opts: { root: ConfigurationRoot; source: ChunkSource; known: ConfigurationTree; },
+    opts: { root: ConfigurationRoot; source: ChunkSource; cached: ConfigurationTree; },
 ): Promise<Map<number, ChunkReference[]>> {
     const missing = opts.root.groups
         .map((reference, groupIndex) => ({ reference, groupIndex }))
         .filter(({ reference, groupIndex }) =>
-            reference !== "" && reference !== opts.known.groups[groupIndex]?.reference
+            reference !== "" && reference !== opts.cached.groups[groupIndex]?.reference
         );
     const texts = await fetchIntact(opts.source, missing.map(({ reference }) => reference));
     return new Map(
@@ -44,10 +47,10 @@
     );
 }
 
-function missingBuckets(indexes: Map<number, ChunkReference[]>, known: ConfigurationTree): ChunkReference[] {
+function missingBuckets(indexes: Map<number, ChunkReference[]>, cached: ConfigurationTree): ChunkReference[] {
     return [...indexes.entries()].flatMap(([groupIndex, references]) =>
-        references.filter((reference, place) =>
-            reference !== "" && reference !== known.groups[groupIndex]?.buckets[place]?.reference
+        references.filter((reference, bucketIndex) =>
+            reference !== "" && reference !== cached.groups[groupIndex]?.buckets[bucketIndex]?.reference
         )
     );
 }
@@ -80,13 +83,13 @@
     references.forEach((reference, index) => {
         const text = texts[index];
         if (text === undefined || !isChunkIntact(reference, text)) {
-            throw new KnapweedError("CHUNK_CORRUPT", `Chunk ${reference} is not what its reference names`);
+            throw new KnapweedError("CHUNK_CORRUPT", `Chunk ${reference} does not match the digest in its reference`);
         }
     });
     return texts;
 }
 
-function verified(tree: ConfigurationTree, root: ConfigurationRoot): ConfigurationTree {
+function verifyDigest(tree: ConfigurationTree, root: ConfigurationRoot): ConfigurationTree {
     if (tree.digest() !== root.digest) {
         throw new KnapweedError("CHUNK_CORRUPT", `Revision ${String(root.revision)} does not match its digest`);
     }
--- a/config/service-files/src/parseServiceFiles.ts
+++ b/config/service-files/src/parseServiceFiles.ts
@@ -1,6 +1,6 @@
 import { checkConfiguration } from "@knapweedwood/config.configuration/checkConfiguration";
 import type { ConfigurationView } from "@knapweedwood/config.configuration/configurationView";
-import type { Problem } from "@knapweedwood/config.yaml/problem";
+import type { YamlProblem } from "@knapweedwood/config.yaml/yamlProblem";
 import type { ParsedServiceFile } from "./parsedServiceFile.js";
 import { parseServiceFile } from "./parseServiceFile.js";
 import type { ServiceFile } from "./serviceFile.js";
@@ -14,9 +14,11 @@
 }
 
 /**
- * Parses and checks files together, with every problem at once.
+ * Parses service files and checks them together. The rules that involve several definitions are only checked if each
+ * file is valid and nothing is defined twice.
  *
- * @param opts.current the configuration in force, whose services and teams the files may refer to
+ * @param opts.current the active configuration; the files may refer to its services and teams
+ * @returns the definitions and every problem found
  */
 export function parseServiceFiles(
     files: readonly ServiceFile[],
@@ -28,10 +30,10 @@
         services: parsedFiles.flatMap(parsed => parsed.definitions.services),
         teams: parsedFiles.flatMap(parsed => parsed.definitions.teams),
     };
-    const ownProblems = [...parsedFiles.flatMap(parsed => parsed.problems), ...definedTwice(definitionsList)];
+    const ownProblems = [...parsedFiles.flatMap(parsed => parsed.problems), ...duplicateDefinitions(definitionsList)];
     const problems = ownProblems.length > 0
         ? ownProblems
-        : problemsAcross(definitions, definitionsList, opts.current);
+        : crossFileProblems(definitions, definitionsList, opts.current);
     return { definitions, problems };
 }
 
@@ -50,7 +52,7 @@
     ];
 }
 
-function definedTwice(definitions: Definition[]): Problem[] {
+function duplicateDefinitions(definitions: Definition[]): YamlProblem[] {
     const first = new Map<string, Definition>();
     return definitions.flatMap(definition => {
         const earlier = first.get(definition.recordKey);
@@ -58,20 +60,20 @@
             first.set(definition.recordKey, definition);
             return [];
         }
-        const place = earlier.parsed.problemAt(earlier.path, "");
+        const earlierPosition = earlier.parsed.problemAt(earlier.path, "");
         return [definition.parsed.problemAt(
             definition.path,
-            `${definition.recordKey} to be defined once; ${place.file}:${String(place.line)} defines it too`,
+            `${definition.recordKey} is already defined at ${earlierPosition.file}:${String(earlierPosition.line)}`,
         )];
     });
 }
 
-function problemsAcross(
+function crossFileProblems(
     definitions: ServiceFileDefinitions,
-    list: Definition[],
+    definitionsList: Definition[],
     current: ConfigurationView | undefined,
-): Problem[] {
-    const byKey = new Map(list.map(definition => [definition.recordKey, definition]));
+): YamlProblem[] {
+    const byKey = new Map(definitionsList.map(definition => [definition.recordKey, definition]));
     const merged = {
         services: [
             ...(current?.services() ?? []).filter(service => !byKey.has(`service/${service.name}`)),
--- a/config/yaml/src/parseYaml.ts
+++ b/config/yaml/src/parseYaml.ts
@@ -2,21 +2,26 @@
 import type { z } from "zod";
 import { offsetOf } from "./offsetOf.js";
 import type { ParsedYaml } from "./parsedYaml.js";
-import type { Problem } from "./problem.js";
+import type { YamlProblem } from "./yamlProblem.js";
 
-/** Bounds what a file of nested aliases can grow to. */
+/** Limits how far nested aliases can expand a file. */
 const MAX_ALIASES = 100;
 
-/** Reads YAML and checks it by a schema. All problems are found at once, each with its line. */
+/**
+ * Parses YAML text and validates it against a schema.
+ *
+ * @param opts.file file name used in the problems
+ * @returns the parsed value, or every problem found, each with its line
+ */
 export function parseYaml<Schema extends z.ZodType>(
     opts: { file: string; text: string; schema: Schema; },
 ): ParsedYaml<z.output<Schema>> {
     const lineCounter = new LineCounter();
     const document = parseDocument(opts.text, { lineCounter, prettyErrors: false });
-    const problemAt = (path: readonly PropertyKey[], expected: string): Problem => ({
+    const problemAt = (path: readonly PropertyKey[], expected: string): YamlProblem => ({
         file: opts.file,
         line: lineCounter.linePos(offsetOf(document, path)).line,
-        path: textOf(path),
+        path: formatPath(path),
         expected,
     });
     if (document.errors.length > 0) {
@@ -28,7 +33,7 @@
         }));
         return { value: undefined, problems, problemAt };
     }
-    const content = plainContent(document);
+    const content = toPlainValue(document);
     if (content instanceof Error) {
         return { value: undefined, problems: [problemAt([], `valid YAML: ${content.message}`)], problemAt };
     }
@@ -42,7 +47,7 @@
         };
 }
 
-function plainContent(document: Document): unknown {
+function toPlainValue(document: Document): unknown {
     try {
         return document.toJS({ maxAliasCount: MAX_ALIASES }) ?? {};
     }
@@ -51,13 +56,13 @@
     }
 }
 
-function problemsOf(issue: z.core.$ZodIssue, problemAt: ParsedYaml<unknown>["problemAt"]): Problem[] {
+function problemsOf(issue: z.core.$ZodIssue, problemAt: ParsedYaml<unknown>["problemAt"]): YamlProblem[] {
     return issue.code === "unrecognized_keys"
-        ? issue.keys.map(key => problemAt([...issue.path, key], "no such field; the field is unknown"))
+        ? issue.keys.map(key => problemAt([...issue.path, key], "unknown field"))
         : [problemAt(issue.path, issue.message)];
 }
 
-function textOf(path: readonly PropertyKey[]): string {
+function formatPath(path: readonly PropertyKey[]): string {
     return path
         .map(part => typeof part === "number" ? `[${String(part)}]` : `.${String(part)}`)
         .join("")
