--- a/daemons/common/src/createLinkEndpoint.ts
+++ b/daemons/common/src/createLinkEndpoint.ts
@@ -41,7 +41,7 @@
         tls: tls === undefined ? undefined : readTls(tls),
     });
     if (tls !== undefined) {
-        watchFile(tls.certificateFile, () => reload(endpoint, tls, logger));
+        watchFile(tls.certificateFile, () => reloadCertificates(endpoint, tls, logger));
     }
     return endpoint;
 }
@@ -54,7 +54,7 @@
     };
 }
 
-function reload(endpoint: WebSocketLinkEndpoint, tls: TlsSettings, logger: Logger): void {
+function reloadCertificates(endpoint: WebSocketLinkEndpoint, tls: TlsSettings, logger: Logger): void {
     try {
         endpoint.reloadTls(readTls(tls));
         logger.info("link.certificate-reloaded");
--- a/daemons/common/src/createObservers.ts
+++ b/daemons/common/src/createTelemetry.ts
@@ -6,10 +6,10 @@
 import { StatsdMetrics } from "@knapweedwood/observability.metrics/statsdMetrics";
 import { silentTracer } from "@knapweedwood/observability.traces/silentTracer";
 import type { Tracer } from "@knapweedwood/observability.traces/tracer";
-import type { Observers } from "./observers.js";
+import type { Telemetry } from "./telemetry.js";
 
 /** Logger, metrics and tracer, as the settings say. */
-export async function createObservers(settings: EntrySettings | SideSettings, clock: Clock): Promise<Observers> {
+export async function createTelemetry(settings: EntrySettings | SideSettings, clock: Clock): Promise<Telemetry> {
     const { instanceId, zone } = settings;
     return {
         logger: new JsonLogger({ clock, level: settings.logs.level, fields: { instanceId, zone } }),
--- a/daemons/common/src/observers.ts
+++ b/daemons/common/src/telemetry.ts
@@ -3,7 +3,7 @@
 import type { Tracer } from "@knapweedwood/observability.traces/tracer";
 
 /** Where a process reports what it does. */
-export interface Observers {
+export interface Telemetry {
     logger: Logger;
     metrics: Metrics;
     tracer: Tracer;
--- a/daemons/entry/src/main.ts
+++ b/daemons/entry/src/main.ts
@@ -3,7 +3,7 @@
 import { readSettings } from "@knapweedwood/config.settings/readSettings";
 import { SystemClock } from "@knapweedwood/core.clock/systemClock";
 import { SeededRandom } from "@knapweedwood/core.random/seededRandom";
-import { createObservers } from "@knapweedwood/daemons.common/createObservers";
+import { createTelemetry } from "@knapweedwood/daemons.common/createTelemetry";
 import { runDaemon } from "@knapweedwood/daemons.common/runDaemon";
 import { settingsFileOf } from "@knapweedwood/daemons.common/settingsFileOf";
 import { HttpInstanceList } from "@knapweedwood/routing.instance-list/httpInstanceList";
@@ -14,20 +14,20 @@
 
 const settings = await readSettings(settingsFileOf(process.argv.slice(2)), entrySettingsSchema);
 const clock = new SystemClock();
-const observers = await createObservers(settings, clock);
+const telemetry = await createTelemetry(settings, clock);
 const entry = new EntryProcess({
     settings,
     clock,
     random: new SeededRandom(randomInt(SEED_LIMIT)),
     keyValue: new EtcdKeyValueService({ baseUrl: settings.platform.keyValueUrl, clock }),
     instanceList: new HttpInstanceList({ baseUrl: settings.platform.instanceListUrl, clock }),
-    ...observers,
+    ...telemetry,
 });
 await runDaemon({
     start: () => entry.start(),
     stop: async () => {
         await entry.stop();
-        await observers.tracer.close();
+        await telemetry.tracer.close();
     },
-    logger: observers.logger,
+    logger: telemetry.logger,
 });
