--- a/daemons/entry/src/bodyStreams.ts
+++ b/daemons/entry/src/bodyStreams.ts
@@ -8,63 +8,66 @@
 
 /** Holds request bodies that are too large for one message until a side reads them. */
 export class BodyStreams {
-    private readonly waiting = new Map<string, AsyncIterable<Uint8Array>>();
+    private readonly unreadBodies = new Map<string, AsyncIterable<Uint8Array>>();
 
     constructor(opts: { endpoint: LinkEndpoint; }) {
         opts.endpoint.handle(readBodyCall, request => this.read(request.bodyId));
     }
 
     /** Small bodies are gathered whole, so that they can be sent again; large ones are streamed, once. */
-    async take(body: AsyncIterable<Uint8Array> | undefined): Promise<PreparedBody> {
+    async prepare(body: AsyncIterable<Uint8Array> | undefined): Promise<PreparedBody> {
         if (body === undefined) {
             return inlineBody(undefined);
         }
         const iterator = body[Symbol.asyncIterator]();
-        const head: Uint8Array[] = [];
+        const leadingChunks: Uint8Array[] = [];
         let sizeBytes = 0;
         while (sizeBytes <= INLINE_LIMIT_BYTES) {
             const next = await iterator.next();
             if (next.done === true) {
-                return inlineBody(Buffer.concat(head));
+                return inlineBody(Buffer.concat(leadingChunks));
             }
-            head.push(next.value);
+            leadingChunks.push(next.value);
             sizeBytes += next.value.length;
         }
-        return this.stream(head, iterator);
+        return this.registerStream(leadingChunks, iterator);
     }
 
-    private stream(head: Uint8Array[], rest: AsyncIterator<Uint8Array>): PreparedBody {
+    private registerStream(leadingChunks: Uint8Array[], remaining: AsyncIterator<Uint8Array>): PreparedBody {
         const bodyId = randomUUID();
-        this.waiting.set(bodyId, chain(head, rest));
+        this.unreadBodies.set(bodyId, concatenate(leadingChunks, remaining));
         return {
             bytes: undefined,
             bodyId,
-            hasBeenRead: () => !this.waiting.has(bodyId),
+            hasReadStarted: () => !this.unreadBodies.has(bodyId),
             release: () => {
-                this.waiting.delete(bodyId);
+                this.unreadBodies.delete(bodyId);
             },
         };
     }
 
     private async *read(bodyId: string): AsyncIterable<{ bytes: Uint8Array; }> {
-        const parts = this.waiting.get(bodyId);
-        this.waiting.delete(bodyId);
-        if (parts === undefined) {
+        const chunks = this.unreadBodies.get(bodyId);
+        this.unreadBodies.delete(bodyId);
+        if (chunks === undefined) {
             throw new KnapweedError("BODY_GONE", "The body was read already or given up", { outcome: "not-run" });
         }
-        for await (const bytes of parts) {
+        for await (const bytes of chunks) {
             yield { bytes };
         }
     }
 }
 
 function inlineBody(bytes: Uint8Array | undefined): PreparedBody {
-    return { bytes, bodyId: undefined, hasBeenRead: () => false, release: () => undefined };
+    return { bytes, bodyId: undefined, hasReadStarted: () => false, release: () => undefined };
 }
 
-async function* chain(head: Uint8Array[], rest: AsyncIterator<Uint8Array>): AsyncIterable<Uint8Array> {
-    yield* head;
-    for (let next = await rest.next(); next.done !== true; next = await rest.next()) {
+async function* concatenate(
+    leadingChunks: Uint8Array[],
+    remaining: AsyncIterator<Uint8Array>,
+): AsyncIterable<Uint8Array> {
+    yield* leadingChunks;
+    for (let next = await remaining.next(); next.done !== true; next = await remaining.next()) {
         yield next.value;
     }
 }
--- a/daemons/entry/src/claimedCalls.ts
+++ b/daemons/entry/src/claimedCalls.ts
@@ -7,9 +7,9 @@
 import type { IdempotencyKey } from "@knapweedwood/core.ids/idempotencyKey";
 import type { Logger } from "@knapweedwood/observability.logs/logger";
 
-const CONFLICT = 409;
-const UNPROCESSABLE = 422;
-const COME_BACK_MS = 1000;
+const HTTP_CONFLICT = 409;
+const HTTP_UNPROCESSABLE_CONTENT = 422;
+const RETRY_AFTER_MS = 1000;
 
 /** Runs calls with an idempotency key under a claim: sent at most once, their answer recorded for a resend. */
 export class ClaimedCalls implements KeyedCalls {
@@ -37,13 +37,13 @@
                 };
             case "in-progress":
                 throw new KnapweedError("CALL_IN_PROGRESS", "The call under this idempotency key is in progress", {
-                    statusCode: CONFLICT,
+                    statusCode: HTTP_CONFLICT,
                     outcome: "unknown",
-                    retryAfterMs: COME_BACK_MS,
+                    retryAfterMs: RETRY_AFTER_MS,
                 });
             case "conflict":
                 throw new KnapweedError("IDEMPOTENCY_KEY_REUSED", "The idempotency key came with another request", {
-                    statusCode: UNPROCESSABLE,
+                    statusCode: HTTP_UNPROCESSABLE_CONTENT,
                     outcome: "not-run",
                 });
             case "unknown":
@@ -55,20 +55,20 @@
     }
 
     private async runClaimed(token: ClaimToken, run: () => Promise<RecordedAnswer>): Promise<RecordedAnswer> {
-        const answer = await run().catch(async (thrown: unknown) => {
+        const response = await run().catch(async (thrown: unknown) => {
             const error = toKnapweedError(thrown);
             if (error.outcome === "not-run") {
-                await this.settle("release", this.opts.claims.release(token));
+                await this.settleOrLog("release", this.opts.claims.release(token));
             }
             throw error;
         });
-        const headers = Object.fromEntries(answer.headers.map(({ name, value }) => [name, value]));
-        await this.settle("record", this.opts.claims.record(token, { ...answer, headers }));
-        return answer;
+        const headers = Object.fromEntries(response.headers.map(({ name, value }) => [name, value]));
+        await this.settleOrLog("record", this.opts.claims.record(token, { ...response, headers }));
+        return response;
     }
 
     /** The caller has its answer already; a resend of what could not be settled is told `unknown`. */
-    private async settle(action: string, settled: Promise<void>): Promise<void> {
+    private async settleOrLog(action: string, settled: Promise<void>): Promise<void> {
         await settled.catch((error: unknown) => {
             this.opts.logger.warn("claim.not-settled", { action, error: String(error) });
         });
--- a/daemons/entry/src/createDispatcher.ts
+++ b/daemons/entry/src/createDispatcher.ts
@@ -4,24 +4,24 @@
 import { RetryBudget } from "@knapweedwood/routing.retries/retryBudget";
 import { BodyStreams } from "./bodyStreams.js";
 import { Dispatcher } from "./dispatcher.js";
-import type { EntryParts } from "./entryParts.js";
+import type { EntryComponents } from "./entryComponents.js";
 import { LINKED_SUBSET_SIZE } from "./linkedSubset.js";
 import { ServiceChoosers } from "./serviceChoosers.js";
 import type { UpstreamDirectory } from "./upstreamDirectory.js";
 
 const MAX_ATTEMPTS = 4;
 /** Retries that may be used at once, such as when a side with many calls in progress is lost. */
-const MAX_SAVED_RETRIES = 64;
+const MAX_RETRY_BALANCE = 64;
 
 /** The dispatcher of an entry, with its choice of upstreams and its retries. */
-export function createDispatcher(parts: EntryParts, directory: UpstreamDirectory): Dispatcher {
-    const { endpoint, random, clock, metrics, tracer } = parts;
+export function createDispatcher(components: EntryComponents, directory: UpstreamDirectory): Dispatcher {
+    const { endpoint, random, clock, metrics, tracer } = components;
     const { instanceId, zone } = endpoint.identity;
-    const retryBudget = new RetryBudget({ maxBalance: MAX_SAVED_RETRIES });
+    const retryBudget = new RetryBudget({ maxBalance: MAX_RETRY_BALANCE });
     const choosers = new ServiceChoosers({
         create: () => new AffinityChooser({ entryId: instanceId, zone, random, subsetSize: LINKED_SUBSET_SIZE }),
     });
-    endpoint.receive(cacheChangeNotification, change => choosers.of(change.service).onCacheChange?.(change));
+    endpoint.receive(cacheChangeNotification, change => choosers.getOrCreate(change.service).onCacheChange?.(change));
     return new Dispatcher({
         directory,
         choosers,
--- a/daemons/entry/src/createEntryHttp.ts
+++ b/daemons/entry/src/createEntryHttpHandler.ts
@@ -6,46 +6,46 @@
 import type { ConfigurationPublisher } from "@knapweedwood/config.publishing/configurationPublisher";
 import { ClaimedCalls } from "./claimedCalls.js";
 import { createDispatcher } from "./createDispatcher.js";
-import { EntryHttp } from "./entryHttp.js";
-import type { EntryParts } from "./entryParts.js";
+import type { EntryComponents } from "./entryComponents.js";
+import { EntryHttpHandler } from "./entryHttpHandler.js";
 import { LinkedFleet } from "./linkedFleet.js";
 import type { SharedRoles } from "./sharedRoles.js";
 import type { TeamMeter } from "./teamMeter.js";
 import type { UpstreamDirectory } from "./upstreamDirectory.js";
 
 /** Both APIs of an entry. */
-export function createEntryHttp(
-    parts: EntryParts,
+export function createEntryHttpHandler(
+    components: EntryComponents,
     opts: {
         segmentStore: SegmentStore;
         directory: UpstreamDirectory;
         publisher: ConfigurationPublisher;
         roles: SharedRoles;
-        meter: TeamMeter;
+        teamMeter: TeamMeter;
         isReady: () => boolean;
     },
-): EntryHttp {
-    const { settings, endpoint, configuration, logger } = parts;
+): EntryHttpHandler {
+    const { settings, endpoint, configuration, logger } = components;
     const batches = new KeyValueBatchService({
-        ...parts,
+        ...components,
         segmentStore: opts.segmentStore,
         onCancelled: jobId => endpoint.links().forEach(link => link.notify(cancelJobNotification, { jobId })),
     });
     const callersApi = new CallersApi({
-        ...parts,
-        backend: createDispatcher(parts, opts.directory),
+        ...components,
+        backend: createDispatcher(components, opts.directory),
         batches,
-        admission: opts.meter.admission,
+        admission: opts.teamMeter.admission,
         keyedCalls: new ClaimedCalls({ claims: opts.roles.claims, logger }),
         maxBodyBytes: settings.http.maxBodyBytes,
         maxFileBytes: settings.http.maxFileBytes,
     });
     const operatorsApi = new OperatorsApi({
-        ...parts,
+        ...components,
         publisher: opts.publisher,
         jobs: batches,
-        fleet: new LinkedFleet({ ...parts, directory: opts.directory }),
-        usage: opts.meter.usage,
+        fleet: new LinkedFleet({ ...components, directory: opts.directory }),
+        usage: opts.teamMeter.usage,
     });
-    return new EntryHttp({ callersApi, operatorsApi, configuration, isReady: opts.isReady });
+    return new EntryHttpHandler({ callersApi, operatorsApi, configuration, isReady: opts.isReady });
 }
--- a/daemons/entry/src/dispatcher.ts
+++ b/daemons/entry/src/dispatcher.ts
@@ -27,12 +27,12 @@
 import type { RetryPolicy } from "@knapweedwood/routing.retries/retryPolicy";
 import type { BodyStreams } from "./bodyStreams.js";
 import { GenerationProgress } from "./generationProgress.js";
+import type { LinkedSide } from "./linkedSide.js";
 import type { ServiceChoosers } from "./serviceChoosers.js";
-import type { SideHandle } from "./sideHandle.js";
 import { toCandidate } from "./toCandidate.js";
 import type { UpstreamDirectory } from "./upstreamDirectory.js";
 
-const COME_BACK_MS = 1000;
+const RETRY_AFTER_MS = 1000;
 
 interface DispatcherOptions {
     directory: UpstreamDirectory;
@@ -45,7 +45,7 @@
     tracer: Tracer;
 }
 
-interface Attempt<Frame> {
+interface RetryableCall<Frame> {
     service: ServiceDefinition;
     model: ModelName | undefined;
     /** Hashes of the prompt's leading blocks, shape [blocks]. */
@@ -70,7 +70,7 @@
         opts: BackendCallOptions & { service: ServiceDefinition; request: GenerateRequest; },
     ): AsyncIterable<GenerateEvent> {
         const progress = new GenerationProgress(opts.request);
-        const frames = this.attempts<GenerateEvent>({
+        const frames = this.runWithRetries<GenerateEvent>({
             service: opts.service,
             model: opts.request.body["model"] as ModelName,
             promptBlocks: promptBlocksOf(promptTextOf(opts.request.body)),
@@ -81,13 +81,13 @@
                 link.call(generateCall, { service: opts.service.name, request: progress.request() }, callOptions),
         });
         for await (const event of frames) {
-            progress.add(event);
+            progress.record(event);
             yield event;
         }
     }
 
     async embed(opts: BackendCallOptions & { service: ServiceDefinition; body: JsonObject; }): Promise<JsonObject> {
-        const frames = this.attempts<{ body: JsonObject; }>({
+        const frames = this.runWithRetries<{ body: JsonObject; }>({
             service: opts.service,
             model: opts.body["model"] as ModelName,
             promptBlocks: [],
@@ -101,8 +101,8 @@
     }
 
     async *callPlain(opts: Parameters<InferenceBackend["callPlain"]>[0]): AsyncIterable<PlainFrame> {
-        const body = await this.opts.bodyStreams.take(opts.body);
-        let hasAnswered = false;
+        const body = await this.opts.bodyStreams.prepare(opts.body);
+        let hasReceivedFrame = false;
         const request: PlainCallRequest = {
             service: opts.service.name,
             method: opts.method,
@@ -111,18 +111,18 @@
             body: body.bytes,
             bodyId: body.bodyId,
         };
-        const frames = this.attempts<PlainFrame>({
+        const frames = this.runWithRetries<PlainFrame>({
             service: opts.service,
             model: undefined,
             promptBlocks: [],
             options: opts,
-            isRepeatable: () => opts.service.repeatable && !hasAnswered && !body.hasBeenRead(),
-            isResendable: () => !hasAnswered && !body.hasBeenRead(),
+            isRepeatable: () => opts.service.repeatable && !hasReceivedFrame && !body.hasReadStarted(),
+            isResendable: () => !hasReceivedFrame && !body.hasReadStarted(),
             send: (link, callOptions) => link.call(plainCall, request, callOptions),
         });
         try {
             for await (const frame of frames) {
-                hasAnswered = true;
+                hasReceivedFrame = true;
                 yield frame;
             }
         }
@@ -131,104 +131,108 @@
         }
     }
 
-    private async *attempts<Frame>(attempt: Attempt<Frame>): AsyncIterable<Frame> {
+    private async *runWithRetries<Frame>(call: RetryableCall<Frame>): AsyncIterable<Frame> {
         const { clock, retryBudget, metrics } = this.opts;
         const excluded: InstanceId[] = [];
         retryBudget.onRequest(clock.nowMs());
-        for (let count = 1;; count += 1) {
-            const side = this.choose(attempt, excluded);
+        for (let attemptNumber = 1;; attemptNumber += 1) {
+            const side = this.chooseSide(call, excluded);
             try {
-                yield* this.runOnce(side, attempt, count);
+                yield* this.runAttempt(side, call, attemptNumber);
                 return;
             }
             catch (thrown) {
                 const error = toKnapweedError(thrown);
-                const decision = this.decideRetry(error, attempt, count);
+                const decision = this.decideRetry(error, call, attemptNumber);
                 if (decision.kind === "give-up") {
                     metrics.increment("gave_up", { reason: decision.reason, code: error.code });
                     throw error;
                 }
                 excluded.push(side.record.instanceId);
                 metrics.increment("retry", { reason: error.code });
-                await sleep(clock, decision.delayMs, attempt.options.signal);
+                await sleep(clock, decision.delayMs, call.options.signal);
             }
         }
     }
 
-    private choose<Frame>(attempt: Attempt<Frame>, excluded: InstanceId[]): SideHandle {
+    private chooseSide<Frame>(call: RetryableCall<Frame>, excluded: InstanceId[]): LinkedSide {
         const { directory, choosers, clock } = this.opts;
-        const sides = directory.candidates(attempt.service.name, attempt.model);
+        const sides = directory.candidates(call.service.name, call.model);
         const request = {
             candidates: sides.map(toCandidate),
-            promptBlocks: attempt.promptBlocks,
+            promptBlocks: call.promptBlocks,
             nowMs: clock.nowMs(),
         };
-        const chooser = choosers.of(attempt.service.name);
+        const chooser = choosers.getOrCreate(call.service.name);
         // Where only upstreams that failed are left, they are better than none.
         const instanceId = chooser.choose({ ...request, excluded }) ?? chooser.choose(request);
         const side = sides.find(candidate => candidate.record.instanceId === instanceId);
         if (side === undefined) {
-            throw new KnapweedError("NO_UPSTREAM", `No upstream of ${attempt.service.name} can take the call`, {
+            throw new KnapweedError("NO_UPSTREAM", `No upstream of ${call.service.name} can take the call`, {
                 outcome: "not-run",
                 statusCode: 503,
-                retryAfterMs: COME_BACK_MS,
+                retryAfterMs: RETRY_AFTER_MS,
             });
         }
         return side;
     }
 
-    private async *runOnce<Frame>(side: SideHandle, attempt: Attempt<Frame>, count: number): AsyncIterable<Frame> {
+    private async *runAttempt<Frame>(
+        side: LinkedSide,
+        call: RetryableCall<Frame>,
+        attemptNumber: number,
+    ): AsyncIterable<Frame> {
         const { clock, choosers, tracer } = this.opts;
         const startedMs = clock.nowMs();
         const instanceId = side.record.instanceId;
         const span = tracer.startSpan("entry.call", {
-            parent: attempt.options.traceParent,
-            attributes: { side: instanceId, attempt: count },
+            parent: call.options.traceParent,
+            attributes: { side: instanceId, attempt: attemptNumber },
         });
-        side.inFlight += 1;
+        side.inFlightCalls += 1;
         let firstFrameMs: number | undefined;
         let failure: KnapweedError | undefined;
-        let hasEnded = false;
+        let hasCompleted = false;
         try {
-            const frames = attempt.send(side.link, {
-                signal: attempt.options.signal,
-                timeoutMs: Math.max(1, attempt.options.deadlineMs - startedMs),
+            const frames = call.send(side.link, {
+                signal: call.options.signal,
+                timeoutMs: Math.max(1, call.options.deadlineMs - startedMs),
                 traceParent: span.traceParent,
             });
             for await (const frame of frames) {
                 firstFrameMs ??= clock.nowMs();
                 yield frame;
             }
-            hasEnded = true;
+            hasCompleted = true;
         }
         catch (thrown) {
             failure = toKnapweedError(thrown);
             throw failure;
         }
         finally {
-            side.inFlight -= 1;
+            side.inFlightCalls -= 1;
             span.end(failure);
-            choosers.of(attempt.service.name).observe({
+            choosers.getOrCreate(call.service.name).observe({
                 instanceId,
-                kind: observationKind({ failure, hasEnded, isCallerGone: attempt.options.signal.aborted }),
+                kind: observationKind({ failure, hasCompleted, isCallAborted: call.options.signal.aborted }),
                 durationMs: (firstFrameMs ?? clock.nowMs()) - startedMs,
                 nowMs: clock.nowMs(),
             });
         }
     }
 
-    private decideRetry<Frame>(error: KnapweedError, attempt: Attempt<Frame>, count: number): RetryDecision {
+    private decideRetry<Frame>(error: KnapweedError, call: RetryableCall<Frame>, attemptNumber: number): RetryDecision {
         const { clock, retryPolicy } = this.opts;
         const outcome = error.outcome ?? "answered";
-        if (attempt.options.signal.aborted || (outcome === "not-run" && !attempt.isResendable())) {
+        if (call.options.signal.aborted || (outcome === "not-run" && !call.isResendable())) {
             return { kind: "give-up", reason: "not-repeatable" };
         }
         return retryPolicy.decide({
-            attempt: count,
+            attempt: attemptNumber,
             outcome,
             statusCode: error.statusCode,
-            repeatable: attempt.isRepeatable(),
-            deadlineMs: attempt.options.deadlineMs,
+            repeatable: call.isRepeatable(),
+            deadlineMs: call.options.deadlineMs,
             nowMs: clock.nowMs(),
         });
     }
@@ -236,11 +240,11 @@
 
 /** What a call that has ended says of its upstream: a refusal for load or leaving tells nothing against it. */
 function observationKind(
-    ended: { failure: KnapweedError | undefined; hasEnded: boolean; isCallerGone: boolean; },
+    ended: { failure: KnapweedError | undefined; hasCompleted: boolean; isCallAborted: boolean; },
 ): "success" | "failure" | "abandoned" {
-    if (ended.hasEnded) {
+    if (ended.hasCompleted) {
         return "success";
     }
-    const isInstanceFailure = ended.failure?.outcome === "unknown" && !ended.isCallerGone;
+    const isInstanceFailure = ended.failure?.outcome === "unknown" && !ended.isCallAborted;
     return isInstanceFailure ? "failure" : "abandoned";
 }
--- a/daemons/entry/src/entryParts.ts
+++ b/daemons/entry/src/entryComponents.ts
@@ -4,7 +4,7 @@
 import type { EntryProcessOptions } from "./entryProcessOptions.js";
 
 /** What the parts of an entry are made of, besides its options. */
-export interface EntryParts extends EntryProcessOptions {
+export interface EntryComponents extends EntryProcessOptions {
     endpoint: LinkEndpoint;
     watcher: InstanceWatcher;
     configuration: DistributedConfiguration;
--- a/daemons/entry/src/entryHttp.ts
+++ b/daemons/entry/src/entryHttpHandler.ts
@@ -8,10 +8,10 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 
 const OPERATORS_PREFIX = "/admin/v1";
-const COME_BACK_MS = 1000;
+const RETRY_AFTER_MS = 1000;
 
 /** Hands a request to the callers' API, the operators' API, or the health checks. */
-export class EntryHttp {
+export class EntryHttpHandler {
     private readonly opts: {
         callersApi: CallersApi;
         operatorsApi: OperatorsApi;
@@ -19,28 +19,30 @@
         isReady: () => boolean;
     };
 
-    constructor(opts: EntryHttp["opts"]) {
+    constructor(opts: EntryHttpHandler["opts"]) {
         this.opts = opts;
     }
 
     async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
         const path = (request.url ?? "/").split("?")[0] ?? "/";
         if (path === "/readyz" || path === "/livez") {
-            const isGood = path === "/livez" || this.opts.isReady();
-            return writeJson(response, { ready: isGood }, { statusCode: isGood ? 200 : 503 });
+            const isPassing = path === "/livez" || this.opts.isReady();
+            return writeJson(response, { ready: isPassing }, { statusCode: isPassing ? 200 : 503 });
         }
         if (path === OPERATORS_PREFIX || path.startsWith(`${OPERATORS_PREFIX}/`)) {
-            return this.handleOperator(request, response).catch((thrown: unknown) => writeError(response, thrown));
+            return this.handleOperatorRequest(request, response).catch((thrown: unknown) =>
+                writeError(response, thrown)
+            );
         }
         return this.opts.callersApi.handle(request, response);
     }
 
-    private async handleOperator(request: IncomingMessage, response: ServerResponse): Promise<void> {
+    private async handleOperatorRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
         const view = this.opts.configuration.current();
         if (view === undefined) {
             throw new KnapweedError("NOT_READY", "This instance has no configuration yet", {
                 outcome: "not-run",
-                retryAfterMs: COME_BACK_MS,
+                retryAfterMs: RETRY_AFTER_MS,
             });
         }
         const { team, key } = authenticate(request, view);
--- a/daemons/entry/src/entryProcess.ts
+++ b/daemons/entry/src/entryProcess.ts
@@ -12,9 +12,9 @@
 import { InstanceWatcher } from "@knapweedwood/routing.instance-watch/instanceWatcher";
 import { randomUUID } from "node:crypto";
 import { bootstrapConfiguration } from "./bootstrapConfiguration.js";
-import { createEntryHttp } from "./createEntryHttp.js";
+import { createEntryHttpHandler } from "./createEntryHttpHandler.js";
 import { createSegmentStore } from "./createSegmentStore.js";
-import type { EntryParts } from "./entryParts.js";
+import type { EntryComponents } from "./entryComponents.js";
 import type { EntryProcessOptions } from "./entryProcessOptions.js";
 import { linkedSubset } from "./linkedSubset.js";
 import { SharedRoles } from "./sharedRoles.js";
@@ -26,10 +26,10 @@
 
 /** The process between callers and sides; by lease it also carries shared roles. */
 export class EntryProcess {
-    private readonly parts: EntryParts;
+    private readonly components: EntryComponents;
     private readonly publisher: ConfigurationPublisher;
     private readonly directory: UpstreamDirectory;
-    private readonly meter: TeamMeter;
+    private readonly teamMeter: TeamMeter;
     private readonly stopping = new AbortController();
     private roles: SharedRoles | undefined;
     private announcer: InstanceAnnouncer | undefined;
@@ -40,31 +40,31 @@
         const endpoint = createLinkEndpoint({ ...opts, identity, link: opts.settings.link });
         const watcher = new InstanceWatcher(opts);
         const configuration = new DistributedConfiguration({ ...opts, identity, endpoint });
-        this.parts = { ...opts, endpoint, watcher, configuration };
+        this.components = { ...opts, endpoint, watcher, configuration };
         this.publisher = new ConfigurationPublisher({ ...opts, createChangeId: randomUUID });
         this.directory = new UpstreamDirectory({
-            ...this.parts,
+            ...this.components,
             selectSubset: records => linkedSubset(records, { entryId: identity.instanceId, zone: identity.zone }),
         });
-        this.meter = new TeamMeter(this.parts);
+        this.teamMeter = new TeamMeter(this.components);
     }
 
     /** @returns the port where callers are served, and the address of the links */
     async start(): Promise<{ httpPort: number; linkAddress: string; }> {
-        const { settings, endpoint, watcher, configuration, logger } = this.parts;
+        const { settings, endpoint, watcher, configuration, logger } = this.components;
         const linkAddress = await endpoint.listen();
         await watcher.start();
         await configuration.start();
-        const segmentStore = await createSegmentStore(this.parts);
-        this.roles = new SharedRoles(this.parts, { segmentStore, address: linkAddress });
+        const segmentStore = await createSegmentStore(this.components);
+        this.roles = new SharedRoles(this.components, { segmentStore, address: linkAddress });
         this.roles.start();
-        this.meter.start();
-        const http = createEntryHttp(this.parts, {
+        this.teamMeter.start();
+        const http = createEntryHttpHandler(this.components, {
             segmentStore,
             directory: this.directory,
             publisher: this.publisher,
             roles: this.roles,
-            meter: this.meter,
+            teamMeter: this.teamMeter,
             isReady: () => this.isReady(),
         });
         this.listener = new HttpListener({
@@ -74,20 +74,20 @@
         const httpPort = await this.listener.listen(settings.http.host, settings.http.port);
         this.announcer = this.createAnnouncer(linkAddress);
         await this.announcer.start();
-        void bootstrapConfiguration({ ...this.parts, publisher: this.publisher, signal: this.stopping.signal });
+        void bootstrapConfiguration({ ...this.components, publisher: this.publisher, signal: this.stopping.signal });
         logger.info("entry.started", { httpPort, linkAddress });
         return { httpPort, linkAddress };
     }
 
     /** Stops in order: leaving is announced, calls in progress end, shared roles are handed over. */
     async stop(): Promise<void> {
-        const { settings, clock, logger, configuration, watcher, endpoint } = this.parts;
+        const { settings, clock, logger, configuration, watcher, endpoint } = this.components;
         this.stopping.abort();
         await this.announcer?.announceLeaving();
         await sleep(clock, LEAVE_PAUSE_MS);
         await this.listener?.close(settings.shutdownGraceMs);
         await this.roles?.stop();
-        await this.meter.stop();
+        await this.teamMeter.stop();
         await configuration.stop();
         await watcher.stop();
         await this.announcer?.stop();
@@ -96,14 +96,14 @@
     }
 
     private isReady(): boolean {
-        return !this.stopping.signal.aborted && this.parts.configuration.current() !== undefined;
+        return !this.stopping.signal.aborted && this.components.configuration.current() !== undefined;
     }
 
     private createAnnouncer(address: string): InstanceAnnouncer {
-        const { settings, endpoint } = this.parts;
+        const { settings, endpoint } = this.components;
         const { instanceId, region, zone } = endpoint.identity;
         return new InstanceAnnouncer({
-            ...this.parts,
+            ...this.components,
             record: {
                 instanceId,
                 kind: "entry",
--- a/daemons/entry/src/generationProgress.ts
+++ b/daemons/entry/src/generationProgress.ts
@@ -3,33 +3,33 @@
 
 /** What a generation has produced so far, so that it can go on at another upstream. */
 export class GenerationProgress {
-    private readonly original: GenerateRequest;
+    private readonly originalRequest: GenerateRequest;
     private text = "";
     private tokenCount = 0;
-    private isPlainText = true;
+    private hasOnlyText = true;
 
-    constructor(request: GenerateRequest) {
-        this.original = request;
+    constructor(remainingRequest: GenerateRequest) {
+        this.originalRequest = remainingRequest;
     }
 
     /** Whether the rest can be generated elsewhere: not where choices carried more than text. */
     get isResumable(): boolean {
-        return this.isPlainText;
+        return this.hasOnlyText;
     }
 
-    add(event: GenerateEvent): void {
+    record(event: GenerateEvent): void {
         if (event.kind === "finish") {
             return;
         }
         this.text += event.text;
         this.tokenCount += event.tokenCount;
-        this.isPlainText &&= event.choice === undefined;
+        this.hasOnlyText &&= event.choice === undefined;
     }
 
     /** The request for what is left. */
     request(): GenerateRequest {
         return this.tokenCount === 0
-            ? this.original
-            : { ...this.original, resumeFrom: { text: this.text, tokenCount: this.tokenCount } };
+            ? this.originalRequest
+            : { ...this.originalRequest, resumeFrom: { text: this.text, tokenCount: this.tokenCount } };
     }
 }
--- a/daemons/entry/src/limitedAdmission.ts
+++ b/daemons/entry/src/limitedAdmission.ts
@@ -9,7 +9,7 @@
 import type { Limiter } from "@knapweedwood/routing.limits/limiter";
 import type { LimitRequest } from "@knapweedwood/routing.limits/limitRequest";
 
-const TOO_MANY_REQUESTS = 429;
+const HTTP_TOO_MANY_REQUESTS = 429;
 
 /** Admits calls within the limits of their team and key, and counts what they used. */
 export class LimitedAdmission implements CallAdmission {
@@ -21,8 +21,8 @@
 
     admit(opts: { caller: Caller; service: ServiceDefinition; tokens: number; }): (used: CallUsage) => void {
         const { clock, limiter, usage } = this.opts;
-        const request = this.requestOf(opts.caller, opts.tokens);
-        this.requireAllowed(request);
+        const request = this.limitRequestOf(opts.caller, opts.tokens);
+        this.assertWithinLimits(request);
         return used => {
             const usedTokens = used.promptTokens + used.completionTokens;
             limiter.release({ ...request, usedTokens, nowMs: clock.nowMs() });
@@ -30,7 +30,7 @@
         };
     }
 
-    private requestOf({ team, key }: Caller, tokens: number): LimitRequest {
+    private limitRequestOf({ team, key }: Caller, tokens: number): LimitRequest {
         return {
             teamId: team.teamId,
             keyId: key.keyId,
@@ -41,7 +41,7 @@
         };
     }
 
-    private requireAllowed(request: LimitRequest): void {
+    private assertWithinLimits(request: LimitRequest): void {
         const decision = this.opts.limiter.tryAcquire(request);
         if (decision.allowed) {
             return;
@@ -49,7 +49,7 @@
         const reason = decision.rejectedBy ?? "requests";
         this.opts.metrics.increment("refused", { reason: `limit-${reason}` });
         throw new KnapweedError("LIMIT_EXCEEDED", `The limit of ${reason} is used up`, {
-            statusCode: TOO_MANY_REQUESTS,
+            statusCode: HTTP_TOO_MANY_REQUESTS,
             outcome: "not-run",
             retryAfterMs: decision.retryAfterMs,
         });
--- a/daemons/entry/src/linkedFleet.ts
+++ b/daemons/entry/src/linkedFleet.ts
@@ -3,7 +3,7 @@
 import type { FleetView } from "@knapweedwood/api.operators/fleetView";
 import type { LinkEndpoint } from "@knapweedwood/links.calls/linkEndpoint";
 import type { InstanceWatcher } from "@knapweedwood/routing.instance-watch/instanceWatcher";
-import type { SideHandle } from "./sideHandle.js";
+import type { LinkedSide } from "./linkedSide.js";
 import type { UpstreamDirectory } from "./upstreamDirectory.js";
 
 /** The fleet, as this entry sees it through the instance list and its links. */
@@ -24,11 +24,11 @@
     }
 
     upstreams(): Promise<FleetUpstream[]> {
-        return Promise.resolve(this.opts.directory.all().map(toUpstream));
+        return Promise.resolve(this.opts.directory.linkedSides().map(toUpstream));
     }
 }
 
-function toUpstream({ record, status }: SideHandle): FleetUpstream {
+function toUpstream({ record, status }: LinkedSide): FleetUpstream {
     return {
         instanceId: record.instanceId,
         service: status?.service ?? record.service ?? "" as FleetUpstream["service"],
--- a/daemons/entry/src/preparedBody.ts
+++ b/daemons/entry/src/preparedBody.ts
@@ -5,6 +5,6 @@
     /** Names the body, where it is streamed. */
     bodyId: string | undefined;
     /** Whether a side has begun to read a streamed body: it can't be sent a second time. */
-    hasBeenRead(): boolean;
+    hasReadStarted(): boolean;
     release(): void;
 }
--- a/daemons/entry/src/serviceChoosers.ts
+++ b/daemons/entry/src/serviceChoosers.ts
@@ -10,9 +10,9 @@
         this.create = opts.create;
     }
 
-    of(service: ServiceName): UpstreamChooser {
-        const known = this.choosers.get(service) ?? this.create();
-        this.choosers.set(service, known);
-        return known;
+    getOrCreate(service: ServiceName): UpstreamChooser {
+        const chooser = this.choosers.get(service) ?? this.create();
+        this.choosers.set(service, chooser);
+        return chooser;
     }
 }
--- a/daemons/entry/src/sharedRoles.ts
+++ b/daemons/entry/src/sharedRoles.ts
@@ -3,7 +3,7 @@
 import type { SegmentStore } from "@knapweedwood/batch.segments/segmentStore";
 import { PlannerTask } from "@knapweedwood/placement.planner/plannerTask";
 import { configuredServices } from "./configuredServices.js";
-import type { EntryParts } from "./entryParts.js";
+import type { EntryComponents } from "./entryComponents.js";
 
 /** The roles that entries share by lease: owner of batch partitions and of claims, planner of the region. */
 export class SharedRoles {
@@ -12,10 +12,10 @@
     private readonly planner: PlannerTask;
 
     /** @param opts.address where this entry accepts links, as `host:port` */
-    constructor(parts: EntryParts, opts: { segmentStore: SegmentStore; address: string; }) {
-        const { settings, configuration, endpoint, watcher } = parts;
+    constructor(components: EntryComponents, opts: { segmentStore: SegmentStore; address: string; }) {
+        const { settings, configuration, endpoint, watcher } = components;
         const shared = {
-            ...parts,
+            ...components,
             instanceId: endpoint.identity.instanceId,
             address: () => opts.address,
             segmentStore: opts.segmentStore,
@@ -29,7 +29,7 @@
         });
         this.claims = new ClaimService({ ...shared, shardCount: settings.batch.partitionCount });
         this.planner = new PlannerTask({
-            ...parts,
+            ...components,
             instances: () => watcher.current(),
             demands: () => [],
             maxConcurrentLoads: settings.placement.maxConcurrentLoads,
--- a/daemons/entry/src/teamMeter.ts
+++ b/daemons/entry/src/teamMeter.ts
@@ -4,7 +4,7 @@
 import { DemandShares } from "@knapweedwood/routing.limits/demandShares";
 import { SharedLimiter } from "@knapweedwood/routing.limits/sharedLimiter";
 import { UsageExchange } from "@knapweedwood/routing.limits/usageExchange";
-import type { EntryParts } from "./entryParts.js";
+import type { EntryComponents } from "./entryComponents.js";
 import { LimitedAdmission } from "./limitedAdmission.js";
 
 const DEMAND_REPORT_INTERVAL_MS = 500;
@@ -13,26 +13,26 @@
 export class TeamMeter {
     readonly admission: CallAdmission;
     readonly usage: UsageMeter;
-    private readonly exchange: UsageExchange;
-    private readonly parts: EntryParts;
+    private readonly usageExchange: UsageExchange;
+    private readonly components: EntryComponents;
 
-    constructor(parts: EntryParts) {
-        this.parts = parts;
-        const { endpoint, clock, metrics } = parts;
+    constructor(components: EntryComponents) {
+        this.components = components;
+        const { endpoint, clock, metrics } = components;
         const { instanceId, incarnation, region } = endpoint.identity;
         const shares = new DemandShares({
             entryId: instanceId,
             entryCount: () => this.liveEntries().length,
             reportIntervalMs: DEMAND_REPORT_INTERVAL_MS,
         });
-        this.exchange = new UsageExchange({
+        this.usageExchange = new UsageExchange({
             endpoint,
             shares,
             clock,
             reportIntervalMs: DEMAND_REPORT_INTERVAL_MS,
             entries: () => this.liveEntries(),
         });
-        this.usage = new UsageMeter({ ...parts, region, processName: `${instanceId}-${incarnation}` });
+        this.usage = new UsageMeter({ ...components, region, processName: `${instanceId}-${incarnation}` });
         this.admission = new LimitedAdmission({
             limiter: new SharedLimiter({ shares }),
             usage: this.usage,
@@ -42,19 +42,19 @@
     }
 
     start(): void {
-        this.exchange.start();
+        this.usageExchange.start();
         this.usage.start();
     }
 
     /** Writes what teams have used since the last write. */
     async stop(): Promise<void> {
-        this.exchange.stop();
+        this.usageExchange.stop();
         await this.usage.stop().catch((error: unknown) => {
-            this.parts.logger.warn("usage.not-written", { error: String(error) });
+            this.components.logger.warn("usage.not-written", { error: String(error) });
         });
     }
 
     private liveEntries(): InstanceRecord[] {
-        return this.parts.watcher.current().filter(record => record.kind === "entry" && record.state === "live");
+        return this.components.watcher.current().filter(record => record.kind === "entry" && record.state === "live");
     }
 }
--- a/daemons/entry/src/toCandidate.ts
+++ b/daemons/entry/src/toCandidate.ts
@@ -1,19 +1,19 @@
 import type { UpstreamCandidate } from "@knapweedwood/routing.choice/upstreamCandidate";
-import type { SideHandle } from "./sideHandle.js";
+import type { LinkedSide } from "./linkedSide.js";
 
 /** A backlog of so many prompt tokens weighs as much as one more request. */
-const PREFILL_TOKENS_A_REQUEST = 128;
+const PREFILL_TOKENS_PER_REQUEST = 128;
 
 /** A side as the choice of an upstream sees it. */
-export function toCandidate(side: SideHandle): UpstreamCandidate {
+export function toCandidate(side: LinkedSide): UpstreamCandidate {
     return {
         instanceId: side.record.instanceId,
         zone: side.record.zone,
         state: side.status?.state ?? side.record.state,
         linkState: side.link.state,
         running: side.status?.onlineRunning ?? 0,
-        queued: (side.status?.onlineQueued ?? 0) + (side.status?.onlinePrefillTokens ?? 0) / PREFILL_TOKENS_A_REQUEST,
-        countedAtMs: side.statusAtMs,
+        queued: (side.status?.onlineQueued ?? 0) + (side.status?.onlinePrefillTokens ?? 0) / PREFILL_TOKENS_PER_REQUEST,
+        countedAtMs: side.statusReceivedAtMs,
         role: side.status?.role,
     };
 }
--- a/daemons/entry/src/upstreamDirectory.ts
+++ b/daemons/entry/src/upstreamDirectory.ts
@@ -7,11 +7,11 @@
 import type { LinkEndpoint } from "@knapweedwood/links.calls/linkEndpoint";
 import type { InstanceRecord } from "@knapweedwood/routing.instance-list/instanceRecord";
 import type { InstanceWatcher } from "@knapweedwood/routing.instance-watch/instanceWatcher";
-import type { SideHandle } from "./sideHandle.js";
+import type { LinkedSide } from "./linkedSide.js";
 
-const UNLISTED_LINK_KEPT_MS = 10_000;
+const UNLISTED_LINK_RETENTION_MS = 10_000;
 
-/** Which sides this entry may call: chosen from the instance list, kept current by what the sides say themselves. */
+/** Which sides this entry may call: selected from the instance list, kept current by what the sides say themselves. */
 export class UpstreamDirectory {
     private readonly opts: {
         endpoint: LinkEndpoint;
@@ -20,71 +20,71 @@
         /** The sides that this entry links to, out of those listed. */
         selectSubset: (records: InstanceRecord[]) => InstanceRecord[];
     };
-    private readonly sides = new Map<InstanceId, SideHandle>();
-    private readonly lastListedMs = new Map<InstanceId, number>();
+    private readonly sides = new Map<InstanceId, LinkedSide>();
+    private readonly lastListedAtMs = new Map<InstanceId, number>();
 
     constructor(opts: UpstreamDirectory["opts"]) {
         this.opts = opts;
-        opts.endpoint.receive(sideStatusNotification, status => this.takeStatus(status));
-        opts.watcher.subscribe(records => this.takeList(records));
+        opts.endpoint.receive(sideStatusNotification, status => this.applyStatus(status));
+        opts.watcher.subscribe(records => this.applyInstanceList(records));
     }
 
     /** Sides of a service that may be given new work, those with a suspect link included, shape [sides]. */
-    candidates(service: ServiceName, model?: ModelName): SideHandle[] {
-        return [...this.sides.values()].filter(side => isUsable(side, service, model));
+    candidates(service: ServiceName, model?: ModelName): LinkedSide[] {
+        return [...this.sides.values()].filter(side => acceptsNewCalls(side, service, model));
     }
 
     /** All sides linked, shape [sides]. */
-    all(): SideHandle[] {
+    linkedSides(): LinkedSide[] {
         return [...this.sides.values()];
     }
 
-    private takeStatus(status: SideStatus): void {
+    private applyStatus(status: SideStatus): void {
         const side = this.sides.get(status.instanceId);
         if (side !== undefined) {
             side.status = status;
-            side.statusAtMs = this.opts.clock.nowMs();
+            side.statusReceivedAtMs = this.opts.clock.nowMs();
         }
     }
 
-    private takeList(records: InstanceRecord[]): void {
+    private applyInstanceList(records: InstanceRecord[]): void {
         const nowMs = this.opts.clock.nowMs();
-        const chosen = this.opts.selectSubset(records.filter(record => record.kind === "side"));
-        chosen.forEach(record => {
-            this.lastListedMs.set(record.instanceId, nowMs);
-            this.take(record, nowMs);
+        const selected = this.opts.selectSubset(records.filter(record => record.kind === "side"));
+        selected.forEach(record => {
+            this.lastListedAtMs.set(record.instanceId, nowMs);
+            this.addOrUpdate(record, nowMs);
         });
         [...this.sides.values()]
-            .filter(side => nowMs - (this.lastListedMs.get(side.record.instanceId) ?? 0) > UNLISTED_LINK_KEPT_MS)
-            .filter(side => side.inFlight === 0)
-            .forEach(side => this.drop(side));
+            .filter(side => nowMs - (this.lastListedAtMs.get(side.record.instanceId) ?? 0) > UNLISTED_LINK_RETENTION_MS)
+            .filter(side => side.inFlightCalls === 0)
+            .forEach(side => this.remove(side));
     }
 
-    private take(record: InstanceRecord, nowMs: number): void {
-        const known = this.sides.get(record.instanceId);
-        if (known?.record.address === record.address) {
-            known.record = record;
+    private addOrUpdate(record: InstanceRecord, nowMs: number): void {
+        const existing = this.sides.get(record.instanceId);
+        if (existing?.record.address === record.address) {
+            existing.record = record;
             return;
         }
-        known?.link.close();
+        existing?.link.close();
         this.sides.set(record.instanceId, {
             record,
             link: this.opts.endpoint.connect(record.address),
             status: undefined,
-            statusAtMs: 0,
-            inFlight: 0,
+            statusReceivedAtMs: 0,
+            inFlightCalls: 0,
             joinedAtMs: nowMs,
         });
     }
 
-    private drop(side: SideHandle): void {
+    private remove(side: LinkedSide): void {
         side.link.close();
         this.sides.delete(side.record.instanceId);
-        this.lastListedMs.delete(side.record.instanceId);
+        this.lastListedAtMs.delete(side.record.instanceId);
     }
 }
 
-function isUsable(side: SideHandle, service: ServiceName, model: ModelName | undefined): boolean {
+function acceptsNewCalls(side: LinkedSide, service: ServiceName, model: ModelName | undefined): boolean {
     const { status } = side;
     return side.record.service === service
         && side.record.state === "live"
