--- a/daemons/side/src/cacheChangeReporter.ts
+++ b/daemons/side/src/cacheChangeReporter.ts
@@ -7,7 +7,7 @@
 import type { LinkEndpoint } from "@knapweedwood/links.calls/linkEndpoint";
 
 const RETRY_MS = 5000;
-const WINDOW_MS = 1000;
+const RATE_WINDOW_MS = 1000;
 const MAX_BLOCKS_PER_WINDOW = 200;
 
 interface CacheChangeReporterOptions {
@@ -26,7 +26,7 @@
     private readonly stopping = new AbortController();
     private running: Promise<void> = Promise.resolve();
     private windowEndsAtMs = 0;
-    private blocksLeft = 0;
+    private remainingBlocks = 0;
 
     constructor(opts: CacheChangeReporterOptions) {
         this.opts = opts;
@@ -45,20 +45,20 @@
         const { clock } = this.opts;
         const { signal } = this.stopping;
         while (!signal.aborted) {
-            await this.follow().catch(() => undefined);
+            await this.forwardEvents().catch(() => undefined);
             await sleep(clock, RETRY_MS, signal);
         }
     }
 
-    private async follow(): Promise<void> {
+    private async forwardEvents(): Promise<void> {
         for await (const event of this.opts.engine.cacheEvents({ signal: this.stopping.signal })) {
-            if (this.takeFromWindow(event.blockHashes.length)) {
-                this.send(event);
+            if (this.trySpendBlocks(event.blockHashes.length)) {
+                this.notifyEntries(event);
             }
         }
     }
 
-    private send(event: CacheEvent): void {
+    private notifyEntries(event: CacheEvent): void {
         const { endpoint, service } = this.opts;
         const change = { ...event, service, instanceId: endpoint.identity.instanceId };
         endpoint.links()
@@ -66,14 +66,14 @@
             .forEach(link => link.notify(cacheChangeNotification, change));
     }
 
-    private takeFromWindow(blockCount: number): boolean {
+    private trySpendBlocks(blockCount: number): boolean {
         const nowMs = this.opts.clock.nowMs();
         if (nowMs >= this.windowEndsAtMs) {
-            this.windowEndsAtMs = nowMs + WINDOW_MS;
-            this.blocksLeft = MAX_BLOCKS_PER_WINDOW;
+            this.windowEndsAtMs = nowMs + RATE_WINDOW_MS;
+            this.remainingBlocks = MAX_BLOCKS_PER_WINDOW;
         }
-        const isAllowed = this.blocksLeft > 0;
-        this.blocksLeft -= blockCount;
+        const isAllowed = this.remainingBlocks > 0;
+        this.remainingBlocks -= blockCount;
         return isAllowed;
     }
 }
--- a/daemons/side/src/callHandlers.ts
+++ b/daemons/side/src/callHandlers.ts
@@ -20,7 +20,7 @@
     service: string;
     engine: ModelEngine | undefined;
     gate: Gate | undefined;
-    plain: PlainGate | undefined;
+    plainGate: PlainGate | undefined;
     /** Whether new calls are refused because this side is leaving. */
     isLeaving: () => boolean;
 }
@@ -28,7 +28,7 @@
 /** Answers entries' calls at the upstream beside this side. */
 export class CallHandlers {
     private readonly opts: CallHandlersOptions;
-    private running = 0;
+    private callCount = 0;
 
     constructor(opts: CallHandlersOptions) {
         this.opts = opts;
@@ -48,8 +48,8 @@
     }
 
     /** Calls in progress. */
-    get runningCalls(): number {
-        return this.running;
+    get runningCallCount(): number {
+        return this.callCount;
     }
 
     private async *traced<Frame>(
@@ -59,10 +59,10 @@
         run: () => AsyncIterable<Frame>,
     ): AsyncIterable<Frame> {
         const span = this.opts.tracer.startSpan(name, { parent: context.traceParent, attributes: { service } });
-        this.running += 1;
+        this.callCount += 1;
         let failure: KnapweedError | undefined;
         try {
-            this.admit(service);
+            this.assertAccepted(service);
             yield* run();
         }
         catch (thrown) {
@@ -70,12 +70,12 @@
             throw failure;
         }
         finally {
-            this.running -= 1;
+            this.callCount -= 1;
             span.end(failure);
         }
     }
 
-    private admit(service: string): void {
+    private assertAccepted(service: string): void {
         if (this.opts.isLeaving()) {
             throw new KnapweedError("SIDE_LEAVING", "The side is leaving", { outcome: "not-run" });
         }
@@ -87,17 +87,17 @@
     }
 
     private generate(call: GenerateCallRequest, context: CallContext) {
-        const gate = required(this.opts.gate);
+        const gate = requireDefined(this.opts.gate);
         return gate.runOnline(call.request, { signal: context.signal, deadlineMs: context.deadlineMs });
     }
 
     private async *embed(call: { body: JsonObject; }, context: CallContext) {
-        yield { body: await required(this.opts.engine).embed(call.body, { signal: context.signal }) };
+        yield { body: await requireDefined(this.opts.engine).embed(call.body, { signal: context.signal }) };
     }
 
     private plain(call: PlainCallRequest, context: CallContext) {
         const body = call.bodyId === undefined ? call.body : this.streamedBody(call.bodyId, context);
-        return required(this.opts.plain).runOnline(call, { body, signal: context.signal });
+        return requireDefined(this.opts.plainGate).runOnline(call, { body, signal: context.signal });
     }
 
     private async *streamedBody(bodyId: string, context: CallContext): AsyncIterable<Uint8Array> {
@@ -113,7 +113,7 @@
     }
 }
 
-function required<Value>(value: Value | undefined): Value {
+function requireDefined<Value>(value: Value | undefined): Value {
     if (value === undefined) {
         throw new KnapweedError("SERVICE_ELSEWHERE", "This side's upstream is of another kind", { outcome: "not-run" });
     }
--- a/daemons/side/src/plainGate.ts
+++ b/daemons/side/src/plainGate.ts
@@ -14,11 +14,11 @@
 
 type CallOptions = Parameters<PlainUpstream["call"]>[1];
 
-const IDLE_PAUSE_MS = 250;
+const IDLE_PULL_INTERVAL_MS = 250;
 /** Share of the concurrency limit that batch items leave to online calls. */
-const BATCH_SHARE = 0.5;
-const COME_BACK_MS = 500;
-const SERVICE_UNAVAILABLE = 503;
+const BATCH_LIMIT_SHARE = 0.5;
+const RETRY_AFTER_MS = 500;
+const HTTP_SERVICE_UNAVAILABLE = 503;
 const DEFAULT_ITEM_TIMEOUT_MS = 60_000;
 
 interface RunningItem {
@@ -34,19 +34,19 @@
         clock: Clock;
         logger: Logger;
     };
-    private readonly limit = new GradientConcurrencyLimit();
+    private readonly concurrencyLimit = new GradientConcurrencyLimit();
     private readonly stopping = new AbortController();
-    private readonly items = new Set<RunningItem>();
-    private onlineRunning = 0;
+    private readonly runningItems = new Set<RunningItem>();
+    private onlineCallCount = 0;
     private itemTimeoutMs = DEFAULT_ITEM_TIMEOUT_MS;
-    private loop: Promise<void> = Promise.resolve();
+    private pullLoop: Promise<void> = Promise.resolve();
 
     constructor(opts: PlainGate["opts"]) {
         this.opts = opts;
     }
 
     start(): void {
-        this.loop = this.run();
+        this.pullLoop = this.run();
     }
 
     /** @param timeoutMs longest time that an item's call may take; after it, its outcome counts as unknown */
@@ -57,21 +57,21 @@
     /** Pulls no more and waits for the items in progress, which may not be repeated. */
     async stop(): Promise<void> {
         this.stopping.abort();
-        await this.loop;
+        await this.pullLoop;
     }
 
     /** Runs an online call. Throws `SERVICE_OVERLOADED` (`not-run`) beyond the limit. */
     async *runOnline(request: PlainCallRequest, opts: CallOptions): AsyncIterable<PlainFrame> {
-        if (!this.limit.tryAcquire()) {
+        if (!this.concurrencyLimit.tryAcquire()) {
             throw new KnapweedError("SERVICE_OVERLOADED", "The service takes no more calls now", {
                 outcome: "not-run",
-                statusCode: SERVICE_UNAVAILABLE,
-                retryAfterMs: COME_BACK_MS,
+                statusCode: HTTP_SERVICE_UNAVAILABLE,
+                retryAfterMs: RETRY_AFTER_MS,
             });
         }
         const startedMs = this.opts.clock.nowMs();
         let kind: "success" | "dropped" | "ignored" = "ignored";
-        this.onlineRunning += 1;
+        this.onlineCallCount += 1;
         try {
             yield* this.opts.upstream.call(request, opts);
             kind = "success";
@@ -81,16 +81,16 @@
             throw thrown;
         }
         finally {
-            this.onlineRunning -= 1;
-            this.limit.release({ durationMs: this.opts.clock.nowMs() - startedMs, kind });
+            this.onlineCallCount -= 1;
+            this.concurrencyLimit.release({ durationMs: this.opts.clock.nowMs() - startedMs, kind });
         }
     }
 
     /** Stops waiting for the items of a job. */
     cancelJob(jobId: JobId): void {
-        [...this.items]
-            .filter(running => running.item.jobId === jobId)
-            .forEach(running => running.controller.abort());
+        [...this.runningItems]
+            .filter(runningItem => runningItem.item.jobId === jobId)
+            .forEach(runningItem => runningItem.controller.abort());
     }
 
     private async run(): Promise<void> {
@@ -100,27 +100,27 @@
                 return 0;
             });
             if (count === 0) {
-                await sleep(this.opts.clock, IDLE_PAUSE_MS, this.stopping.signal);
+                await sleep(this.opts.clock, IDLE_PULL_INTERVAL_MS, this.stopping.signal);
             }
         }
     }
 
     private async pullAndRun(): Promise<number> {
-        const room = Math.floor(this.limit.limit * BATCH_SHARE) - this.onlineRunning;
-        const items = room < 1 ? [] : await this.opts.batchSource.pull(room);
+        const freeSlots = Math.floor(this.concurrencyLimit.limit * BATCH_LIMIT_SHARE) - this.onlineCallCount;
+        const items = freeSlots < 1 ? [] : await this.opts.batchSource.pull(freeSlots);
         await Promise.all(items.map(item => this.runItem(item)));
         return items.length;
     }
 
     private async runItem(item: BatchItem): Promise<void> {
-        const running = { item, controller: new AbortController() };
-        this.items.add(running);
-        const timer = this.opts.clock.setTimer(this.itemTimeoutMs, () => running.controller.abort());
+        const runningItem = { item, controller: new AbortController() };
+        this.runningItems.add(runningItem);
+        const timer = this.opts.clock.setTimer(this.itemTimeoutMs, () => runningItem.controller.abort());
         const request = plainItemCall(item);
-        const frames = this.opts.upstream.call(request, { body: request.body, signal: running.controller.signal });
+        const frames = this.opts.upstream.call(request, { body: request.body, signal: runningItem.controller.signal });
         const outcome = await plainItemOutcome(frames);
         timer.cancel();
-        this.items.delete(running);
+        this.runningItems.delete(runningItem);
         const { jobId, itemIndex, attempt } = item;
         await this.opts.batchSource.report([{ jobId, itemIndex, attempt, outcome }]);
     }
--- a/daemons/side/src/plainUpstream.ts
+++ b/daemons/side/src/plainUpstream.ts
@@ -20,10 +20,14 @@
         request: PlainCallRequest,
         opts: { body: AsyncIterable<Uint8Array> | Uint8Array | undefined; signal: AbortSignal; },
     ): AsyncIterable<PlainFrame> {
-        const answer = await this.send(request, opts);
-        yield { kind: "head", statusCode: answer.statusCode, headers: forwardableHeaders(flatten(answer.headers)) };
+        const response = await this.send(request, opts);
+        yield {
+            kind: "head",
+            statusCode: response.statusCode,
+            headers: forwardableHeaders(flattenHeaders(response.headers)),
+        };
         try {
-            for await (const bytes of answer.body as AsyncIterable<Uint8Array>) {
+            for await (const bytes of response.body as AsyncIterable<Uint8Array>) {
                 yield { kind: "body", bytes };
             }
         }
@@ -34,13 +38,13 @@
 
     async isHealthy(): Promise<boolean> {
         try {
-            const answer = await this.pool.request({
+            const response = await this.pool.request({
                 method: "GET",
                 path: "/healthz",
                 headersTimeout: CONNECT_TIMEOUT_MS,
             });
-            await answer.body.dump();
-            return answer.statusCode < 500;
+            await response.body.dump();
+            return response.statusCode < 500;
         }
         catch {
             return false;
@@ -75,7 +79,7 @@
     }
 }
 
-function flatten(headers: Dispatcher.ResponseData["headers"]): string[] {
+function flattenHeaders(headers: Dispatcher.ResponseData["headers"]): string[] {
     return Object.entries(headers).flatMap(([name, value]) =>
         (Array.isArray(value) ? value : [value ?? ""]).flatMap(single => [name, single])
     );
--- a/daemons/side/src/sideProcess.ts
+++ b/daemons/side/src/sideProcess.ts
@@ -27,7 +27,7 @@
 import { StatusReporter } from "./statusReporter.js";
 import { UpstreamMonitor } from "./upstreamMonitor.js";
 
-const DRAIN_CHECK_MS = 20;
+const DRAIN_POLL_INTERVAL_MS = 20;
 /** Entries stop sending on the status; the pause covers calls that were on their way. */
 const LEAVE_PAUSE_MS = 200;
 
@@ -39,14 +39,14 @@
     private readonly watcher: InstanceWatcher;
     private readonly configuration: DistributedConfiguration;
     private readonly engine: HttpModelEngine | undefined;
-    private readonly plain: PlainUpstream | undefined;
+    private readonly plainUpstream: PlainUpstream | undefined;
     private readonly plainGate: PlainGate | undefined;
     private readonly gate: Gate | undefined;
     private readonly reconciler: ReconcilerTask | undefined;
-    private readonly monitor: UpstreamMonitor;
-    private readonly handlers: CallHandlers;
-    private readonly reporter: StatusReporter;
-    private readonly cacheReporter: CacheChangeReporter | undefined;
+    private readonly upstreamMonitor: UpstreamMonitor;
+    private readonly callHandlers: CallHandlers;
+    private readonly statusReporter: StatusReporter;
+    private readonly cacheChangeReporter: CacheChangeReporter | undefined;
     private announcer: InstanceAnnouncer | undefined;
     private isLeaving = false;
 
@@ -69,24 +69,24 @@
         });
         const isEngine = settings.upstream.kind === "model-engine";
         this.engine = isEngine ? new HttpModelEngine({ baseUrl: settings.upstream.url }) : undefined;
-        this.plain = isEngine ? undefined : new PlainUpstream({ url: settings.upstream.url });
+        this.plainUpstream = isEngine ? undefined : new PlainUpstream({ url: settings.upstream.url });
         this.gate = this.engine === undefined ? undefined : this.createGate(this.engine);
         this.reconciler = this.engine === undefined
             ? undefined
             : new ReconcilerTask({ engine: this.engine, clock, endpoint: this.endpoint });
-        this.plainGate = this.plain === undefined ? undefined : this.createPlainGate(this.plain);
-        this.monitor = new UpstreamMonitor({ engine: this.engine, plain: this.plain, clock });
-        this.handlers = new CallHandlers({
+        this.plainGate = this.plainUpstream === undefined ? undefined : this.createPlainGate(this.plainUpstream);
+        this.upstreamMonitor = new UpstreamMonitor({ engine: this.engine, plainUpstream: this.plainUpstream, clock });
+        this.callHandlers = new CallHandlers({
             endpoint: this.endpoint,
             tracer,
             service: settings.service,
             engine: this.engine,
             gate: this.gate,
-            plain: this.plainGate,
+            plainGate: this.plainGate,
             isLeaving: () => this.isLeaving,
         });
-        this.reporter = new StatusReporter({ endpoint: this.endpoint, clock, status: () => this.status() });
-        this.cacheReporter = this.engine === undefined ? undefined : new CacheChangeReporter({
+        this.statusReporter = new StatusReporter({ endpoint: this.endpoint, clock, status: () => this.status() });
+        this.cacheChangeReporter = this.engine === undefined ? undefined : new CacheChangeReporter({
             endpoint: this.endpoint,
             clock,
             engine: this.engine,
@@ -100,13 +100,13 @@
     async start(): Promise<string> {
         const address = await this.endpoint.listen();
         await this.watcher.start();
-        await this.monitor.start();
+        await this.upstreamMonitor.start();
         await this.configuration.start();
         this.gate?.start();
         this.plainGate?.start();
         this.reconciler?.start();
-        this.reporter.start();
-        this.cacheReporter?.start();
+        this.statusReporter.start();
+        this.cacheChangeReporter?.start();
         this.announcer = this.createAnnouncer(address);
         await this.announcer.start();
         this.opts.logger.info("side.started", { address, service: this.service });
@@ -117,45 +117,45 @@
     async stop(): Promise<void> {
         const { clock, logger, settings } = this.opts;
         this.isLeaving = true;
-        this.reporter.send();
+        this.statusReporter.send();
         await this.announcer?.announceLeaving();
         await sleep(clock, LEAVE_PAUSE_MS);
         await this.gate?.leave();
         await this.plainGate?.stop();
         await this.reconciler?.stop();
-        await this.drain(settings.shutdownGraceMs);
+        await this.waitForRunningCalls(settings.shutdownGraceMs);
         await this.announcer?.stop();
-        await this.reporter.stop();
-        await this.cacheReporter?.stop();
+        await this.statusReporter.stop();
+        await this.cacheChangeReporter?.stop();
         await this.configuration.stop();
         await this.watcher.stop();
-        await this.monitor.stop();
+        await this.upstreamMonitor.stop();
         await this.gate?.close();
         await this.endpoint.close();
-        await this.plain?.close();
+        await this.plainUpstream?.close();
         logger.info("side.stopped");
     }
 
     /** Ends at once, as a crash would: links are cut, nothing is given back or withdrawn. For tests. */
     async crash(): Promise<void> {
         await this.announcer?.stopWithoutWithdrawing();
-        await this.reporter.stop();
-        await this.cacheReporter?.stop();
+        await this.statusReporter.stop();
+        await this.cacheChangeReporter?.stop();
         await this.endpoint.close(0);
         await this.configuration.stop();
         await this.watcher.stop();
-        await this.monitor.stop();
+        await this.upstreamMonitor.stop();
         await this.gate?.close();
         await this.plainGate?.stop();
         await this.reconciler?.stop();
-        await this.plain?.close();
+        await this.plainUpstream?.close();
     }
 
-    private async drain(graceMs: number): Promise<void> {
+    private async waitForRunningCalls(graceMs: number): Promise<void> {
         const { clock } = this.opts;
         const endMs = clock.nowMs() + graceMs;
-        while (this.handlers.runningCalls > 0 && clock.nowMs() < endMs) {
-            await sleep(clock, DRAIN_CHECK_MS);
+        while (this.callHandlers.runningCallCount > 0 && clock.nowMs() < endMs) {
+            await sleep(clock, DRAIN_POLL_INTERVAL_MS);
         }
     }
 
@@ -230,10 +230,10 @@
             instanceId: this.opts.settings.instanceId as InstanceId,
             service: this.service,
             state: this.isLeaving ? "leaving" : "live",
-            isHealthy: this.monitor.isHealthy,
-            models: this.monitor.readyModels,
-            role: this.monitor.role,
-            onlineRunning: load?.onlineRunning ?? this.handlers.runningCalls,
+            isHealthy: this.upstreamMonitor.isHealthy,
+            models: this.upstreamMonitor.readyModels,
+            role: this.upstreamMonitor.role,
+            onlineRunning: load?.onlineRunning ?? this.callHandlers.runningCallCount,
             onlineQueued: load?.onlineQueued ?? 0,
             onlinePrefillTokens: load?.onlinePrefillTokens,
             batchRunning: load?.batchRunning ?? 0,
--- a/daemons/side/src/statusReporter.ts
+++ b/daemons/side/src/statusReporter.ts
@@ -12,8 +12,8 @@
     private readonly opts: { endpoint: LinkEndpoint; clock: Clock; status: () => SideStatus; };
     private readonly stopping = new AbortController();
     private running: Promise<void> = Promise.resolve();
-    private lastSent = "";
-    private lastSentMs = 0;
+    private lastSentJson = "";
+    private lastSentAtMs = 0;
 
     constructor(opts: StatusReporter["opts"]) {
         this.opts = opts;
@@ -31,8 +31,8 @@
     /** Sends the status to all linked entries now. */
     send(): void {
         const status = this.opts.status();
-        this.lastSent = JSON.stringify(status);
-        this.lastSentMs = this.opts.clock.nowMs();
+        this.lastSentJson = JSON.stringify(status);
+        this.lastSentAtMs = this.opts.clock.nowMs();
         this.opts.endpoint.links()
             .filter(link => link.peer?.kind === "entry")
             .forEach(link => link.notify(sideStatusNotification, status));
@@ -48,7 +48,7 @@
     }
 
     private isDue(): boolean {
-        const isRepeatDue = this.opts.clock.nowMs() - this.lastSentMs >= REPEAT_INTERVAL_MS;
-        return isRepeatDue || JSON.stringify(this.opts.status()) !== this.lastSent;
+        const isRepeatDue = this.opts.clock.nowMs() - this.lastSentAtMs >= REPEAT_INTERVAL_MS;
+        return isRepeatDue || JSON.stringify(this.opts.status()) !== this.lastSentJson;
     }
 }
--- a/daemons/side/src/upstreamMonitor.ts
+++ b/daemons/side/src/upstreamMonitor.ts
@@ -6,15 +6,15 @@
 import type { ModelEngine } from "@knapweedwood/engines.model-engine/modelEngine";
 import type { PlainUpstream } from "./plainUpstream.js";
 
-const INTERVAL_MS = 1000;
+const CHECK_INTERVAL_MS = 1000;
 const FAILURES_UNTIL_UNHEALTHY = 2;
 
 /** Watches the upstream beside this side: whether it answers, and which models it can serve. */
 export class UpstreamMonitor {
-    private readonly opts: { engine?: ModelEngine; plain?: PlainUpstream; clock: Clock; };
+    private readonly opts: { engine?: ModelEngine; plainUpstream?: PlainUpstream; clock: Clock; };
     private readonly stopping = new AbortController();
     private running: Promise<void> = Promise.resolve();
-    private failures = FAILURES_UNTIL_UNHEALTHY;
+    private consecutiveFailures = FAILURES_UNTIL_UNHEALTHY;
     private engineState: EngineState | undefined;
 
     constructor(opts: UpstreamMonitor["opts"]) {
@@ -32,7 +32,7 @@
     }
 
     get isHealthy(): boolean {
-        return this.failures < FAILURES_UNTIL_UNHEALTHY;
+        return this.consecutiveFailures < FAILURES_UNTIL_UNHEALTHY;
     }
 
     /** Models and adapters that are ready; undefined for a plain service. */
@@ -40,9 +40,10 @@
         if (this.opts.engine === undefined) {
             return undefined;
         }
-        const isReady = (held: { state: string; }) => held.state === "ready";
-        const models = this.engineState?.models.filter(isReady).map(held => held.model) ?? [];
-        const adapters = this.engineState?.adapters.filter(isReady).map(held => asModel(held.adapter)) ?? [];
+        const isReady = (resource: { state: string; }) => resource.state === "ready";
+        const models = this.engineState?.models.filter(isReady).map(resource => resource.model) ?? [];
+        const adapters = this.engineState?.adapters.filter(isReady).map(resource => toModelName(resource.adapter))
+            ?? [];
         return [...models, ...adapters];
     }
 
@@ -52,14 +53,14 @@
 
     private async run(): Promise<void> {
         while (!this.stopping.signal.aborted) {
-            await sleep(this.opts.clock, INTERVAL_MS, this.stopping.signal);
+            await sleep(this.opts.clock, CHECK_INTERVAL_MS, this.stopping.signal);
             await this.check();
         }
     }
 
     private async check(): Promise<void> {
         const isAlive = await this.probe().catch(() => false);
-        this.failures = isAlive ? 0 : this.failures + 1;
+        this.consecutiveFailures = isAlive ? 0 : this.consecutiveFailures + 1;
     }
 
     private async probe(): Promise<boolean> {
@@ -67,10 +68,10 @@
             this.engineState = await this.opts.engine.state();
             return true;
         }
-        return await this.opts.plain?.isHealthy() ?? false;
+        return await this.opts.plainUpstream?.isHealthy() ?? false;
     }
 }
 
-function asModel(adapter: AdapterName): ModelName {
+function toModelName(adapter: AdapterName): ModelName {
     return adapter as string as ModelName;
 }
--- a/daemons/side/test/cacheChangeReporter.test.ts
+++ b/daemons/side/test/cacheChangeReporter.test.ts
@@ -25,11 +25,11 @@
         kind: "stored",
         blockHashes: Array.from({ length: 50 }, (_, index) => String(index)),
     });
-    let isAway = true;
+    let isUnavailable = true;
     const engine = {
         async *cacheEvents({ signal }: { signal: AbortSignal; }) {
-            if (isAway) {
-                throw new Error("away");
+            if (isUnavailable) {
+                throw new Error("unavailable");
             }
             yield* Array.from({ length: 10 }, (_, index) => eventOf(index + 1));
             await once(signal, "abort");
@@ -39,7 +39,7 @@
     reporter.start();
     await clock.advance(1000);
     assert.equal(changes.length, 0);
-    isAway = false;
+    isUnavailable = false;
     await clock.advance(10_000);
     assert.deepEqual(changes.map(change => change.sequenceNumber), [1, 2, 3, 4]);
     assert.equal(changes[0].instanceId, "side");
