--- a/daemons/embedded/src/demoDeployment.ts
+++ b/daemons/embedded/src/demoDeployment.ts
@@ -10,8 +10,8 @@
 const ENTRY_COUNT = 2;
 const ENGINE_COUNT = 3;
 const SERVICE_COUNT = 1;
-const SERVE_TIMEOUT_MS = 20_000;
-const SERVE_CHECK_MS = 100;
+const READY_TIMEOUT_MS = 20_000;
+const READY_POLL_INTERVAL_MS = 100;
 
 /** The embedded deployment of `knapweed dev` and the quickstart, with its services published. */
 export class DemoDeployment {
@@ -36,7 +36,7 @@
     async start(): Promise<void> {
         await this.deployment.start();
         await this.publish();
-        await this.waitUntilServing();
+        await this.waitUntilReady();
     }
 
     stop(): Promise<void> {
@@ -44,7 +44,7 @@
     }
 
     private async publish(): Promise<void> {
-        const answer = await fetch(`${this.deployment.url()}/admin/v1/configuration/publish`, {
+        const response = await fetch(`${this.deployment.url()}/admin/v1/configuration/publish`, {
             method: "POST",
             headers: this.headers(),
             body: JSON.stringify({
@@ -52,35 +52,35 @@
                 message: "demonstration",
             }),
         });
-        if (answer.status !== 200) {
-            throw new KnapweedError("DEMO_NOT_PUBLISHED", await answer.text());
+        if (response.status !== 200) {
+            throw new KnapweedError("DEMO_NOT_PUBLISHED", await response.text());
         }
     }
 
-    private async waitUntilServing(): Promise<void> {
+    private async waitUntilReady(): Promise<void> {
         const clock = new SystemClock();
-        const endMs = clock.nowMs() + SERVE_TIMEOUT_MS;
-        while (!await this.isServing()) {
+        const endMs = clock.nowMs() + READY_TIMEOUT_MS;
+        while (!await this.isReady()) {
             if (clock.nowMs() > endMs) {
                 throw new KnapweedError("NOT_READY", "The demonstration's services can't be called");
             }
-            await sleep(clock, SERVE_CHECK_MS);
+            await sleep(clock, READY_POLL_INTERVAL_MS);
         }
     }
 
-    private async isServing(): Promise<boolean> {
+    private async isReady(): Promise<boolean> {
         const urls = Array.from({ length: ENTRY_COUNT }, (_, index) => this.deployment.url(index));
-        const answers = await Promise.all(urls.map(url => this.seesAllUpstreams(url)));
-        return answers.every(isGood => isGood);
+        const results = await Promise.all(urls.map(url => this.hasAllUpstreams(url)));
+        return results.every(isReady => isReady);
     }
 
-    private async seesAllUpstreams(url: string): Promise<boolean> {
-        const answer = await fetch(`${url}/admin/v1/fleet/upstreams`, { headers: this.headers() });
-        if (answer.status !== 200) {
-            await answer.arrayBuffer();
+    private async hasAllUpstreams(url: string): Promise<boolean> {
+        const response = await fetch(`${url}/admin/v1/fleet/upstreams`, { headers: this.headers() });
+        if (response.status !== 200) {
+            await response.arrayBuffer();
             return false;
         }
-        const { upstreams } = await answer.json() as { upstreams: { isHealthy: boolean; }[]; };
+        const { upstreams } = await response.json() as { upstreams: { isHealthy: boolean; }[]; };
         return upstreams.filter(upstream => upstream.isHealthy).length === ENGINE_COUNT + SERVICE_COUNT;
     }
 
--- a/daemons/embedded/src/embeddedDeployment.ts
+++ b/daemons/embedded/src/embeddedDeployment.ts
@@ -19,7 +19,7 @@
 const REGION = "demo";
 const ZONES = ["demo-a", "demo-b", "demo-c"];
 const READY_TIMEOUT_MS = 20_000;
-const READY_CHECK_MS = 50;
+const READY_POLL_INTERVAL_MS = 50;
 const LIST_LAG_MS = 200;
 const LIST_TTL_MS = 15_000;
 const SHUTDOWN_GRACE_MS = 5000;
@@ -46,9 +46,9 @@
 
     /** Starts every part; resolves once the first entry can serve. */
     async start(): Promise<void> {
-        await sequence(this.opts.entryCount, index => this.startEntry(index));
-        await sequence(this.opts.engineCount, index => this.startEngine(index));
-        await sequence(this.opts.serviceCount, index => this.startService(index));
+        await runInSequence(this.opts.entryCount, index => this.startEntry(index));
+        await runInSequence(this.opts.engineCount, index => this.startEngine(index));
+        await runInSequence(this.opts.serviceCount, index => this.startService(index));
         await this.waitUntilReady();
     }
 
@@ -83,7 +83,7 @@
             bootstrapKeyHash: createHash("sha256").update(this.opts.operatorKey).digest("hex"),
             shutdownGraceMs: SHUTDOWN_GRACE_MS,
         });
-        const process = new EntryProcess({ settings, keyValue: this.keyValue, ...this.shared() });
+        const process = new EntryProcess({ settings, keyValue: this.keyValue, ...this.sharedOptions() });
         const { httpPort } = await process.start();
         this.entries.push({ process, httpPort });
     }
@@ -123,12 +123,12 @@
             platform: { instanceListUrl: "embedded:" },
             shutdownGraceMs: SHUTDOWN_GRACE_MS,
         });
-        const process = new SideProcess({ settings, ...this.shared() });
+        const process = new SideProcess({ settings, ...this.sharedOptions() });
         await process.start();
         this.sides.push({ process, instanceId, isStopped: false });
     }
 
-    private shared() {
+    private sharedOptions() {
         const { logger, metrics, tracer } = this.opts;
         return { clock: this.clock, random: this.random, instanceList: this.instanceList, logger, metrics, tracer };
     }
@@ -139,12 +139,12 @@
             if (this.clock.nowMs() > endMs) {
                 throw new KnapweedError("NOT_READY", "The embedded deployment did not become ready");
             }
-            await sleep(this.clock, READY_CHECK_MS);
+            await sleep(this.clock, READY_POLL_INTERVAL_MS);
         }
     }
 }
 
-async function sequence(count: number, step: (index: number) => Promise<void>): Promise<void> {
+async function runInSequence(count: number, step: (index: number) => Promise<void>): Promise<void> {
     await Array.from({ length: count }, (_, index) => index)
         .reduce((previous, index) => previous.then(() => step(index)), Promise.resolve());
 }
@@ -154,6 +154,6 @@
 }
 
 async function isReady(url: string): Promise<boolean> {
-    const answer = await fetch(url).catch(() => undefined);
-    return answer?.status === 200;
+    const response = await fetch(url).catch(() => undefined);
+    return response?.status === 200;
 }
--- a/daemons/embedded/test/badInput.test.ts
+++ b/daemons/embedded/test/badInput.test.ts
@@ -20,19 +20,19 @@
 }
 
 async function post(path: string, body: string): Promise<{ status: number; outcome: string | null; code: string; }> {
-    const answer = await fetch(`${demo.deployment.url()}${path}`, { method: "POST", headers, body });
-    const parsed = await answer.json() as ErrorBody;
-    return { status: answer.status, outcome: answer.headers.get("x-knapweed-outcome"), code: parsed.error.code };
+    const response = await fetch(`${demo.deployment.url()}${path}`, { method: "POST", headers, body });
+    const parsed = await response.json() as ErrorBody;
+    return { status: response.status, outcome: response.headers.get("x-knapweed-outcome"), code: parsed.error.code };
 }
 
-test("a body that is no JSON, or no object, is refused as not run", async () => {
-    const refused = { status: 400, outcome: "not-run", code: "ERR_KNAPWEED_BODY_NOT_JSON" };
-    assert.deepEqual(await post("/v1/chat/completions", '{"model":'), refused);
-    assert.deepEqual(await post("/v1/chat/completions", "[1]"), refused);
+test("a body that is no JSON, or no object, is rejected as not run", async () => {
+    const rejected = { status: 400, outcome: "not-run", code: "ERR_KNAPWEED_BODY_NOT_JSON" };
+    assert.deepEqual(await post("/v1/chat/completions", '{"model":'), rejected);
+    assert.deepEqual(await post("/v1/chat/completions", "[1]"), rejected);
 });
 
-test("a body of 50 MB is refused before it is read whole", async () => {
-    const answer = await new Promise<string>((resolve, reject) => {
+test("a body of 50 MB is rejected before it is read whole", async () => {
+    const response = await new Promise<string>((resolve, reject) => {
         const port = Number(new URL(demo.deployment.url()).port);
         const socket = connect(port, "127.0.0.1", () => {
             socket.write(
@@ -47,8 +47,8 @@
         });
         socket.once("error", reject);
     });
-    assert.match(answer, /^HTTP\/1\.1 413 /u);
-    assert.match(answer, /ERR_KNAPWEED_BODY_TOO_LARGE/u);
+    assert.match(response, /^HTTP\/1\.1 413 /u);
+    assert.match(response, /ERR_KNAPWEED_BODY_TOO_LARGE/u);
 });
 
 test("a malformed line and a doubled custom_id fail the job with their lines", async () => {
@@ -60,11 +60,11 @@
 });
 
 test("the engine's work is cancelled when the caller goes away in mid-stream", async () => {
-    const gone = new AbortController();
-    const answer = await fetch(`${demo.deployment.url()}/v1/chat/completions`, {
+    const caller = new AbortController();
+    const response = await fetch(`${demo.deployment.url()}/v1/chat/completions`, {
         method: "POST",
         headers,
-        signal: gone.signal,
+        signal: caller.signal,
         body: JSON.stringify({
             model: "demo-chat",
             messages: [{ role: "user", content: "a long story" }],
@@ -73,9 +73,9 @@
             user: "goes-away",
         }),
     });
-    const reader = answer.body?.getReader();
+    const reader = response.body?.getReader();
     await reader?.read();
-    gone.abort();
+    caller.abort();
     await until(async () => (await engineCounts("goes-away")).cancelled === 1);
     assert.equal((await engineCounts("goes-away")).finished, 0);
 });
--- a/daemons/embedded/test/openaiClient.test.ts
+++ b/daemons/embedded/test/openaiClient.test.ts
@@ -24,10 +24,10 @@
 const expectedChat = expectedText({ endpoint: "/v1/chat/completions", body: chat, tokenCount: MAX_TOKENS });
 
 test("a chat completion carries the whole answer to its own prompt", async () => {
-    const answer = await client.chat.completions.create(chat);
-    assert.equal(answer.choices[0]?.message.content, expectedChat);
-    assert.equal(answer.choices[0]?.finish_reason, "length");
-    assert.equal(answer.usage?.completion_tokens, MAX_TOKENS);
+    const response = await client.chat.completions.create(chat);
+    assert.equal(response.choices[0]?.message.content, expectedChat);
+    assert.equal(response.choices[0]?.finish_reason, "length");
+    assert.equal(response.usage?.completion_tokens, MAX_TOKENS);
 });
 
 test("a streamed chat completion yields the same text and its usage", async () => {
--- a/daemons/embedded/test/plainService.test.ts
+++ b/daemons/embedded/test/plainService.test.ts
@@ -29,10 +29,10 @@
 }
 
 test("method, path, query, headers and status pass through, hop-by-hop headers and the key don't", async () => {
-    const answer = await call("/receipts?lot=7", { method: "PUT", body: "{}", headers: { "x-desk": "3" } });
-    const echo = await answer.json() as Echo;
-    assert.equal(answer.status, 200);
-    assert.equal(answer.headers.get("x-knapweed-outcome"), "answered");
+    const response = await call("/receipts?lot=7", { method: "PUT", body: "{}", headers: { "x-desk": "3" } });
+    const echo = await response.json() as Echo;
+    assert.equal(response.status, 200);
+    assert.equal(response.headers.get("x-knapweed-outcome"), "answered");
     assert.equal(echo.method, "PUT");
     assert.equal(echo.path, "/receipts?lot=7");
     assert.equal(echo.headers["x-desk"], "3");
@@ -40,9 +40,9 @@
 });
 
 test("a large body is streamed whole", async () => {
-    const answer = await call("/receipts", { body: "x".repeat(LARGE_BODY_BYTES) });
-    assert.equal(answer.status, 200);
-    const echo = await answer.json() as { body: string; };
+    const response = await call("/receipts", { body: "x".repeat(LARGE_BODY_BYTES) });
+    assert.equal(response.status, 200);
+    const echo = await response.json() as { body: string; };
     assert.ok(echo.body === "x".repeat(LARGE_BODY_BYTES));
 });
 
@@ -56,13 +56,13 @@
     assert.equal(countRuns(), runs);
 });
 
-test("an idempotency key that came with another body is refused as not run", async () => {
+test("an idempotency key that came with another body is rejected as not run", async () => {
     const headers = { "idempotency-key": "receipt-8" };
     await call("/receipts", { body: "{}", headers });
     const runs = countRuns();
-    const refused = await call("/receipts", { body: '{"lot":9}', headers });
-    assert.equal(refused.status, 422);
-    assert.equal(refused.headers.get("x-knapweed-outcome"), "not-run");
+    const rejected = await call("/receipts", { body: '{"lot":9}', headers });
+    assert.equal(rejected.status, 422);
+    assert.equal(rejected.headers.get("x-knapweed-outcome"), "not-run");
     assert.equal(countRuns(), runs);
 });
 
@@ -108,10 +108,10 @@
 }
 
 async function api(method: string, path: string, body?: string | FormData): Promise<unknown> {
-    const answer = await fetch(`${demo.deployment.url()}${path}`, {
+    const response = await fetch(`${demo.deployment.url()}${path}`, {
         method,
         headers: { authorization: `Bearer ${KEY}` },
         body,
     });
-    return answer.json();
+    return response.json();
 }
