--- a/daemons/common/src/createLinkEndpoint.ts
+++ b/daemons/common/src/createLinkEndpoint.ts
@@ -16,8 +16,11 @@
 type TlsSettings = NonNullable<LinkSettings["tls"]>;
 
 /**
- * The links of a process, as its settings say, with certificates reloaded when they change.
- * Throws `LINK_PLAIN_REFUSED` for links without TLS that would leave the machine.
+ * Creates the link endpoint of a process from its settings. If TLS is configured, reloads the TLS files when the
+ * certificate file or another file in its folder changes.
+ *
+ * Throws `LINK_PLAIN_REFUSED` if TLS is not configured and the host is not a loopback address, because links without
+ * TLS must not leave the machine.
  */
 export function createLinkEndpoint(opts: {
     identity: PeerIdentity;
@@ -30,8 +33,8 @@
     const { link, logger } = opts;
     const { tls, host, port } = link;
     if (tls === undefined && !isLoopback(host)) {
-        throw new KnapweedError("LINK_PLAIN_REFUSED", `Links on ${host} need TLS`, {
-            hint: "Set link.tls, or listen on loopback",
+        throw new KnapweedError("LINK_PLAIN_REFUSED", `Links on ${host} require TLS`, {
+            hint: "Set link.tls, or set link.host to a loopback address",
         });
     }
     const endpoint = new WebSocketLinkEndpoint({
@@ -57,10 +60,10 @@
 function reloadCertificates(endpoint: WebSocketLinkEndpoint, tls: TlsSettings, logger: Logger): void {
     try {
         endpoint.reloadTls(readTls(tls));
-        logger.info("link.certificate-reloaded");
+        logger.info("link-certificate-reloaded");
     }
     catch (error) {
-        logger.warn("link.certificate-unreadable", { error: String(error) });
+        logger.warn("link-certificate-unreadable", { error: String(error) });
     }
 }
 
--- a/daemons/common/src/createTelemetry.ts
+++ b/daemons/common/src/createTelemetry.ts
@@ -8,7 +8,7 @@
 import type { Tracer } from "@knapweedwood/observability.traces/tracer";
 import type { Telemetry } from "./telemetry.js";
 
-/** Logger, metrics and tracer, as the settings say. */
+/** Creates the logger, metrics and tracer of a process from its settings. Metrics and traces are optional. */
 export async function createTelemetry(settings: EntrySettings | SideSettings, clock: Clock): Promise<Telemetry> {
     const { instanceId, zone } = settings;
     return {
@@ -20,7 +20,7 @@
     };
 }
 
-/** OpenTelemetry is loaded only where traces are wanted, for its memory. */
+/** Loads OpenTelemetry only if traces are configured, because it uses much memory. */
 async function createTracer(settings: EntrySettings | SideSettings): Promise<Tracer> {
     if (settings.traces === undefined) {
         return silentTracer;
--- a/daemons/common/src/runDaemon.ts
+++ b/daemons/common/src/runDaemon.ts
@@ -1,6 +1,9 @@
 import type { Logger } from "@knapweedwood/observability.logs/logger";
 
-/** Starts a process, and stops it in order on SIGTERM or SIGINT; a second signal exits at once. */
+/**
+ * Starts a process and stops it gracefully on SIGTERM or SIGINT. A second signal exits at once, with exit code 1.
+ * Unhandled rejections are logged and don't end the process.
+ */
 export async function runDaemon(opts: {
     start: () => Promise<unknown>;
     stop: () => Promise<void>;
@@ -10,15 +13,15 @@
     let isStopping = false;
     const onSignal = (signal: NodeJS.Signals) => {
         if (isStopping) {
-            logger.warn("process.exit-at-once", { signal });
+            logger.warn("process-exit-at-once", { signal });
             process.exit(1);
         }
         isStopping = true;
-        logger.info("process.stopping", { signal });
+        logger.info("process-stopping", { signal });
         opts.stop().then(
             () => process.exit(0),
             (error: unknown) => {
-                logger.error("process.stop-failed", { error: String(error) });
+                logger.error("process-stop-failed", { error: String(error) });
                 process.exit(1);
             },
         );
@@ -26,7 +29,7 @@
     process.on("SIGTERM", onSignal);
     process.on("SIGINT", onSignal);
     process.on("unhandledRejection", error => {
-        logger.error("process.unhandled-rejection", {
+        logger.error("process-unhandled-rejection", {
             error: String(error),
             stack: (error as Error | undefined)?.stack,
         });
