--- a/daemons/inference/src/cacheChange.ts
+++ b/daemons/inference/src/cacheChange.ts
@@ -1,13 +1,13 @@
 import type { InstanceId } from "@knapweedwood/core.ids/instanceId";
 import type { ServiceName } from "@knapweedwood/core.ids/serviceName";
 
-/** A change of the prefix cache of the engine beside a side. */
+/** A change in the prefix cache of a side's engine. */
 export interface CacheChange {
     instanceId: InstanceId;
     service: ServiceName;
-    /** Of the engine's event; gaps show events that were lost or left out. */
+    /** Sequence number of the engine's event. A gap means that events were lost or omitted. */
     sequenceNumber: number;
     kind: "stored" | "evicted";
-    /** Shape [blocks]. */
+    /** Hashes of the stored or evicted prompt blocks, shape [blocks]. */
     blockHashes: string[];
 }
--- a/daemons/inference/src/generateCallRequest.ts
+++ b/daemons/inference/src/generateCallRequest.ts
@@ -1,7 +1,7 @@
 import type { ServiceName } from "@knapweedwood/core.ids/serviceName";
 import type { GenerateRequest } from "@knapweedwood/engines.model-engine/generateRequest";
 
-/** A generation that an entry asks of a side. */
+/** A text generation request that an entry sends to a side. */
 export interface GenerateCallRequest {
     service: ServiceName;
     request: GenerateRequest;
--- a/daemons/inference/src/readBodyCall.ts
+++ b/daemons/inference/src/readBodyCall.ts
@@ -1,4 +1,4 @@
 import { defineCall } from "@knapweedwood/links.calls/defineCall";
 
-/** A side asks the entry for the body of a plain call that is streamed, in parts. */
+/** Reads the streamed body of a plain call, in parts. Sent by a side to the entry of the caller. */
 export const readBodyCall = defineCall<{ bodyId: string; }, { bytes: Uint8Array; }>("inference.read-body");
--- a/daemons/inference/src/sideStatus.ts
+++ b/daemons/inference/src/sideStatus.ts
@@ -2,21 +2,22 @@
 import type { ModelName } from "@knapweedwood/core.ids/modelName";
 import type { ServiceName } from "@knapweedwood/core.ids/serviceName";
 
-/** What a side says of itself and its upstream. */
+/** Status of a side and its upstream, as reported by the side. */
 export interface SideStatus {
     instanceId: InstanceId;
     service: ServiceName;
     state: "live" | "leaving";
-    /** Whether the upstream answers. */
+    /** Whether the upstream responds to health checks. */
     isHealthy: boolean;
-    /** Models and adapters that the upstream can serve; undefined where it is not a model engine. */
+    /** Models and adapters that the upstream can serve; undefined if it is not a model engine. */
     models: ModelName[] | undefined;
     role: "any" | "prefill" | "decode";
     onlineRunning: number;
     onlineQueued: number;
-    /** Prompt tokens of online calls that the upstream has still to process, where it is a model engine. */
+    /** Prompt tokens of online calls that the upstream has yet to process; undefined if it is not a model engine. */
     onlinePrefillTokens?: number;
     batchRunning: number;
     batchQueued: number;
+    /** Configuration revision that is active at the side; 0 if there is none yet. */
     revision: number;
 }
