--- a/daemons/side/src/cacheChangeReporter.ts
+++ b/daemons/side/src/cacheChangeReporter.ts
@@ -18,8 +18,9 @@
 }
 
 /**
- * Passes the engine's cache events on to the entries, so that they choose upstreams by what is cached. Events beyond a
- * rate are left out; entries see the gap and trust what they know of this engine less.
+ * Forwards the cache events of the engine to the linked entries, which choose upstreams by their cached prefixes.
+ * Events above a rate limit are dropped. Entries detect the gap in the sequence numbers and rely less on their local
+ * view of this engine's cache.
  */
 export class CacheChangeReporter {
     private readonly opts: CacheChangeReporterOptions;
--- a/daemons/side/src/callHandlers.ts
+++ b/daemons/side/src/callHandlers.ts
@@ -21,11 +21,11 @@
     engine: ModelEngine | undefined;
     gate: Gate | undefined;
     plainGate: PlainGate | undefined;
-    /** Whether new calls are refused because this side is leaving. */
+    /** Whether new calls are rejected because this side is leaving. */
     isLeaving: () => boolean;
 }
 
-/** Answers entries' calls at the upstream beside this side. */
+/** Handles the calls of entries by running them at the upstream of this side. */
 export class CallHandlers {
     private readonly opts: CallHandlersOptions;
     private callCount = 0;
@@ -47,7 +47,7 @@
         );
     }
 
-    /** Calls in progress. */
+    /** Number of calls in progress. */
     get runningCallCount(): number {
         return this.callCount;
     }
@@ -77,10 +77,12 @@
 
     private assertAccepted(service: string): void {
         if (this.opts.isLeaving()) {
-            throw new KnapweedError("SIDE_LEAVING", "The side is leaving", { outcome: "not-run" });
+            throw new KnapweedError("SIDE_LEAVING", "The side is leaving and accepts no new calls", {
+                outcome: "not-run",
+            });
         }
         if (service !== this.opts.service) {
-            throw new KnapweedError("SERVICE_ELSEWHERE", `This side serves ${this.opts.service}`, {
+            throw new KnapweedError("SERVICE_ELSEWHERE", `This side serves ${this.opts.service} only`, {
                 outcome: "not-run",
             });
         }
@@ -105,7 +107,7 @@
             candidate.peer?.instanceId === context.peer.instanceId
         );
         if (link === undefined) {
-            throw new KnapweedError("LINK_LOST", "The link to the caller's entry is lost", { outcome: "unknown" });
+            throw new KnapweedError("LINK_LOST", "The link to the entry of the caller is lost", { outcome: "unknown" });
         }
         for await (const part of link.call(readBodyCall, { bodyId }, { signal: context.signal })) {
             yield part.bytes;
@@ -115,7 +117,9 @@
 
 function requireDefined<Value>(value: Value | undefined): Value {
     if (value === undefined) {
-        throw new KnapweedError("SERVICE_ELSEWHERE", "This side's upstream is of another kind", { outcome: "not-run" });
+        throw new KnapweedError("SERVICE_ELSEWHERE", "The upstream of this side is of another kind", {
+            outcome: "not-run",
+        });
     }
     return value;
 }
--- a/daemons/side/src/plainGate.ts
+++ b/daemons/side/src/plainGate.ts
@@ -15,7 +15,7 @@
 type CallOptions = Parameters<PlainUpstream["call"]>[1];
 
 const IDLE_PULL_INTERVAL_MS = 250;
-/** Share of the concurrency limit that batch items leave to online calls. */
+/** Share of the concurrency limit up to which batch items are pulled. The rest is reserved for online calls. */
 const BATCH_LIMIT_SHARE = 0.5;
 const RETRY_AFTER_MS = 500;
 const HTTP_SERVICE_UNAVAILABLE = 503;
@@ -26,7 +26,10 @@
     controller: AbortController;
 }
 
-/** The gate in front of a plain service: online calls up to an adaptive limit, batch items in a part of what is left. */
+/**
+ * The gate in front of a plain service. Runs online calls up to an adaptive concurrency limit, and batch items in a
+ * share of that limit, less the online calls in progress.
+ */
 export class PlainGate {
     private readonly opts: {
         upstream: Pick<PlainUpstream, "call">;
@@ -49,21 +52,21 @@
         this.pullLoop = this.run();
     }
 
-    /** @param timeoutMs longest time that an item's call may take; after it, its outcome counts as unknown */
+    /** @param timeoutMs longest duration of an item's call; after it, the call is aborted with outcome unknown */
     setItemTimeout(timeoutMs: number): void {
         this.itemTimeoutMs = timeoutMs;
     }
 
-    /** Pulls no more and waits for the items in progress, which may not be repeated. */
+    /** Stops pulling and waits for the items in progress, because they may not be repeatable. */
     async stop(): Promise<void> {
         this.stopping.abort();
         await this.pullLoop;
     }
 
-    /** Runs an online call. Throws `SERVICE_OVERLOADED` (`not-run`) beyond the limit. */
+    /** Runs an online call. Throws `SERVICE_OVERLOADED` (`not-run`) if the concurrency limit is reached. */
     async *runOnline(request: PlainCallRequest, opts: CallOptions): AsyncIterable<PlainFrame> {
         if (!this.concurrencyLimit.tryAcquire()) {
-            throw new KnapweedError("SERVICE_OVERLOADED", "The service takes no more calls now", {
+            throw new KnapweedError("SERVICE_OVERLOADED", "The service has reached its concurrency limit", {
                 outcome: "not-run",
                 statusCode: HTTP_SERVICE_UNAVAILABLE,
                 retryAfterMs: RETRY_AFTER_MS,
@@ -86,7 +89,7 @@
         }
     }
 
-    /** Stops waiting for the items of a job. */
+    /** Aborts the calls of a cancelled job's items. */
     cancelJob(jobId: JobId): void {
         [...this.runningItems]
             .filter(runningItem => runningItem.item.jobId === jobId)
@@ -96,7 +99,7 @@
     private async run(): Promise<void> {
         while (!this.stopping.signal.aborted) {
             const count = await this.pullAndRun().catch((error: unknown) => {
-                this.opts.logger.warn("plain-gate.pull-failed", { error: String(error) });
+                this.opts.logger.warn("plain-gate-pull-failed", { error: String(error) });
                 return 0;
             });
             if (count === 0) {
--- a/daemons/side/src/plainItemCall.ts
+++ b/daemons/side/src/plainItemCall.ts
@@ -3,7 +3,7 @@
 
 const SERVICE_PATH_PATTERN = /^\/services\/[^/]+/u;
 
-/** The call that a batch item makes to a plain service. */
+/** Returns the call to a plain service that runs a batch item. */
 export function plainItemCall(item: BatchItem): PlainCallRequest {
     return {
         service: item.service,
--- a/daemons/side/src/plainItemOutcome.ts
+++ b/daemons/side/src/plainItemOutcome.ts
@@ -6,7 +6,10 @@
 const FIRST_CLIENT_ERROR = 400;
 const FIRST_SERVER_ERROR = 500;
 
-/** Reads a plain service's answer to a batch item. Never throws. */
+/**
+ * Reads a plain service's response to a batch item and returns the item's outcome: completed, rejected for a status of
+ * 400 to 499, or failed for a status of 500 and above or a call that failed. Never throws.
+ */
 export async function plainItemOutcome(frames: AsyncIterable<PlainFrame>): Promise<BatchResult["outcome"]> {
     let statusCode = 0;
     const parts: Uint8Array[] = [];
--- a/daemons/side/src/plainUpstream.ts
+++ b/daemons/side/src/plainUpstream.ts
@@ -7,7 +7,7 @@
 const CONNECT_TIMEOUT_MS = 2000;
 const NOT_SENT_CODES = new Set(["ECONNREFUSED", "UND_ERR_CONNECT_TIMEOUT", "EHOSTUNREACH", "ENETUNREACH"]);
 
-/** A plain service behind HTTP. Each call is sent at most once. */
+/** Client of a plain service, over HTTP. Sends each call at most once. */
 export class PlainUpstream {
     private readonly pool: Pool;
 
@@ -15,7 +15,11 @@
         this.pool = new Pool(opts.url, { connect: { timeout: CONNECT_TIMEOUT_MS }, pipelining: 1, headersTimeout: 0 });
     }
 
-    /** Passes a call on and yields its answer: the head, then the body. */
+    /**
+     * Sends a call and yields its response: the head, then the body. Throws `UPSTREAM_FAILED` if no response head
+     * arrives, with outcome `not-run` if no connection was made and `unknown` otherwise. Throws `UPSTREAM_CUT`
+     * (`unknown`) if the body ends early.
+     */
     async *call(
         request: PlainCallRequest,
         opts: { body: AsyncIterable<Uint8Array> | Uint8Array | undefined; signal: AbortSignal; },
@@ -32,7 +36,10 @@
             }
         }
         catch (cause) {
-            throw new KnapweedError("UPSTREAM_CUT", "The upstream's answer ended early", { outcome: "unknown", cause });
+            throw new KnapweedError("UPSTREAM_CUT", "The upstream's response ended early", {
+                outcome: "unknown",
+                cause,
+            });
         }
     }
 
@@ -71,7 +78,7 @@
         }
         catch (cause) {
             const code = (cause as { code?: string; }).code ?? "";
-            throw new KnapweedError("UPSTREAM_FAILED", `The upstream could not be called: ${String(cause)}`, {
+            throw new KnapweedError("UPSTREAM_FAILED", `The call to the upstream failed: ${String(cause)}`, {
                 outcome: NOT_SENT_CODES.has(code) ? "not-run" : "unknown",
                 cause,
             });
--- a/daemons/side/src/sideProcess.ts
+++ b/daemons/side/src/sideProcess.ts
@@ -28,10 +28,10 @@
 import { UpstreamMonitor } from "./upstreamMonitor.js";
 
 const DRAIN_POLL_INTERVAL_MS = 20;
-/** Entries stop sending on the status; the pause covers calls that were on their way. */
+/** Entries stop sending calls when they receive the status. The delay covers calls that were sent before. */
 const LEAVE_PAUSE_MS = 200;
 
-/** The process beside one upstream: the one gate in front of it. */
+/** The side process. Runs next to one upstream, as the only gate in front of it. */
 export class SideProcess {
     private readonly opts: SideProcessOptions;
     private readonly service: ServiceName;
@@ -96,7 +96,7 @@
         this.configuration.subscribe(view => this.applyService(view.service(this.service)));
     }
 
-    /** @returns the address of this side's links, as `host:port` */
+    /** Starts the side and announces it. @returns the address where it accepts links, as `host:port` */
     async start(): Promise<string> {
         const address = await this.endpoint.listen();
         await this.watcher.start();
@@ -109,11 +109,14 @@
         this.cacheChangeReporter?.start();
         this.announcer = this.createAnnouncer(address);
         await this.announcer.start();
-        this.opts.logger.info("side.started", { address, service: this.service });
+        this.opts.logger.info("side-started", { address, service: this.service });
         return address;
     }
 
-    /** Stops in order: no new work, calls in progress end, batch items go back, then the links close. */
+    /**
+     * Stops gracefully. Rejects new work, returns batch items, waits for the calls in progress up to the shutdown
+     * grace period, then closes the links.
+     */
     async stop(): Promise<void> {
         const { clock, logger, settings } = this.opts;
         this.isLeaving = true;
@@ -133,10 +136,10 @@
         await this.gate?.close();
         await this.endpoint.close();
         await this.plainUpstream?.close();
-        logger.info("side.stopped");
+        logger.info("side-stopped");
     }
 
-    /** Ends at once, as a crash would: links are cut, nothing is given back or withdrawn. For tests. */
+    /** Stops at once, like a crash. Cuts the links; returns no batch items and withdraws no record. For tests. */
     async crash(): Promise<void> {
         await this.announcer?.stopWithoutWithdrawing();
         await this.statusReporter.stop();
--- a/daemons/side/src/sideProcessOptions.ts
+++ b/daemons/side/src/sideProcessOptions.ts
@@ -6,7 +6,7 @@
 import type { Tracer } from "@knapweedwood/observability.traces/tracer";
 import type { InstanceList } from "@knapweedwood/routing.instance-list/instanceList";
 
-/** What a side works with. */
+/** Settings and services that a side process needs. */
 export interface SideProcessOptions {
     settings: SideSettings;
     clock: Clock;
--- a/daemons/side/src/statusReporter.ts
+++ b/daemons/side/src/statusReporter.ts
@@ -7,7 +7,7 @@
 const CHECK_INTERVAL_MS = 50;
 const REPEAT_INTERVAL_MS = 1000;
 
-/** Sends this side's status to the entries linked to it: when it changed, and once a second. */
+/** Sends this side's status to the entries linked to it, on each change and once a second. */
 export class StatusReporter {
     private readonly opts: { endpoint: LinkEndpoint; clock: Clock; status: () => SideStatus; };
     private readonly stopping = new AbortController();
@@ -28,7 +28,7 @@
         await this.running;
     }
 
-    /** Sends the status to all linked entries now. */
+    /** Sends the status to all linked entries immediately. */
     send(): void {
         const status = this.opts.status();
         this.lastSentJson = JSON.stringify(status);
--- a/daemons/side/src/upstreamMonitor.ts
+++ b/daemons/side/src/upstreamMonitor.ts
@@ -9,7 +9,10 @@
 const CHECK_INTERVAL_MS = 1000;
 const FAILURES_UNTIL_UNHEALTHY = 2;
 
-/** Watches the upstream beside this side: whether it answers, and which models it can serve. */
+/**
+ * Polls the upstream of this side for its health and the models that it can serve. The upstream counts as unhealthy
+ * until its first successful check, and again after two consecutive failures.
+ */
 export class UpstreamMonitor {
     private readonly opts: { engine?: ModelEngine; plainUpstream?: PlainUpstream; clock: Clock; };
     private readonly stopping = new AbortController();
@@ -35,7 +38,7 @@
         return this.consecutiveFailures < FAILURES_UNTIL_UNHEALTHY;
     }
 
-    /** Models and adapters that are ready; undefined for a plain service. */
+    /** Models and adapters that are ready, shape [models]; undefined for a plain service. */
     get readyModels(): ModelName[] | undefined {
         if (this.opts.engine === undefined) {
             return undefined;
--- a/daemons/side/test/plainGate.test.ts
+++ b/daemons/side/test/plainGate.test.ts
@@ -15,7 +15,7 @@
 
 const ITEM_TIMEOUT_MS = 5000;
 
-const receipt: BatchItem = {
+const item: BatchItem = {
     jobId: "job" as JobId,
     itemIndex: 0 as ItemIndex,
     attempt: 1,
@@ -27,19 +27,19 @@
     repeatable: false,
 };
 
-/** Takes a call and never answers it. */
+/** Accepts a call and never responds. */
 const silentUpstream: Pick<PlainUpstream, "call"> = {
     // eslint-disable-next-line require-yield
     async *call(_request, { signal }) {
         await new Promise(resolve => signal.addEventListener("abort", resolve));
-        throw new KnapweedError("UPSTREAM_FAILED", "given up", { outcome: "unknown" });
+        throw new KnapweedError("UPSTREAM_FAILED", "aborted", { outcome: "unknown" });
     },
 };
 
-test("a receipt that a silent service took is reported as one that may have run, and a stop does not hang", async () => {
+test("an item accepted by a silent service is reported as possibly run, and stopping does not hang", async () => {
     const clock = new ManualClock();
     const results: BatchResult[] = [];
-    const items = [receipt];
+    const items = [item];
     const batchSource: BatchSource = {
         pull: count => Promise.resolve(items.splice(0, count)),
         report: reported => {
