--- a/daemons/entry/src/bodyStreams.ts
+++ b/daemons/entry/src/bodyStreams.ts
@@ -6,7 +6,7 @@
 
 const INLINE_LIMIT_BYTES = 256 * 1024;
 
-/** Holds request bodies that are too large for one message until a side reads them. */
+/** Holds request bodies that are too large for a single message until a side reads them. */
 export class BodyStreams {
     private readonly unreadBodies = new Map<string, AsyncIterable<Uint8Array>>();
 
@@ -14,7 +14,10 @@
         opts.endpoint.handle(readBodyCall, request => this.read(request.bodyId));
     }
 
-    /** Small bodies are gathered whole, so that they can be sent again; large ones are streamed, once. */
+    /**
+     * Prepares a body for sending to a side. A small body is buffered, so that it can be sent again. A large body is
+     * streamed, and can be read only once.
+     */
     async prepare(body: AsyncIterable<Uint8Array> | undefined): Promise<PreparedBody> {
         if (body === undefined) {
             return inlineBody(undefined);
@@ -50,7 +53,9 @@
         const chunks = this.unreadBodies.get(bodyId);
         this.unreadBodies.delete(bodyId);
         if (chunks === undefined) {
-            throw new KnapweedError("BODY_GONE", "The body was read already or given up", { outcome: "not-run" });
+            throw new KnapweedError("BODY_GONE", "The streamed body has already been read or released", {
+                outcome: "not-run",
+            });
         }
         for await (const bytes of chunks) {
             yield { bytes };
--- a/daemons/entry/src/bootstrapConfiguration.ts
+++ b/daemons/entry/src/bootstrapConfiguration.ts
@@ -5,7 +5,10 @@
 
 const RETRY_MS = 1000;
 
-/** Publishes the first platform operator's key where there is no configuration yet, until that has succeeded. */
+/**
+ * Publishes a first configuration with the platform operator's key from the settings, unless a configuration exists.
+ * Retries until it succeeds or the signal is aborted. Does nothing if the settings contain no key.
+ */
 export async function bootstrapConfiguration(
     opts: EntryProcessOptions & { publisher: ConfigurationPublisher; signal: AbortSignal; },
 ): Promise<void> {
@@ -20,7 +23,7 @@
             return;
         }
         catch (error) {
-            logger.warn("bootstrap.failed", { error: String(error) });
+            logger.warn("bootstrap-failed", { error: String(error) });
             await sleep(clock, RETRY_MS, signal);
         }
     }
--- a/daemons/entry/src/claimedCalls.ts
+++ b/daemons/entry/src/claimedCalls.ts
@@ -11,7 +11,7 @@
 const HTTP_UNPROCESSABLE_CONTENT = 422;
 const RETRY_AFTER_MS = 1000;
 
-/** Runs calls with an idempotency key under a claim: sent at most once, their answer recorded for a resend. */
+/** Runs calls with an idempotency key under a claim, at most once. Records the response for repeated requests. */
 export class ClaimedCalls implements KeyedCalls {
     private readonly opts: { claims: ClaimService; logger: Logger; };
 
@@ -36,20 +36,24 @@
                     headers: Object.entries(claim.answer.headers).map(([name, value]) => ({ name, value })),
                 };
             case "in-progress":
-                throw new KnapweedError("CALL_IN_PROGRESS", "The call under this idempotency key is in progress", {
+                throw new KnapweedError("CALL_IN_PROGRESS", "A call with this idempotency key is in progress", {
                     statusCode: HTTP_CONFLICT,
                     outcome: "unknown",
                     retryAfterMs: RETRY_AFTER_MS,
                 });
             case "conflict":
-                throw new KnapweedError("IDEMPOTENCY_KEY_REUSED", "The idempotency key came with another request", {
-                    statusCode: HTTP_UNPROCESSABLE_CONTENT,
-                    outcome: "not-run",
-                });
+                throw new KnapweedError(
+                    "IDEMPOTENCY_KEY_REUSED",
+                    "The idempotency key was used for a different request",
+                    {
+                        statusCode: HTTP_UNPROCESSABLE_CONTENT,
+                        outcome: "not-run",
+                    },
+                );
             case "unknown":
-                throw new KnapweedError("OUTCOME_UNKNOWN", "The call was begun, and its outcome can't be known", {
+                throw new KnapweedError("OUTCOME_UNKNOWN", "The call was started, but its outcome is unknown", {
                     outcome: "unknown",
-                    hint: "Find out at the service itself whether it ran",
+                    hint: "Check at the service whether the call has run",
                 });
         }
     }
@@ -67,10 +71,13 @@
         return response;
     }
 
-    /** The caller has its answer already; a resend of what could not be settled is told `unknown`. */
+    /**
+     * Waits for a claim to be recorded or released and logs a failure, which must not fail the call itself. A repeated
+     * request under a claim that could not be settled gets the outcome `unknown`.
+     */
     private async settleOrLog(action: string, settled: Promise<void>): Promise<void> {
         await settled.catch((error: unknown) => {
-            this.opts.logger.warn("claim.not-settled", { action, error: String(error) });
+            this.opts.logger.warn("claim-not-settled", { action, error: String(error) });
         });
     }
 }
--- a/daemons/entry/src/configuredServices.ts
+++ b/daemons/entry/src/configuredServices.ts
@@ -4,7 +4,7 @@
 import type { ServiceDefinition } from "@knapweedwood/config.configuration/serviceDefinition";
 import type { TeamId } from "@knapweedwood/core.ids/teamId";
 
-/** Services of the configuration in force, as owners of partitions see them. */
+/** Looks up services in the active configuration for owners of partitions. Finds only services a team may call. */
 export function configuredServices(configuration: ConfigurationSource): ServiceLookup {
     const callable = (service: ServiceDefinition | undefined, teamId: TeamId) =>
         service !== undefined && mayCall(service, teamId) ? service : undefined;
--- a/daemons/entry/src/createDispatcher.ts
+++ b/daemons/entry/src/createDispatcher.ts
@@ -10,10 +10,10 @@
 import type { UpstreamDirectory } from "./upstreamDirectory.js";
 
 const MAX_ATTEMPTS = 4;
-/** Retries that may be used at once, such as when a side with many calls in progress is lost. */
+/** Limits a burst of retries, such as after the loss of a side with many calls in progress. */
 const MAX_RETRY_BALANCE = 64;
 
-/** The dispatcher of an entry, with its choice of upstreams and its retries. */
+/** Creates the dispatcher of an entry, with its upstream choosers and its retry policy. */
 export function createDispatcher(components: EntryComponents, directory: UpstreamDirectory): Dispatcher {
     const { endpoint, random, clock, metrics, tracer } = components;
     const { instanceId, zone } = endpoint.identity;
--- a/daemons/entry/src/createEntryHttpHandler.ts
+++ b/daemons/entry/src/createEntryHttpHandler.ts
@@ -13,7 +13,7 @@
 import type { TeamMeter } from "./teamMeter.js";
 import type { UpstreamDirectory } from "./upstreamDirectory.js";
 
-/** Both APIs of an entry. */
+/** Creates the HTTP handler of an entry, which serves the callers' API and the operators' API. */
 export function createEntryHttpHandler(
     components: EntryComponents,
     opts: {
--- a/daemons/entry/src/createSegmentStore.ts
+++ b/daemons/entry/src/createSegmentStore.ts
@@ -7,7 +7,10 @@
 import type { InstanceWatcher } from "@knapweedwood/routing.instance-watch/instanceWatcher";
 import type { EntryProcessOptions } from "./entryProcessOptions.js";
 
-/** The segment store that the settings choose; with a data folder, this entry also keeps segments for others. */
+/**
+ * Creates the segment store selected in the settings. An entry with a data folder that uses the replicated store also
+ * stores segments for other entries.
+ */
 export async function createSegmentStore(
     opts: EntryProcessOptions & { endpoint: LinkEndpoint; watcher: InstanceWatcher; },
 ): Promise<SegmentStore> {
--- a/daemons/entry/src/dispatcher.ts
+++ b/daemons/entry/src/dispatcher.ts
@@ -51,14 +51,17 @@
     /** Hashes of the prompt's leading blocks, shape [blocks]. */
     promptBlocks: string[];
     options: BackendCallOptions;
-    /** Whether the call may run again after an outcome that is unknown. */
+    /** Whether the call may run again after an unknown outcome. */
     isRepeatable: () => boolean;
-    /** Whether a call that did not run may be sent elsewhere. */
+    /** Whether the call may be sent to another upstream after it did not run. */
     isResendable: () => boolean;
     send: (link: Link, opts: CallOptions) => AsyncIterable<Frame>;
 }
 
-/** Sends callers' calls to sides, retries what may be retried, and resumes broken generations elsewhere. */
+/**
+ * Sends callers' calls to sides. Retries calls as the retry policy allows, and resumes interrupted generations at
+ * another upstream.
+ */
 export class Dispatcher implements InferenceBackend {
     private readonly opts: DispatcherOptions;
 
@@ -164,11 +167,11 @@
             nowMs: clock.nowMs(),
         };
         const chooser = choosers.getOrCreate(call.service.name);
-        // Where only upstreams that failed are left, they are better than none.
+        // If every candidate has failed this call already, a failed one is tried again rather than none.
         const instanceId = chooser.choose({ ...request, excluded }) ?? chooser.choose(request);
         const side = sides.find(candidate => candidate.record.instanceId === instanceId);
         if (side === undefined) {
-            throw new KnapweedError("NO_UPSTREAM", `No upstream of ${call.service.name} can take the call`, {
+            throw new KnapweedError("NO_UPSTREAM", `No upstream of ${call.service.name} is available`, {
                 outcome: "not-run",
                 statusCode: 503,
                 retryAfterMs: RETRY_AFTER_MS,
@@ -238,7 +241,10 @@
     }
 }
 
-/** What a call that has ended says of its upstream: a refusal for load or leaving tells nothing against it. */
+/**
+ * Classifies an ended call as an observation of its upstream. A rejection because of load or because the side is
+ * leaving does not count as a failure of the upstream.
+ */
 function observationKind(
     ended: { failure: KnapweedError | undefined; hasCompleted: boolean; isCallAborted: boolean; },
 ): "success" | "failure" | "abandoned" {
--- a/daemons/entry/src/entryComponents.ts
+++ b/daemons/entry/src/entryComponents.ts
@@ -3,7 +3,7 @@
 import type { InstanceWatcher } from "@knapweedwood/routing.instance-watch/instanceWatcher";
 import type { EntryProcessOptions } from "./entryProcessOptions.js";
 
-/** What the parts of an entry are made of, besides its options. */
+/** Options of an entry together with the components that its other parts share. */
 export interface EntryComponents extends EntryProcessOptions {
     endpoint: LinkEndpoint;
     watcher: InstanceWatcher;
--- a/daemons/entry/src/entryHttpHandler.ts
+++ b/daemons/entry/src/entryHttpHandler.ts
@@ -10,7 +10,7 @@
 const OPERATORS_PREFIX = "/admin/v1";
 const RETRY_AFTER_MS = 1000;
 
-/** Hands a request to the callers' API, the operators' API, or the health checks. */
+/** Routes HTTP requests to the callers' API, the operators' API or the health checks. */
 export class EntryHttpHandler {
     private readonly opts: {
         callersApi: CallersApi;
@@ -48,7 +48,7 @@
         const { team, key } = authenticate(request, view);
         const caller = { teamId: team.teamId, keyId: key.keyId, role: key.role };
         if (!await this.opts.operatorsApi.handle(request, response, caller)) {
-            throw new KnapweedError("PATH_UNKNOWN", "There is nothing at this path", {
+            throw new KnapweedError("PATH_UNKNOWN", "This path does not exist", {
                 statusCode: 404,
                 outcome: "not-run",
             });
--- a/daemons/entry/src/entryProcess.ts
+++ b/daemons/entry/src/entryProcess.ts
@@ -21,10 +21,10 @@
 import { TeamMeter } from "./teamMeter.js";
 import { UpstreamDirectory } from "./upstreamDirectory.js";
 
-/** The balancer stops sending once it sees the instance leaving. */
+/** Time for the load balancer to detect that the instance is leaving and to stop sending requests. */
 const LEAVE_PAUSE_MS = 500;
 
-/** The process between callers and sides; by lease it also carries shared roles. */
+/** The entry process, between callers and sides. Also runs the shared roles that it holds a lease for. */
 export class EntryProcess {
     private readonly components: EntryComponents;
     private readonly publisher: ConfigurationPublisher;
@@ -49,7 +49,7 @@
         this.teamMeter = new TeamMeter(this.components);
     }
 
-    /** @returns the port where callers are served, and the address of the links */
+    /** Starts the entry and announces it. @returns the port of the HTTP API, and the address where it accepts links */
     async start(): Promise<{ httpPort: number; linkAddress: string; }> {
         const { settings, endpoint, watcher, configuration, logger } = this.components;
         const linkAddress = await endpoint.listen();
@@ -75,11 +75,14 @@
         this.announcer = this.createAnnouncer(linkAddress);
         await this.announcer.start();
         void bootstrapConfiguration({ ...this.components, publisher: this.publisher, signal: this.stopping.signal });
-        logger.info("entry.started", { httpPort, linkAddress });
+        logger.info("entry-started", { httpPort, linkAddress });
         return { httpPort, linkAddress };
     }
 
-    /** Stops in order: leaving is announced, calls in progress end, shared roles are handed over. */
+    /**
+     * Stops gracefully. Announces that the instance is leaving, waits for the calls in progress up to the shutdown
+     * grace period, then hands over the shared roles.
+     */
     async stop(): Promise<void> {
         const { settings, clock, logger, configuration, watcher, endpoint } = this.components;
         this.stopping.abort();
@@ -92,7 +95,7 @@
         await watcher.stop();
         await this.announcer?.stop();
         await endpoint.close();
-        logger.info("entry.stopped");
+        logger.info("entry-stopped");
     }
 
     private isReady(): boolean {
--- a/daemons/entry/src/entryProcessOptions.ts
+++ b/daemons/entry/src/entryProcessOptions.ts
@@ -7,7 +7,7 @@
 import type { Tracer } from "@knapweedwood/observability.traces/tracer";
 import type { InstanceList } from "@knapweedwood/routing.instance-list/instanceList";
 
-/** What an entry works with. */
+/** Settings and services that an entry process needs. */
 export interface EntryProcessOptions {
     settings: EntrySettings;
     clock: Clock;
--- a/daemons/entry/src/generationProgress.ts
+++ b/daemons/entry/src/generationProgress.ts
@@ -1,7 +1,7 @@
 import type { GenerateEvent } from "@knapweedwood/engines.model-engine/generateEvent";
 import type { GenerateRequest } from "@knapweedwood/engines.model-engine/generateRequest";
 
-/** What a generation has produced so far, so that it can go on at another upstream. */
+/** Tracks the output of a generation, so that it can be resumed at another upstream. */
 export class GenerationProgress {
     private readonly originalRequest: GenerateRequest;
     private text = "";
@@ -12,7 +12,7 @@
         this.originalRequest = remainingRequest;
     }
 
-    /** Whether the rest can be generated elsewhere: not where choices carried more than text. */
+    /** Whether the generation can be resumed. It can't if a choice contained more than text. */
     get isResumable(): boolean {
         return this.hasOnlyText;
     }
@@ -26,7 +26,7 @@
         this.hasOnlyText &&= event.choice === undefined;
     }
 
-    /** The request for what is left. */
+    /** Returns the request for the remaining output; the original request if no tokens were produced. */
     request(): GenerateRequest {
         return this.tokenCount === 0
             ? this.originalRequest
--- a/daemons/entry/src/limitedAdmission.ts
+++ b/daemons/entry/src/limitedAdmission.ts
@@ -11,7 +11,7 @@
 
 const HTTP_TOO_MANY_REQUESTS = 429;
 
-/** Admits calls within the limits of their team and key, and counts what they used. */
+/** Admits calls within the limits of their team and key, and records their usage. */
 export class LimitedAdmission implements CallAdmission {
     private readonly opts: { limiter: Limiter; usage: UsageMeter; clock: Clock; metrics: Metrics; };
 
@@ -48,7 +48,7 @@
         }
         const reason = decision.rejectedBy ?? "requests";
         this.opts.metrics.increment("refused", { reason: `limit-${reason}` });
-        throw new KnapweedError("LIMIT_EXCEEDED", `The limit of ${reason} is used up`, {
+        throw new KnapweedError("LIMIT_EXCEEDED", `The limit for ${reason} is reached`, {
             statusCode: HTTP_TOO_MANY_REQUESTS,
             outcome: "not-run",
             retryAfterMs: decision.retryAfterMs,
--- a/daemons/entry/src/linkedFleet.ts
+++ b/daemons/entry/src/linkedFleet.ts
@@ -6,7 +6,7 @@
 import type { LinkedSide } from "./linkedSide.js";
 import type { UpstreamDirectory } from "./upstreamDirectory.js";
 
-/** The fleet, as this entry sees it through the instance list and its links. */
+/** The fleet as seen by this entry, from the instance list and its links. */
 export class LinkedFleet implements FleetView {
     private readonly opts: { watcher: InstanceWatcher; endpoint: LinkEndpoint; directory: UpstreamDirectory; };
 
--- a/daemons/entry/src/linkedSide.ts
+++ b/daemons/entry/src/linkedSide.ts
@@ -6,12 +6,12 @@
 export interface LinkedSide {
     record: InstanceRecord;
     link: Link;
-    /** As the side last said; undefined until it has. */
+    /** Status last received from the side; undefined before the first one. */
     status: SideStatus | undefined;
     /** When the status arrived, in milliseconds. */
     statusReceivedAtMs: number;
-    /** Calls that this entry has in progress there. */
+    /** Number of calls that this entry has in progress at the side. */
     inFlightCalls: number;
-    /** When the side was first seen, in milliseconds. */
+    /** When the side was first listed at its current address, in milliseconds. */
     joinedAtMs: number;
 }
--- a/daemons/entry/src/linkedSubset.ts
+++ b/daemons/entry/src/linkedSubset.ts
@@ -3,11 +3,12 @@
 import { RendezvousSubset } from "@knapweedwood/routing.choice/rendezvousSubset";
 import type { InstanceRecord } from "@knapweedwood/routing.instance-list/instanceRecord";
 
-/** Upstreams of one service that an entry links to, in its own zone and as many in all others together. */
+/** Number of upstreams per service that an entry links to in its own zone; also the number in all other zones. */
 export const LINKED_SUBSET_SIZE = 24;
 
 /**
- * The sides that an entry links to: of each service a deterministic subset in its own zone, and one of the others.
+ * Selects the sides that an entry links to. For each service, these are a deterministic subset of the sides in the
+ * entry's own zone and one of the sides in all other zones.
  *
  * @param records listed sides, shape [sides]
  * @returns shape [linked]
--- a/daemons/entry/src/preparedBody.ts
+++ b/daemons/entry/src/preparedBody.ts
@@ -1,10 +1,11 @@
-/** A request body on its way to a side. */
+/** A request body that is ready to be sent to a side, either inline or as a stream. */
 export interface PreparedBody {
-    /** The whole body, where it is small or there is none. */
+    /** The whole body if it is sent inline; undefined if it is streamed or there is none. */
     bytes: Uint8Array | undefined;
-    /** Names the body, where it is streamed. */
+    /** Id of the body if it is streamed. */
     bodyId: string | undefined;
-    /** Whether a side has begun to read a streamed body: it can't be sent a second time. */
+    /** Whether a side has started to read a streamed body, which can't be sent again after that. */
     hasReadStarted(): boolean;
+    /** Discards a streamed body if no side has started to read it. */
     release(): void;
 }
--- a/daemons/entry/src/serviceChoosers.ts
+++ b/daemons/entry/src/serviceChoosers.ts
@@ -1,7 +1,7 @@
 import type { ServiceName } from "@knapweedwood/core.ids/serviceName";
 import type { UpstreamChooser } from "@knapweedwood/routing.choice/upstreamChooser";
 
-/** One chooser a service, made when the service is first called. */
+/** Holds one upstream chooser per service, created on the first call to the service. */
 export class ServiceChoosers {
     private readonly create: () => UpstreamChooser;
     private readonly choosers = new Map<ServiceName, UpstreamChooser>();
--- a/daemons/entry/src/sharedRoles.ts
+++ b/daemons/entry/src/sharedRoles.ts
@@ -5,7 +5,7 @@
 import { configuredServices } from "./configuredServices.js";
 import type { EntryComponents } from "./entryComponents.js";
 
-/** The roles that entries share by lease: owner of batch partitions and of claims, planner of the region. */
+/** Roles that entries share by leases: owner of batch partitions, owner of claims, and planner of the region. */
 export class SharedRoles {
     readonly claims: ClaimService;
     private readonly batchRole: BatchRole;
@@ -42,7 +42,7 @@
         this.planner.start();
     }
 
-    /** Hands the roles over. */
+    /** Stops the roles and hands them over to other entries. */
     async stop(): Promise<void> {
         await this.batchRole.stop();
         await this.claims.stop();
--- a/daemons/entry/src/teamMeter.ts
+++ b/daemons/entry/src/teamMeter.ts
@@ -9,7 +9,7 @@
 
 const DEMAND_REPORT_INTERVAL_MS = 500;
 
-/** Limits of teams shared with the other entries, and what teams use. */
+/** Enforces the limits of teams, which are shared with the other entries, and meters the usage of teams. */
 export class TeamMeter {
     readonly admission: CallAdmission;
     readonly usage: UsageMeter;
@@ -46,11 +46,11 @@
         this.usage.start();
     }
 
-    /** Writes what teams have used since the last write. */
+    /** Stops and writes the usage since the last write. A failure to write is logged. */
     async stop(): Promise<void> {
         this.usageExchange.stop();
         await this.usage.stop().catch((error: unknown) => {
-            this.components.logger.warn("usage.not-written", { error: String(error) });
+            this.components.logger.warn("usage-write-failed", { error: String(error) });
         });
     }
 
--- a/daemons/entry/src/toCandidate.ts
+++ b/daemons/entry/src/toCandidate.ts
@@ -1,10 +1,10 @@
 import type { UpstreamCandidate } from "@knapweedwood/routing.choice/upstreamCandidate";
 import type { LinkedSide } from "./linkedSide.js";
 
-/** A backlog of so many prompt tokens weighs as much as one more request. */
+/** Number of prompt tokens waiting for prefill that count as one queued request. */
 const PREFILL_TOKENS_PER_REQUEST = 128;
 
-/** A side as the choice of an upstream sees it. */
+/** Converts a linked side to a candidate for the choice of an upstream. */
 export function toCandidate(side: LinkedSide): UpstreamCandidate {
     return {
         instanceId: side.record.instanceId,
--- a/daemons/entry/src/upstreamDirectory.ts
+++ b/daemons/entry/src/upstreamDirectory.ts
@@ -11,13 +11,13 @@
 
 const UNLISTED_LINK_RETENTION_MS = 10_000;
 
-/** Which sides this entry may call: selected from the instance list, kept current by what the sides say themselves. */
+/** Tracks the sides that this entry may call, from the instance list and from the status reports of the sides. */
 export class UpstreamDirectory {
     private readonly opts: {
         endpoint: LinkEndpoint;
         clock: Clock;
         watcher: InstanceWatcher;
-        /** The sides that this entry links to, out of those listed. */
+        /** Returns the sides that this entry links to, out of the listed sides. Shape [sides] to [linked]. */
         selectSubset: (records: InstanceRecord[]) => InstanceRecord[];
     };
     private readonly sides = new Map<InstanceId, LinkedSide>();
@@ -29,12 +29,12 @@
         opts.watcher.subscribe(records => this.applyInstanceList(records));
     }
 
-    /** Sides of a service that may be given new work, those with a suspect link included, shape [sides]. */
+    /** Returns the sides of a service that accept new calls, also over a suspect link, shape [sides]. */
     candidates(service: ServiceName, model?: ModelName): LinkedSide[] {
         return [...this.sides.values()].filter(side => acceptsNewCalls(side, service, model));
     }
 
-    /** All sides linked, shape [sides]. */
+    /** Returns all sides that this entry has a link to, shape [sides]. */
     linkedSides(): LinkedSide[] {
         return [...this.sides.values()];
     }
--- a/daemons/entry/test/upstreamDirectory.test.ts
+++ b/daemons/entry/test/upstreamDirectory.test.ts
@@ -63,7 +63,7 @@
     return directory;
 }
 
-test("a side whose link has missed a heartbeat stays a candidate; one without a link does not", () => {
+test("a side with a suspect link, which missed a heartbeat, stays a candidate; a side without a link does not", () => {
     const link: { state: Link["state"]; } = { state: "open" };
     const directory = directoryWith(link);
     const candidatesAt = (state: Link["state"]) => {
