--- a/daemons/embedded/src/demoDeployment.ts
+++ b/daemons/embedded/src/demoDeployment.ts
@@ -13,7 +13,7 @@
 const READY_TIMEOUT_MS = 20_000;
 const READY_POLL_INTERVAL_MS = 100;
 
-/** The embedded deployment of `knapweed dev` and the quickstart, with its services published. */
+/** The embedded deployment of `knapweed dev` and the quickstart, with the demo services published. */
 export class DemoDeployment {
     readonly deployment: EmbeddedDeployment;
     private readonly operatorKey: string;
@@ -32,7 +32,10 @@
         });
     }
 
-    /** Starts the deployment, publishes the services, and waits until their calls are answered. */
+    /**
+     * Starts the deployment, publishes the services, and waits until every entry reports all upstreams as healthy.
+     * Throws `DEMO_NOT_PUBLISHED`, or `NOT_READY` after 20 seconds.
+     */
     async start(): Promise<void> {
         await this.deployment.start();
         await this.publish();
@@ -62,7 +65,10 @@
         const endMs = clock.nowMs() + READY_TIMEOUT_MS;
         while (!await this.isReady()) {
             if (clock.nowMs() > endMs) {
-                throw new KnapweedError("NOT_READY", "The demonstration's services can't be called");
+                throw new KnapweedError(
+                    "NOT_READY",
+                    "The upstreams of the demo services did not become healthy in time",
+                );
             }
             await sleep(clock, READY_POLL_INTERVAL_MS);
         }
--- a/daemons/embedded/src/demoServiceFile.ts
+++ b/daemons/embedded/src/demoServiceFile.ts
@@ -1,4 +1,4 @@
-/** The service file of the demonstration. */
+/** The service file of the demo deployment, as YAML. */
 export const demoServiceFile =
     `# Services of the demonstration: a model with batch work, and receipts that must not be doubled.
 teams:
--- a/daemons/embedded/src/embeddedDeployment.ts
+++ b/daemons/embedded/src/embeddedDeployment.ts
@@ -24,7 +24,7 @@
 const LIST_TTL_MS = 15_000;
 const SHUTDOWN_GRACE_MS = 5000;
 
-/** A whole deployment in one process, with stand-ins in the platform's place: for trying out and for tests. */
+/** A complete deployment in one process, with stand-ins for the platform. For tests and for trying out the system. */
 export class EmbeddedDeployment {
     readonly entries: EmbeddedEntry[] = [];
     readonly sides: EmbeddedSide[] = [];
@@ -44,7 +44,7 @@
         this.instanceList = new MemoryInstanceList({ clock: this.clock, lagMs: LIST_LAG_MS, ttlMs: LIST_TTL_MS });
     }
 
-    /** Starts every part; resolves once the first entry can serve. */
+    /** Starts all processes and resolves when the first entry is ready. Throws `NOT_READY` after 20 seconds. */
     async start(): Promise<void> {
         await runInSequence(this.opts.entryCount, index => this.startEntry(index));
         await runInSequence(this.opts.engineCount, index => this.startEngine(index));
@@ -58,12 +58,12 @@
         await Promise.all([...this.engines, ...this.services].map(server => server.close()));
     }
 
-    /** Base URL of an entry. */
+    /** Returns the base URL of an entry. */
     url(index = 0): string {
         return `http://${HOST}:${this.entries[index]?.httpPort ?? 0}`;
     }
 
-    /** Drops a side without notice: its links are cut and its calls end nowhere. */
+    /** Stops a side like a crash. Its links are cut and its calls in progress are lost. */
     async crashSide(index: number): Promise<void> {
         const side = this.sides[index];
         if (side !== undefined) {
@@ -137,7 +137,7 @@
         const endMs = this.clock.nowMs() + READY_TIMEOUT_MS;
         while (!await isReady(`${this.url()}/readyz`)) {
             if (this.clock.nowMs() > endMs) {
-                throw new KnapweedError("NOT_READY", "The embedded deployment did not become ready");
+                throw new KnapweedError("NOT_READY", "The embedded deployment did not become ready in time");
             }
             await sleep(this.clock, READY_POLL_INTERVAL_MS);
         }
--- a/daemons/embedded/src/embeddedDeploymentOptions.ts
+++ b/daemons/embedded/src/embeddedDeploymentOptions.ts
@@ -3,19 +3,19 @@
 import type { Tracer } from "@knapweedwood/observability.traces/tracer";
 import type { EngineServerOptions } from "@knapweedwood/standins.engine/engineServerOptions";
 
-/** Size and parts of an embedded deployment. */
+/** Size, services and observability of an embedded deployment. */
 export interface EmbeddedDeploymentOptions {
     entryCount: number;
     engineCount: number;
     serviceCount: number;
-    /** Port of the first entry; 0 for any. */
+    /** HTTP port of the first entry; 0 for any free port. */
     port: number;
     seed: number;
     /** Key of the first platform operator. */
     operatorKey: string;
-    /** The service that the engines belong to. */
+    /** Name of the service that the engines serve. */
     engineService: string;
-    /** The service that the plain upstreams belong to. */
+    /** Name of the service that the plain upstreams serve. */
     plainService: string;
     engine: Omit<EngineServerOptions, "clock" | "seed">;
     logger: Logger;
--- a/daemons/embedded/src/embeddedEntry.ts
+++ b/daemons/embedded/src/embeddedEntry.ts
@@ -1,6 +1,6 @@
 import type { EntryProcess } from "@knapweedwood/daemons.entry/entryProcess";
 
-/** An entry of an embedded deployment. */
+/** A running entry of an embedded deployment. */
 export interface EmbeddedEntry {
     process: EntryProcess;
     httpPort: number;
--- a/daemons/embedded/test/badInput.test.ts
+++ b/daemons/embedded/test/badInput.test.ts
@@ -25,13 +25,13 @@
     return { status: response.status, outcome: response.headers.get("x-knapweed-outcome"), code: parsed.error.code };
 }
 
-test("a body that is no JSON, or no object, is rejected as not run", async () => {
+test("a body that is not a JSON object is rejected with outcome not-run", async () => {
     const rejected = { status: 400, outcome: "not-run", code: "ERR_KNAPWEED_BODY_NOT_JSON" };
     assert.deepEqual(await post("/v1/chat/completions", '{"model":'), rejected);
     assert.deepEqual(await post("/v1/chat/completions", "[1]"), rejected);
 });
 
-test("a body of 50 MB is rejected before it is read whole", async () => {
+test("a body of 50 MB is rejected before it is read completely", async () => {
     const response = await new Promise<string>((resolve, reject) => {
         const port = Number(new URL(demo.deployment.url()).port);
         const socket = connect(port, "127.0.0.1", () => {
@@ -51,7 +51,7 @@
     assert.match(response, /ERR_KNAPWEED_BODY_TOO_LARGE/u);
 });
 
-test("a malformed line and a doubled custom_id fail the job with their lines", async () => {
+test("a malformed line and a duplicate custom_id fail the job, and the errors give their line numbers", async () => {
     const line = (id: string) =>
         JSON.stringify({ custom_id: id, method: "POST", url: "/v1/chat/completions", body: { model: "demo-chat" } });
     const job = await finishedJob([line("a"), "{oops", line("a")].join("\n"));
@@ -59,7 +59,7 @@
     assert.deepEqual(job.errors?.data.map(error => error.line), [2, 3]);
 });
 
-test("the engine's work is cancelled when the caller goes away in mid-stream", async () => {
+test("the engine's work is cancelled when the caller disconnects during a stream", async () => {
     const caller = new AbortController();
     const response = await fetch(`${demo.deployment.url()}/v1/chat/completions`, {
         method: "POST",
--- a/daemons/embedded/test/openaiClient.test.ts
+++ b/daemons/embedded/test/openaiClient.test.ts
@@ -23,14 +23,14 @@
 const chat = { model: "demo-chat", messages, max_tokens: MAX_TOKENS };
 const expectedChat = expectedText({ endpoint: "/v1/chat/completions", body: chat, tokenCount: MAX_TOKENS });
 
-test("a chat completion carries the whole answer to its own prompt", async () => {
+test("a chat completion returns the complete response to its own prompt", async () => {
     const response = await client.chat.completions.create(chat);
     assert.equal(response.choices[0]?.message.content, expectedChat);
     assert.equal(response.choices[0]?.finish_reason, "length");
     assert.equal(response.usage?.completion_tokens, MAX_TOKENS);
 });
 
-test("a streamed chat completion yields the same text and its usage", async () => {
+test("a streamed chat completion yields the same text, and its usage", async () => {
     const stream = await client.chat.completions.create({
         ...chat,
         stream: true,
@@ -45,7 +45,7 @@
     assert.equal(chunks.filter(chunk => chunk.choices[0]?.finish_reason === "length").length, 1);
 });
 
-test("a text completion, an embedding and the list of models", async () => {
+test("a text completion, an embedding and the list of models are returned", async () => {
     const prompt = "Plate status:";
     const body = { model: "demo-chat", prompt, max_tokens: MAX_TOKENS };
     const completion = await client.completions.create(body);
@@ -94,9 +94,9 @@
     assert.ok(listed.data.some(candidate => candidate.id === created.id));
 });
 
-test("a wrong key, a wrong model and a wrong body are typed refusals that did not run", async () => {
-    const stranger = new OpenAI({ apiKey: "wrong", baseURL: `${demo.deployment.url(0)}/v1`, maxRetries: 0 });
-    await assert.rejects(stranger.models.list(), { status: 401, code: "ERR_KNAPWEED_KEY_UNKNOWN" });
+test("a wrong key, an unknown model and an invalid body are rejected with their error codes", async () => {
+    const unauthorized = new OpenAI({ apiKey: "wrong", baseURL: `${demo.deployment.url(0)}/v1`, maxRetries: 0 });
+    await assert.rejects(unauthorized.models.list(), { status: 401, code: "ERR_KNAPWEED_KEY_UNKNOWN" });
     const unknown = client.chat.completions.create({ ...chat, model: "none" });
     await assert.rejects(unknown, { status: 404, code: "ERR_KNAPWEED_MODEL_UNKNOWN" });
     const empty = client.chat.completions.create({ ...chat, messages: [] });
--- a/daemons/embedded/test/plainService.test.ts
+++ b/daemons/embedded/test/plainService.test.ts
@@ -28,7 +28,7 @@
     headers: { [name: string]: string; };
 }
 
-test("method, path, query, headers and status pass through, hop-by-hop headers and the key don't", async () => {
+test("method, path, query, headers and status are forwarded, but not hop-by-hop headers and the key", async () => {
     const response = await call("/receipts?lot=7", { method: "PUT", body: "{}", headers: { "x-desk": "3" } });
     const echo = await response.json() as Echo;
     assert.equal(response.status, 200);
@@ -39,14 +39,14 @@
     assert.equal(echo.headers["authorization"], undefined);
 });
 
-test("a large body is streamed whole", async () => {
+test("a large body is streamed completely", async () => {
     const response = await call("/receipts", { body: "x".repeat(LARGE_BODY_BYTES) });
     assert.equal(response.status, 200);
     const echo = await response.json() as { body: string; };
     assert.ok(echo.body === "x".repeat(LARGE_BODY_BYTES));
 });
 
-test("a resend under the same idempotency key, to another entry, gets the recorded answer and runs nothing", async () => {
+test("a repeated idempotency key at another entry returns the recorded response without running the call", async () => {
     const body = JSON.stringify({ lot: 7 });
     const headers = { "idempotency-key": "receipt-7" };
     const first = await (await call("/receipts", { body, headers })).text();
@@ -56,7 +56,7 @@
     assert.equal(countRuns(), runs);
 });
 
-test("an idempotency key that came with another body is rejected as not run", async () => {
+test("an idempotency key used for a different body is rejected with outcome not-run", async () => {
     const headers = { "idempotency-key": "receipt-8" };
     await call("/receipts", { body: "{}", headers });
     const runs = countRuns();
@@ -73,7 +73,7 @@
 const RECEIPT_COUNT = 20;
 const POLL_MS = 100;
 
-test("a batch job of receipts runs each of them exactly once", async () => {
+test("a batch job for a plain service runs each item exactly once", async () => {
     const lines = Array.from({ length: RECEIPT_COUNT }, (_, index) =>
         JSON.stringify({
             custom_id: `receipt-${index}`,
