--- a/daemons/entry/src/claimedCalls.ts
+++ b/daemons/entry/src/claimedCalls.ts
@@ -72,8 +72,8 @@
     }
 
     /**
-     * Waits for a claim to be recorded or released and logs a failure, which must not fail the call itself. A repeated
-     * request under a claim that could not be settled gets the outcome `unknown`.
+     * Waits for a claim to be recorded or released. A failure is only logged, because the caller already has its
+     * response. A repeated request under a claim that could not be settled gets the outcome `unknown`.
      */
     private async settleOrLog(action: string, settled: Promise<void>): Promise<void> {
         await settled.catch((error: unknown) => {
