--- a/daemons/embedded/src/embeddedDeployment.ts
+++ b/daemons/embedded/src/embeddedDeployment.ts
@@ -19,12 +19,12 @@
 const REGION = "demo";
 const ZONES = ["demo-a", "demo-b", "demo-c"];
 const READY_TIMEOUT_MS = 20_000;
-const READY_CHECK_MS = 50;
+const READY_POLL_INTERVAL_MS = 50;
 const LIST_LAG_MS = 200;
 const LIST_TTL_MS = 15_000;
 const SHUTDOWN_GRACE_MS = 5000;
 
-/** A whole deployment in one process, with stand-ins in the platform's place: for trying out and for tests. */
+/** A complete deployment in one process, with stand-ins for the platform. For tests and for trying out the system. */
 export class EmbeddedDeployment {
     readonly entries: EmbeddedEntry[] = [];
     readonly sides: EmbeddedSide[] = [];
@@ -44,11 +44,11 @@
         this.instanceList = new MemoryInstanceList({ clock: this.clock, lagMs: LIST_LAG_MS, ttlMs: LIST_TTL_MS });
     }
 
-    /** Starts every part; resolves once the first entry can serve. */
+    /** Starts all processes and resolves when the first entry is ready. Throws `NOT_READY` after 20 seconds. */
     async start(): Promise<void> {
-        await sequence(this.opts.entryCount, index => this.startEntry(index));
-        await sequence(this.opts.engineCount, index => this.startEngine(index));
-        await sequence(this.opts.serviceCount, index => this.startService(index));
+        await runInSequence(this.opts.entryCount, index => this.startEntry(index));
+        await runInSequence(this.opts.engineCount, index => this.startEngine(index));
+        await runInSequence(this.opts.serviceCount, index => this.startService(index));
         await this.waitUntilReady();
     }
 
@@ -58,12 +58,12 @@
         await Promise.all([...this.engines, ...this.services].map(server => server.close()));
     }
 
-    /** Base URL of an entry. */
+    /** Returns the base URL of an entry. */
     url(index = 0): string {
         return `http://${HOST}:${this.entries[index]?.httpPort ?? 0}`;
     }
 
-    /** Drops a side without notice: its links are cut and its calls end nowhere. */
+    /** Stops a side like a crash. Its links are cut and its calls in progress are lost. */
     async crashSide(index: number): Promise<void> {
         const side = this.sides[index];
         if (side !== undefined) {
@@ -83,7 +83,7 @@
             bootstrapKeyHash: createHash("sha256").update(this.opts.operatorKey).digest("hex"),
             shutdownGraceMs: SHUTDOWN_GRACE_MS,
         });
-        const process = new EntryProcess({ settings, keyValue: this.keyValue, ...this.shared() });
+        const process = new EntryProcess({ settings, keyValue: this.keyValue, ...this.sharedOptions() });
         const { httpPort } = await process.start();
         this.entries.push({ process, httpPort });
     }
@@ -123,12 +123,12 @@
             platform: { instanceListUrl: "embedded:" },
             shutdownGraceMs: SHUTDOWN_GRACE_MS,
         });
-        const process = new SideProcess({ settings, ...this.shared() });
+        const process = new SideProcess({ settings, ...this.sharedOptions() });
         await process.start();
         this.sides.push({ process, instanceId, isStopped: false });
     }
 
-    private shared() {
+    private sharedOptions() {
         const { logger, metrics, tracer } = this.opts;
         return { clock: this.clock, random: this.random, instanceList: this.instanceList, logger, metrics, tracer };
     }
@@ -137,14 +137,14 @@
         const endMs = this.clock.nowMs() + READY_TIMEOUT_MS;
         while (!await isReady(`${this.url()}/readyz`)) {
             if (this.clock.nowMs() > endMs) {
-                throw new KnapweedError("NOT_READY", "The embedded deployment did not become ready");
+                throw new KnapweedError("NOT_READY", "The embedded deployment did not become ready in time");
             }
-            await sleep(this.clock, READY_CHECK_MS);
+            await sleep(this.clock, READY_POLL_INTERVAL_MS);
         }
     }
 }
 
-async function sequence(count: number, step: (index: number) => Promise<void>): Promise<void> {
+async function runInSequence(count: number, step: (index: number) => Promise<void>): Promise<void> {
     await Array.from({ length: count }, (_, index) => index)
         .reduce((previous, index) => previous.then(() => step(index)), Promise.resolve());
 }
@@ -154,6 +154,6 @@
 }
 
 async function isReady(url: string): Promise<boolean> {
-    const answer = await fetch(url).catch(() => undefined);
-    return answer?.status === 200;
+    const response = await fetch(url).catch(() => undefined);
+    return response?.status === 200;
 }
--- a/daemons/entry/src/claimedCalls.ts
+++ b/daemons/entry/src/claimedCalls.ts
@@ -7,11 +7,11 @@
 import type { IdempotencyKey } from "@knapweedwood/core.ids/idempotencyKey";
 import type { Logger } from "@knapweedwood/observability.logs/logger";
 
-const CONFLICT = 409;
-const UNPROCESSABLE = 422;
-const COME_BACK_MS = 1000;
+const HTTP_CONFLICT = 409;
+const HTTP_UNPROCESSABLE_CONTENT = 422;
+const RETRY_AFTER_MS = 1000;
 
-/** Runs calls with an idempotency key under a claim: sent at most once, their answer recorded for a resend. */
+/** Runs calls with an idempotency key under a claim, at most once. Records the response for repeated requests. */
 export class ClaimedCalls implements KeyedCalls {
     private readonly opts: { claims: ClaimService; logger: Logger; };
 
@@ -36,41 +36,48 @@
                     headers: Object.entries(claim.answer.headers).map(([name, value]) => ({ name, value })),
                 };
             case "in-progress":
-                throw new KnapweedError("CALL_IN_PROGRESS", "The call under this idempotency key is in progress", {
-                    statusCode: CONFLICT,
+                throw new KnapweedError("CALL_IN_PROGRESS", "A call with this idempotency key is in progress", {
+                    statusCode: HTTP_CONFLICT,
                     outcome: "unknown",
-                    retryAfterMs: COME_BACK_MS,
+                    retryAfterMs: RETRY_AFTER_MS,
                 });
             case "conflict":
-                throw new KnapweedError("IDEMPOTENCY_KEY_REUSED", "The idempotency key came with another request", {
-                    statusCode: UNPROCESSABLE,
-                    outcome: "not-run",
-                });
+                throw new KnapweedError(
+                    "IDEMPOTENCY_KEY_REUSED",
+                    "The idempotency key was used for a different request",
+                    {
+                        statusCode: HTTP_UNPROCESSABLE_CONTENT,
+                        outcome: "not-run",
+                    },
+                );
             case "unknown":
-                throw new KnapweedError("OUTCOME_UNKNOWN", "The call was begun, and its outcome can't be known", {
+                throw new KnapweedError("OUTCOME_UNKNOWN", "The call was started, but its outcome is unknown", {
                     outcome: "unknown",
-                    hint: "Find out at the service itself whether it ran",
+                    hint: "Check at the service whether the call has run",
                 });
         }
     }
 
     private async runClaimed(token: ClaimToken, run: () => Promise<RecordedAnswer>): Promise<RecordedAnswer> {
-        const answer = await run().catch(async (thrown: unknown) => {
+        const response = await run().catch(async (thrown: unknown) => {
             const error = toKnapweedError(thrown);
             if (error.outcome === "not-run") {
-                await this.settle("release", this.opts.claims.release(token));
+                await this.settleOrLog("release", this.opts.claims.release(token));
             }
             throw error;
         });
-        const headers = Object.fromEntries(answer.headers.map(({ name, value }) => [name, value]));
-        await this.settle("record", this.opts.claims.record(token, { ...answer, headers }));
-        return answer;
+        const headers = Object.fromEntries(response.headers.map(({ name, value }) => [name, value]));
+        await this.settleOrLog("record", this.opts.claims.record(token, { ...response, headers }));
+        return response;
     }
 
-    /** The caller has its answer already; a resend of what could not be settled is told `unknown`. */
-    private async settle(action: string, settled: Promise<void>): Promise<void> {
+    /**
+     * Waits for a claim to be recorded or released. A failure is only logged, because the caller already has its
+     * response. A repeated request under a claim that could not be settled gets the outcome `unknown`.
+     */
+    private async settleOrLog(action: string, settled: Promise<void>): Promise<void> {
         await settled.catch((error: unknown) => {
-            this.opts.logger.warn("claim.not-settled", { action, error: String(error) });
+            this.opts.logger.warn("claim-not-settled", { action, error: String(error) });
         });
     }
 }
--- a/daemons/entry/src/generationProgress.ts
+++ b/daemons/entry/src/generationProgress.ts
@@ -1,35 +1,35 @@
 import type { GenerateEvent } from "@knapweedwood/engines.model-engine/generateEvent";
 import type { GenerateRequest } from "@knapweedwood/engines.model-engine/generateRequest";
 
-/** What a generation has produced so far, so that it can go on at another upstream. */
+/** Tracks the output of a generation, so that it can be resumed at another upstream. */
 export class GenerationProgress {
-    private readonly original: GenerateRequest;
+    private readonly originalRequest: GenerateRequest;
     private text = "";
     private tokenCount = 0;
-    private isPlainText = true;
+    private hasOnlyText = true;
 
-    constructor(request: GenerateRequest) {
-        this.original = request;
+    constructor(remainingRequest: GenerateRequest) {
+        this.originalRequest = remainingRequest;
     }
 
-    /** Whether the rest can be generated elsewhere: not where choices carried more than text. */
+    /** Whether the generation can be resumed. It can't if a choice contained more than text. */
     get isResumable(): boolean {
-        return this.isPlainText;
+        return this.hasOnlyText;
     }
 
-    add(event: GenerateEvent): void {
+    record(event: GenerateEvent): void {
         if (event.kind === "finish") {
             return;
         }
         this.text += event.text;
         this.tokenCount += event.tokenCount;
-        this.isPlainText &&= event.choice === undefined;
+        this.hasOnlyText &&= event.choice === undefined;
     }
 
-    /** The request for what is left. */
+    /** Returns the request for the remaining output; the original request if no tokens were produced. */
     request(): GenerateRequest {
         return this.tokenCount === 0
-            ? this.original
-            : { ...this.original, resumeFrom: { text: this.text, tokenCount: this.tokenCount } };
+            ? this.originalRequest
+            : { ...this.originalRequest, resumeFrom: { text: this.text, tokenCount: this.tokenCount } };
     }
 }
--- a/daemons/entry/src/sideHandle.ts
+++ b/daemons/entry/src/linkedSide.ts
@@ -3,15 +3,15 @@
 import type { InstanceRecord } from "@knapweedwood/routing.instance-list/instanceRecord";
 
 /** A side that this entry is linked to. */
-export interface SideHandle {
+export interface LinkedSide {
     record: InstanceRecord;
     link: Link;
-    /** As the side last said; undefined until it has. */
+    /** Status last received from the side; undefined before the first one. */
     status: SideStatus | undefined;
     /** When the status arrived, in milliseconds. */
-    statusAtMs: number;
-    /** Calls that this entry has in progress there. */
-    inFlight: number;
-    /** When the side was first seen, in milliseconds. */
+    statusReceivedAtMs: number;
+    /** Number of calls that this entry has in progress at the side. */
+    inFlightCalls: number;
+    /** When the side was first listed at its current address, in milliseconds. */
     joinedAtMs: number;
 }
--- a/daemons/side/src/statusReporter.ts
+++ b/daemons/side/src/statusReporter.ts
@@ -7,13 +7,13 @@
 const CHECK_INTERVAL_MS = 50;
 const REPEAT_INTERVAL_MS = 1000;
 
-/** Sends this side's status to the entries linked to it: when it changed, and once a second. */
+/** Sends this side's status to the entries linked to it, on each change and once a second. */
 export class StatusReporter {
     private readonly opts: { endpoint: LinkEndpoint; clock: Clock; status: () => SideStatus; };
     private readonly stopping = new AbortController();
     private running: Promise<void> = Promise.resolve();
-    private lastSent = "";
-    private lastSentMs = 0;
+    private lastSentJson = "";
+    private lastSentAtMs = 0;
 
     constructor(opts: StatusReporter["opts"]) {
         this.opts = opts;
@@ -28,11 +28,11 @@
         await this.running;
     }
 
-    /** Sends the status to all linked entries now. */
+    /** Sends the status to all linked entries immediately. */
     send(): void {
         const status = this.opts.status();
-        this.lastSent = JSON.stringify(status);
-        this.lastSentMs = this.opts.clock.nowMs();
+        this.lastSentJson = JSON.stringify(status);
+        this.lastSentAtMs = this.opts.clock.nowMs();
         this.opts.endpoint.links()
             .filter(link => link.peer?.kind === "entry")
             .forEach(link => link.notify(sideStatusNotification, status));
@@ -48,7 +48,7 @@
     }
 
     private isDue(): boolean {
-        const isRepeatDue = this.opts.clock.nowMs() - this.lastSentMs >= REPEAT_INTERVAL_MS;
-        return isRepeatDue || JSON.stringify(this.opts.status()) !== this.lastSent;
+        const isRepeatDue = this.opts.clock.nowMs() - this.lastSentAtMs >= REPEAT_INTERVAL_MS;
+        return isRepeatDue || JSON.stringify(this.opts.status()) !== this.lastSentJson;
     }
 }
