--- a/api/callers/src/callersApiOptions.ts
+++ b/api/callers/src/callersApiOptions.ts
@@ -6,7 +6,7 @@
 import type { Tracer } from "@knapweedwood/observability.traces/tracer";
 import type { CallAdmission } from "./callAdmission.js";
 import type { InferenceBackend } from "./inferenceBackend.js";
-import type { KeyedCalls } from "./keyedCalls.js";
+import type { KeyedCalls } from "./idempotentCalls.js";
 
 /** What the callers' API works with. */
 export interface CallersApiOptions {
--- a/api/callers/src/generateRoute.ts
+++ b/api/callers/src/generateRoute.ts
@@ -13,7 +13,7 @@
 import type { CallUsage } from "./callUsage.js";
 import { checkGenerateBody } from "./checkGenerateBody.js";
 import { estimateTokens } from "./estimateTokens.js";
-import { keyedJsonCall } from "./keyedJsonCall.js";
+import { keyedJsonCall } from "./idempotentJsonCall.js";
 import type { RequestContext } from "./requestContext.js";
 import { ServerSentEvents } from "./serverSentEvents.js";
 import { serviceForModel } from "./serviceForModel.js";
--- a/api/callers/src/keyedCalls.ts
+++ b/api/callers/src/idempotentCalls.ts
@@ -1,6 +1,6 @@
 import type { ServiceName } from "@knapweedwood/core.ids/serviceName";
 import type { Caller } from "./caller.js";
-import type { RecordedAnswer } from "./recordedAnswer.js";
+import type { RecordedAnswer } from "./recordedResponse.js";
 
 /** Runs calls with an idempotency key at most once, whichever entry they come to. */
 export interface KeyedCalls {
--- a/api/callers/src/keyedJsonCall.ts
+++ b/api/callers/src/idempotentJsonCall.ts
@@ -1,7 +1,7 @@
 import type { ServiceDefinition } from "@knapweedwood/config.configuration/serviceDefinition";
 import { digestOf } from "@knapweedwood/core.hashing/digestOf";
 import type { JsonObject } from "@knapweedwood/engines.model-engine/jsonObject";
-import type { KeyedCalls } from "./keyedCalls.js";
+import type { KeyedCalls } from "./idempotentCalls.js";
 import type { RequestContext } from "./requestContext.js";
 
 /** Runs a JSON call under its idempotency key; undefined where the request carries none. */
--- a/api/callers/src/plainRoute.ts
+++ b/api/callers/src/plainRoute.ts
@@ -10,7 +10,7 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { CallersApiOptions } from "./callersApiOptions.js";
 import { mayCall } from "./mayCall.js";
-import type { RecordedAnswer } from "./recordedAnswer.js";
+import type { RecordedAnswer } from "./recordedResponse.js";
 import type { RequestContext } from "./requestContext.js";
 
 const SERVICE_PATH_PATTERN = /^\/services\/([^/]+)(\/.*)?$/u;
--- a/api/operators/src/changesOfFiles.ts
+++ b/api/operators/src/changesFromFiles.ts
@@ -6,7 +6,7 @@
 import type { Problem } from "@knapweedwood/config.yaml/problem";
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 import { forbidden } from "./forbidden.js";
-import { mayTouchTeam } from "./mayTouchTeam.js";
+import { mayTouchTeam } from "./canManageTeam.js";
 import type { OperatorCaller } from "./operatorCaller.js";
 
 /** The changes that service files ask for. Throws `SERVICE_FILES_INVALID` with every problem, or `ROLE_FORBIDDEN`. */
--- a/api/operators/src/configurationEditor.ts
+++ b/api/operators/src/configurationEditor.ts
@@ -6,7 +6,7 @@
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 import type { ServiceName } from "@knapweedwood/core.ids/serviceName";
 import type { TeamId } from "@knapweedwood/core.ids/teamId";
-import { mayTouchTeam } from "./mayTouchTeam.js";
+import { mayTouchTeam } from "./canManageTeam.js";
 import { notFound } from "./notFound.js";
 import type { OperatorCaller } from "./operatorCaller.js";
 import type { OperatorsApiOptions } from "./operatorsApiOptions.js";
--- a/api/operators/src/configurationRoutes.ts
+++ b/api/operators/src/configurationRoutes.ts
@@ -1,11 +1,11 @@
 import type { HistoryEntry } from "@knapweedwood/config.publishing/historyEntry";
 import type { Revision } from "@knapweedwood/core.ids/revision";
 import { bodySchemas } from "./bodySchemas.js";
-import { changesOfFiles } from "./changesOfFiles.js";
+import { changesOfFiles } from "./changesFromFiles.js";
 import { ConfigurationEditor } from "./configurationEditor.js";
 import type { OperatorsApiOptions } from "./operatorsApiOptions.js";
 import { parseBody } from "./parseBody.js";
-import { publishAnswer } from "./publishAnswer.js";
+import { publishAnswer } from "./publishResultObject.js";
 import { readNumber } from "./readNumber.js";
 import { roleSets } from "./roleSets.js";
 import type { Route } from "./route.js";
--- a/api/operators/src/jobRoutes.ts
+++ b/api/operators/src/jobRoutes.ts
@@ -2,7 +2,7 @@
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 import type { JobId } from "@knapweedwood/core.ids/jobId";
 import type { TeamId } from "@knapweedwood/core.ids/teamId";
-import { mayTouchTeam } from "./mayTouchTeam.js";
+import { mayTouchTeam } from "./canManageTeam.js";
 import { notFound } from "./notFound.js";
 import type { OperatorCaller } from "./operatorCaller.js";
 import type { OperatorsApiOptions } from "./operatorsApiOptions.js";
--- a/api/operators/src/keyRoutes.ts
+++ b/api/operators/src/keyRoutes.ts
@@ -9,7 +9,7 @@
 import { notFound } from "./notFound.js";
 import type { OperatorsApiOptions } from "./operatorsApiOptions.js";
 import { parseBody } from "./parseBody.js";
-import { publishAnswer } from "./publishAnswer.js";
+import { publishAnswer } from "./publishResultObject.js";
 import { roleSets } from "./roleSets.js";
 import type { Route } from "./route.js";
 
--- a/api/operators/src/serviceRoutes.ts
+++ b/api/operators/src/serviceRoutes.ts
@@ -2,10 +2,10 @@
 import type { RecordKey } from "@knapweedwood/config.publishing/recordKey";
 import { bodySchemas } from "./bodySchemas.js";
 import { ConfigurationEditor } from "./configurationEditor.js";
-import { mayTouchTeam } from "./mayTouchTeam.js";
+import { mayTouchTeam } from "./canManageTeam.js";
 import type { OperatorsApiOptions } from "./operatorsApiOptions.js";
 import { parseBody } from "./parseBody.js";
-import { publishAnswer } from "./publishAnswer.js";
+import { publishAnswer } from "./publishResultObject.js";
 import { roleSets } from "./roleSets.js";
 import type { Route } from "./route.js";
 
--- a/api/operators/src/usageRoutes.ts
+++ b/api/operators/src/usageRoutes.ts
@@ -1,5 +1,5 @@
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
-import { mayTouchTeam } from "./mayTouchTeam.js";
+import { mayTouchTeam } from "./canManageTeam.js";
 import type { OperatorsApiOptions } from "./operatorsApiOptions.js";
 import { roleSets } from "./roleSets.js";
 import type { Route } from "./route.js";
--- a/daemons/entry/src/claimedCalls.ts
+++ b/daemons/entry/src/claimedCalls.ts
@@ -1,5 +1,5 @@
-import type { KeyedCalls } from "@knapweedwood/api.callers/keyedCalls";
-import type { RecordedAnswer } from "@knapweedwood/api.callers/recordedAnswer";
+import type { KeyedCalls } from "@knapweedwood/api.callers/idempotentCalls";
+import type { RecordedAnswer } from "@knapweedwood/api.callers/recordedResponse";
 import type { ClaimService } from "@knapweedwood/batch.claims/claimService";
 import type { ClaimToken } from "@knapweedwood/batch.claims/claimToken";
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
