--- a/api/callers/src/callersApi.ts
+++ b/api/callers/src/callersApi.ts
@@ -39,10 +39,10 @@
             parent: singleHeader(request, "traceparent"),
             attributes: { "http.method": request.method ?? "", "http.path": url.pathname },
         });
-        const gone = new AbortController();
+        const disconnect = new AbortController();
         response.once("close", () => {
             if (!response.writableFinished) {
-                gone.abort();
+                disconnect.abort();
             }
         });
         try {
@@ -56,14 +56,14 @@
                 query: url.searchParams,
                 caller,
                 view,
-                signal: gone.signal,
+                signal: disconnect.signal,
                 span,
             });
             span.end();
         }
         catch (thrown) {
             const error = toKnapweedError(thrown);
-            this.reportFailure(error, span.traceParent, gone.signal.aborted);
+            this.recordFailure(error, span.traceParent, disconnect.signal.aborted);
             span.end(error);
             writeError(response, error);
         }
@@ -110,10 +110,16 @@
         return view;
     }
 
-    private reportFailure(error: KnapweedError, traceParent: string, callerGone: boolean): void {
-        const reason = callerGone ? "caller-gone" : error.code;
+    private recordFailure(error: KnapweedError, traceParent: string, isCallerDisconnected: boolean): void {
+        const reason = isCallerDisconnected ? "caller-gone" : error.code;
         this.opts.metrics.increment("request_failed", { reason });
-        const fields = { code: error.code, outcome: error.outcome, message: error.message, traceParent, callerGone };
+        const fields = {
+            code: error.code,
+            outcome: error.outcome,
+            message: error.message,
+            traceParent,
+            callerGone: isCallerDisconnected,
+        };
         if (error.code === "ERR_KNAPWEED_INTERNAL") {
             this.opts.logger.error("request.failed", { ...fields, stack: (error.cause as Error | undefined)?.stack });
             return;
--- a/api/callers/src/callersApiOptions.ts
+++ b/api/callers/src/callersApiOptions.ts
@@ -5,8 +5,8 @@
 import type { Metrics } from "@knapweedwood/observability.metrics/metrics";
 import type { Tracer } from "@knapweedwood/observability.traces/tracer";
 import type { CallAdmission } from "./callAdmission.js";
+import type { IdempotentCalls } from "./idempotentCalls.js";
 import type { InferenceBackend } from "./inferenceBackend.js";
-import type { KeyedCalls } from "./idempotentCalls.js";
 
 /** What the callers' API works with. */
 export interface CallersApiOptions {
@@ -14,7 +14,7 @@
     backend: InferenceBackend;
     batches: BatchService;
     admission: CallAdmission;
-    keyedCalls: KeyedCalls;
+    idempotentCalls: IdempotentCalls;
     clock: Clock;
     logger: Logger;
     metrics: Metrics;
--- a/api/callers/src/generateRoute.ts
+++ b/api/callers/src/generateRoute.ts
@@ -13,7 +13,7 @@
 import type { CallUsage } from "./callUsage.js";
 import { checkGenerateBody } from "./checkGenerateBody.js";
 import { estimateTokens } from "./estimateTokens.js";
-import { keyedJsonCall } from "./idempotentJsonCall.js";
+import { idempotentJsonCall } from "./idempotentJsonCall.js";
 import type { RequestContext } from "./requestContext.js";
 import { ServerSentEvents } from "./serverSentEvents.js";
 import { serviceForModel } from "./serviceForModel.js";
@@ -39,10 +39,10 @@
         try {
             const request: GenerateRequest = { endpoint, body };
             if (body["stream"] === true) {
-                await this.answerStream(context, service, request, used);
+                await this.sendEvents(context, service, request, used);
             }
             else {
-                await this.answerWhole(context, service, request, used);
+                await this.sendJson(context, service, request, used);
             }
         }
         finally {
@@ -50,15 +50,19 @@
         }
     }
 
-    private async answerWhole(
+    private async sendJson(
         context: RequestContext,
         service: ServiceDefinition,
         request: GenerateRequest,
         used: CallUsage,
     ): Promise<void> {
         const run = () => this.collect(context, service, request, used);
-        const keyed = keyedJsonCall(context, this.opts.keyedCalls, { service, body: request.body, run });
-        writeJson(context.response, await (keyed ?? run()));
+        const idempotentCall = idempotentJsonCall(context, this.opts.idempotentCalls, {
+            service,
+            body: request.body,
+            run,
+        });
+        writeJson(context.response, await (idempotentCall ?? run()));
     }
 
     private async collect(
@@ -74,7 +78,7 @@
         return assembler.response();
     }
 
-    private async answerStream(
+    private async sendEvents(
         context: RequestContext,
         service: ServiceDefinition,
         request: GenerateRequest,
--- a/api/callers/src/idempotentCalls.ts
+++ b/api/callers/src/idempotentCalls.ts
@@ -1,9 +1,9 @@
 import type { ServiceName } from "@knapweedwood/core.ids/serviceName";
 import type { Caller } from "./caller.js";
-import type { RecordedAnswer } from "./recordedResponse.js";
+import type { RecordedResponse } from "./recordedResponse.js";
 
 /** Runs calls with an idempotency key at most once, whichever entry they come to. */
-export interface KeyedCalls {
+export interface IdempotentCalls {
     /**
      * Claims the key and runs the call, or gives the answer recorded earlier.
      *
@@ -18,6 +18,6 @@
         requestDigest: string;
         /** Longest time that the call may run. */
         timeoutMs: number;
-        run: () => Promise<RecordedAnswer>;
-    }): Promise<RecordedAnswer>;
+        run: () => Promise<RecordedResponse>;
+    }): Promise<RecordedResponse>;
 }
--- a/api/callers/src/plainRoute.ts
+++ b/api/callers/src/plainRoute.ts
@@ -10,11 +10,11 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { CallersApiOptions } from "./callersApiOptions.js";
 import { mayCall } from "./mayCall.js";
-import type { RecordedAnswer } from "./recordedResponse.js";
+import type { RecordedResponse } from "./recordedResponse.js";
 import type { RequestContext } from "./requestContext.js";
 
 const SERVICE_PATH_PATTERN = /^\/services\/([^/]+)(\/.*)?$/u;
-const NOT_FORWARDED = ["host", "authorization", "content-length"];
+const HEADERS_NOT_FORWARDED = ["host", "authorization", "content-length"];
 
 /** Passes calls under `/services/NAME/` to a plain service, streamed both ways. */
 export class PlainRoute {
@@ -30,11 +30,11 @@
         try {
             const idempotencyKey = context.request.headers["idempotency-key"];
             if (typeof idempotencyKey === "string" && !service.repeatable) {
-                await this.answerKeyed(context, service, path, idempotencyKey);
+                await this.sendIdempotent(context, service, path, idempotencyKey);
             }
             else {
                 const body = hasBody(context.request) ? context.request : undefined;
-                await this.passThrough(context, this.call(context, service, path, body));
+                await this.sendStreamed(context, this.call(context, service, path, body));
             }
         }
         finally {
@@ -65,7 +65,7 @@
             service,
             method: context.request.method ?? "GET",
             path,
-            headers: forwardableHeaders(context.request.rawHeaders, { drop: NOT_FORWARDED }),
+            headers: forwardableHeaders(context.request.rawHeaders, { drop: HEADERS_NOT_FORWARDED }),
             body,
             caller: context.caller,
             signal: context.signal,
@@ -74,7 +74,7 @@
         });
     }
 
-    private async passThrough(context: RequestContext, frames: AsyncIterable<PlainFrame>): Promise<void> {
+    private async sendStreamed(context: RequestContext, frames: AsyncIterable<PlainFrame>): Promise<void> {
         const { response, signal } = context;
         for await (const frame of frames) {
             if (frame.kind === "head") {
@@ -87,23 +87,24 @@
         response.end();
     }
 
-    private async answerKeyed(
+    private async sendIdempotent(
         context: RequestContext,
         service: ServiceDefinition,
         path: string,
         idempotencyKey: string,
     ): Promise<void> {
         const body = await readBody(context.request, this.opts.maxBodyBytes);
-        const answer = await this.opts.keyedCalls.run({
+        const recorded = await this.opts.idempotentCalls.run({
             caller: context.caller,
             service: service.name,
             idempotencyKey,
             timeoutMs: service.deadlineMs,
             requestDigest: digestOf(`${context.request.method ?? "GET"} ${path}\n${digestOf(body)}`),
-            run: () => collectAnswer(this.call(context, service, path, body.length === 0 ? undefined : oneChunk(body))),
+            run: () =>
+                collectResponse(this.call(context, service, path, body.length === 0 ? undefined : oneChunk(body))),
         });
-        writeHead(context.response, answer.statusCode, answer.headers);
-        context.response.end(answer.body);
+        writeHead(context.response, recorded.statusCode, recorded.headers);
+        context.response.end(recorded.body);
     }
 }
 
@@ -112,7 +113,7 @@
     response.writeHead(statusCode, [...raw, "x-knapweed-outcome", "answered"]);
 }
 
-async function collectAnswer(frames: AsyncIterable<PlainFrame>): Promise<RecordedAnswer> {
+async function collectResponse(frames: AsyncIterable<PlainFrame>): Promise<RecordedResponse> {
     const parts: Uint8Array[] = [];
     let head: Extract<PlainFrame, { kind: "head"; }> | undefined;
     for await (const frame of frames) {
--- a/api/callers/src/readUpload.ts
+++ b/api/callers/src/readUpload.ts
@@ -29,14 +29,14 @@
             stored = opts.store({
                 fileName: info.filename ?? "upload",
                 purpose,
-                content: limited(content, opts.maxBytes),
+                content: limitSize(content, opts.maxBytes),
             });
             stored.catch((thrown: unknown) => reject(toKnapweedError(thrown)));
         });
-        parser.on("error", cause => reject(invalid("The form can't be read", cause)));
+        parser.on("error", cause => reject(invalidUpload("The form can't be read", cause)));
         parser.on("close", () => {
             if (stored === undefined) {
-                reject(invalid("The form has no file"));
+                reject(invalidUpload("The form has no file"));
                 return;
             }
             stored.then(resolve, reject);
@@ -51,11 +51,11 @@
         return busboy({ headers: request.headers, limits: { files: 1, fileSize: maxBytes + 1 } });
     }
     catch (cause) {
-        throw invalid("The request is not a form with a file", cause);
+        throw invalidUpload("The request is not a form with a file", cause);
     }
 }
 
-async function* limited(content: Readable, maxBytes: number): AsyncIterable<Uint8Array> {
+async function* limitSize(content: Readable, maxBytes: number): AsyncIterable<Uint8Array> {
     let sizeBytes = 0;
     for await (const chunk of content as AsyncIterable<Buffer>) {
         sizeBytes += chunk.length;
@@ -69,6 +69,6 @@
     }
 }
 
-function invalid(message: string, cause?: unknown): KnapweedError {
+function invalidUpload(message: string, cause?: unknown): KnapweedError {
     return new KnapweedError("UPLOAD_INVALID", message, { statusCode: 400, outcome: "not-run", cause });
 }
--- a/api/callers/src/recordedResponse.ts
+++ b/api/callers/src/recordedResponse.ts
@@ -1,7 +1,7 @@
 import type { HeaderField } from "@knapweedwood/core.http-headers/headerField";
 
 /** A whole answer, kept under the call's idempotency key. */
-export interface RecordedAnswer {
+export interface RecordedResponse {
     statusCode: number;
     headers: HeaderField[];
     body: Uint8Array;
--- a/daemons/entry/src/claimedCalls.ts
+++ b/daemons/entry/src/claimedCalls.ts
@@ -1,5 +1,5 @@
-import type { KeyedCalls } from "@knapweedwood/api.callers/idempotentCalls";
-import type { RecordedAnswer } from "@knapweedwood/api.callers/recordedResponse";
+import type { IdempotentCalls } from "@knapweedwood/api.callers/idempotentCalls";
+import type { RecordedResponse } from "@knapweedwood/api.callers/recordedResponse";
 import type { ClaimService } from "@knapweedwood/batch.claims/claimService";
 import type { ClaimToken } from "@knapweedwood/batch.claims/claimToken";
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
@@ -12,14 +12,14 @@
 const COME_BACK_MS = 1000;
 
 /** Runs calls with an idempotency key under a claim: sent at most once, their answer recorded for a resend. */
-export class ClaimedCalls implements KeyedCalls {
+export class ClaimedCalls implements IdempotentCalls {
     private readonly opts: { claims: ClaimService; logger: Logger; };
 
     constructor(opts: ClaimedCalls["opts"]) {
         this.opts = opts;
     }
 
-    async run(opts: Parameters<KeyedCalls["run"]>[0]): Promise<RecordedAnswer> {
+    async run(opts: Parameters<IdempotentCalls["run"]>[0]): Promise<RecordedResponse> {
         const claim = await this.opts.claims.claim({
             teamId: opts.caller.team.teamId,
             service: opts.service,
@@ -54,7 +54,7 @@
         }
     }
 
-    private async runClaimed(token: ClaimToken, run: () => Promise<RecordedAnswer>): Promise<RecordedAnswer> {
+    private async runClaimed(token: ClaimToken, run: () => Promise<RecordedResponse>): Promise<RecordedResponse> {
         const answer = await run().catch(async (thrown: unknown) => {
             const error = toKnapweedError(thrown);
             if (error.outcome === "not-run") {
--- a/daemons/entry/src/createEntryHttp.ts
+++ b/daemons/entry/src/createEntryHttp.ts
@@ -36,7 +36,7 @@
         backend: createDispatcher(parts, opts.directory),
         batches,
         admission: opts.meter.admission,
-        keyedCalls: new ClaimedCalls({ claims: opts.roles.claims, logger }),
+        idempotentCalls: new ClaimedCalls({ claims: opts.roles.claims, logger }),
         maxBodyBytes: settings.http.maxBodyBytes,
         maxFileBytes: settings.http.maxFileBytes,
     });
