--- a/api/http/src/httpListener.ts
+++ b/api/http/src/httpListener.ts
@@ -9,7 +9,7 @@
 const HEADERS_TIMEOUT_MS = 10_000;
 const REQUEST_TIMEOUT_MS = 600_000;
 const KEEP_ALIVE_TIMEOUT_MS = 75_000;
-const CONNECTIONS_CHECK_MS = 2_000;
+const CONNECTIONS_CHECK_INTERVAL_MS = 2_000;
 
 interface TlsFiles {
     certificateFile: string;
@@ -32,7 +32,7 @@
             headersTimeout: HEADERS_TIMEOUT_MS,
             requestTimeout: REQUEST_TIMEOUT_MS,
             keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
-            connectionsCheckingInterval: CONNECTIONS_CHECK_MS,
+            connectionsCheckingInterval: CONNECTIONS_CHECK_INTERVAL_MS,
             noDelay: true,
         };
         if (opts.tls === undefined) {
@@ -40,9 +40,9 @@
             this.stopWatching = () => undefined;
             return;
         }
-        const secure = createTlsServer({ ...timeouts, ...readCertificate(opts.tls) }, listener);
-        this.server = secure;
-        this.stopWatching = reloadOnChange(secure, opts.tls);
+        const tlsServer = createTlsServer({ ...timeouts, ...readCertificate(opts.tls) }, listener);
+        this.server = tlsServer;
+        this.stopWatching = reloadCertificateOnChange(tlsServer, opts.tls);
     }
 
     /** @returns the port bound */
@@ -61,11 +61,11 @@
         this.stopWatching();
         const closed = new Promise<void>(resolve => this.server.close(() => resolve()));
         this.server.closeIdleConnections();
-        const idleSweep = setInterval(() => this.server.closeIdleConnections(), CONNECTIONS_CHECK_MS / 20);
-        const cutOff = setTimeout(() => this.server.closeAllConnections(), graceMs);
+        const idleTimer = setInterval(() => this.server.closeIdleConnections(), CONNECTIONS_CHECK_INTERVAL_MS / 20);
+        const graceTimer = setTimeout(() => this.server.closeAllConnections(), graceMs);
         await closed;
-        clearInterval(idleSweep);
-        clearTimeout(cutOff);
+        clearInterval(idleTimer);
+        clearTimeout(graceTimer);
     }
 }
 
@@ -73,7 +73,7 @@
     return { cert: readFileSync(tls.certificateFile), key: readFileSync(tls.keyFile) };
 }
 
-function reloadOnChange(server: TlsServer, tls: TlsFiles): () => void {
+function reloadCertificateOnChange(server: TlsServer, tls: TlsFiles): () => void {
     return watchFile(tls.certificateFile, () => {
         try {
             server.setSecureContext(readCertificate(tls));
--- a/api/http/src/readBody.ts
+++ b/api/http/src/readBody.ts
@@ -3,8 +3,8 @@
 
 /** Reads a request's body. Throws `BODY_TOO_LARGE` (413) or `BODY_CUT` (400). */
 export async function readBody(request: IncomingMessage, maxBytes: number): Promise<Buffer> {
-    const announcedBytes = Number(request.headers["content-length"] ?? 0);
-    if (announcedBytes > maxBytes) {
+    const declaredBytes = Number(request.headers["content-length"] ?? 0);
+    if (declaredBytes > maxBytes) {
         throw tooLarge(maxBytes);
     }
     const chunks: Buffer[] = [];
--- a/api/http/src/watchFile.ts
+++ b/api/http/src/watchFile.ts
@@ -1,7 +1,7 @@
 import * as fileSystem from "node:fs";
 import path from "node:path";
 
-const SETTLE_MS = 200;
+const DEBOUNCE_MS = 200;
 
 /**
  * Calls `onChange` after a file, or another in its folder, has changed. The folder is watched, since certificates are
@@ -13,7 +13,7 @@
     let pending: NodeJS.Timeout | undefined;
     const watcher = fileSystem.watch(path.dirname(file), { persistent: false }, () => {
         clearTimeout(pending);
-        pending = setTimeout(onChange, SETTLE_MS);
+        pending = setTimeout(onChange, DEBOUNCE_MS);
     });
     return () => {
         clearTimeout(pending);
