--- a/api/operators/src/canManageTeam.ts
+++ b/api/operators/src/canManageTeam.ts
@@ -1,6 +1,6 @@
 import type { OperatorCaller } from "./operatorCaller.js";
 
 /** Whether the caller may see and change what belongs to a team. */
-export function mayTouchTeam(caller: OperatorCaller, teamId: string): boolean {
+export function canManageTeam(caller: OperatorCaller, teamId: string): boolean {
     return caller.role === "platform-operator" || (caller.role === "team-operator" && caller.teamId === teamId);
 }
--- a/api/operators/src/changesFromFiles.ts
+++ b/api/operators/src/changesFromFiles.ts
@@ -5,17 +5,17 @@
 import type { ServiceFile } from "@knapweedwood/config.service-files/serviceFile";
 import type { Problem } from "@knapweedwood/config.yaml/problem";
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
+import { canManageTeam } from "./canManageTeam.js";
 import { forbidden } from "./forbidden.js";
-import { mayTouchTeam } from "./canManageTeam.js";
 import type { OperatorCaller } from "./operatorCaller.js";
 
 /** The changes that service files ask for. Throws `SERVICE_FILES_INVALID` with every problem, or `ROLE_FORBIDDEN`. */
-export function changesOfFiles(
+export function changesFromFiles(
     opts: { files: ServiceFile[]; current: ConfigurationView | undefined; caller: OperatorCaller; },
 ): ConfigurationChange[] {
     const { definitions, problems } = parseServiceFiles(opts.files, { current: opts.current });
     if (problems.length > 0) {
-        throw invalid(problems);
+        throw invalidFiles(problems);
     }
     if (opts.caller.role !== "platform-operator") {
         requireOwnServices(definitions.services, opts);
@@ -37,17 +37,17 @@
     services: ServiceDefinition[],
     opts: { current: ConfigurationView | undefined; caller: OperatorCaller; },
 ): void {
-    const foreign = services.find(service => {
+    const foreignService = services.find(service => {
         const before = opts.current?.service(service.name);
-        return !mayTouchTeam(opts.caller, service.team)
-            || (before !== undefined && !mayTouchTeam(opts.caller, before.team));
+        return !canManageTeam(opts.caller, service.team)
+            || (before !== undefined && !canManageTeam(opts.caller, before.team));
     });
-    if (foreign !== undefined) {
-        throw forbidden(`The service "${foreign.name}" is not of team "${opts.caller.teamId}"`);
+    if (foreignService !== undefined) {
+        throw forbidden(`The service "${foreignService.name}" is not of team "${opts.caller.teamId}"`);
     }
 }
 
-function invalid(problems: Problem[]): KnapweedError {
+function invalidFiles(problems: Problem[]): KnapweedError {
     const lines = problems.map(problem =>
         `${problem.file}:${String(problem.line)}: ${problem.path}: ${problem.expected}`
     );
--- a/api/operators/src/configurationEditor.ts
+++ b/api/operators/src/configurationEditor.ts
@@ -6,12 +6,12 @@
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 import type { ServiceName } from "@knapweedwood/core.ids/serviceName";
 import type { TeamId } from "@knapweedwood/core.ids/teamId";
-import { mayTouchTeam } from "./canManageTeam.js";
+import { canManageTeam } from "./canManageTeam.js";
 import { notFound } from "./notFound.js";
 import type { OperatorCaller } from "./operatorCaller.js";
 import type { OperatorsApiOptions } from "./operatorsApiOptions.js";
 
-const IN_FORCE_HERE_TIMEOUT_MS = 3_000;
+const LOCAL_ACTIVATION_TIMEOUT_MS = 3_000;
 
 /** Reads the newest configuration and publishes changes to it, for one request. */
 export class ConfigurationEditor {
@@ -24,7 +24,7 @@
     }
 
     /** The newest configuration published, which may not be in force here yet. */
-    async newest(): Promise<ConfigurationView> {
+    async latest(): Promise<ConfigurationView> {
         const view = await this.opts.publisher.current();
         if (view === undefined) {
             throw new KnapweedError("CONFIGURATION_MISSING", "Nothing has been published yet", {
@@ -37,7 +37,7 @@
 
     /** A team that the caller may touch. Throws `TEAM_NOT_FOUND` for any other. */
     team(view: ConfigurationView, teamId: string): TeamDefinition {
-        const team = mayTouchTeam(this.caller, teamId) ? view.team(teamId as TeamId) : undefined;
+        const team = canManageTeam(this.caller, teamId) ? view.team(teamId as TeamId) : undefined;
         if (team === undefined) {
             throw notFound("team", teamId);
         }
@@ -47,7 +47,7 @@
     /** A service that the caller may touch. Throws `SERVICE_NOT_FOUND` for any other. */
     service(view: ConfigurationView, name: string): ServiceDefinition {
         const service = view.service(name as ServiceName);
-        if (service === undefined || !mayTouchTeam(this.caller, service.team)) {
+        if (service === undefined || !canManageTeam(this.caller, service.team)) {
             throw notFound("service", name);
         }
         return service;
@@ -65,13 +65,13 @@
             baseRevision: view.revision,
             ...opts,
         });
-        return this.settled(result);
+        return this.waitUntilActive(result);
     }
 
     /** Waits a moment until a result is in force in this process, so that the next request here sees it. */
-    async settled(result: PublishResult): Promise<PublishResult> {
+    async waitUntilActive(result: PublishResult): Promise<PublishResult> {
         if (result.published) {
-            await this.opts.configuration.waitFor(result.revision, { timeoutMs: IN_FORCE_HERE_TIMEOUT_MS });
+            await this.opts.configuration.waitFor(result.revision, { timeoutMs: LOCAL_ACTIVATION_TIMEOUT_MS });
         }
         return result;
     }
--- a/api/operators/src/configurationRoutes.ts
+++ b/api/operators/src/configurationRoutes.ts
@@ -1,11 +1,11 @@
 import type { HistoryEntry } from "@knapweedwood/config.publishing/historyEntry";
 import type { Revision } from "@knapweedwood/core.ids/revision";
 import { bodySchemas } from "./bodySchemas.js";
-import { changesOfFiles } from "./changesFromFiles.js";
+import { changesFromFiles } from "./changesFromFiles.js";
 import { ConfigurationEditor } from "./configurationEditor.js";
 import type { OperatorsApiOptions } from "./operatorsApiOptions.js";
 import { parseBody } from "./parseBody.js";
-import { publishAnswer } from "./publishResultObject.js";
+import { publishResultObject } from "./publishResultObject.js";
 import { readNumber } from "./readNumber.js";
 import { roleSets } from "./roleSets.js";
 import type { Route } from "./route.js";
@@ -21,8 +21,8 @@
             path: "/configuration",
             roles: roleSets.operators,
             handle: async () => {
-                const here = opts.configuration.current();
-                return { revision: here?.revision ?? 0, digest: here?.digest ?? "" };
+                const active = opts.configuration.current();
+                return { revision: active?.revision ?? 0, digest: active?.digest ?? "" };
             },
         },
         {
@@ -51,7 +51,7 @@
                 const from = (readNumber(query, "from", {}) ?? 0) as Revision;
                 const to = (readNumber(query, "to", {}) ?? opts.configuration.current()?.revision ?? 0) as Revision;
                 const difference = await opts.publisher.difference(from, to);
-                return { from, ...publishAnswer({ revision: to, digest: "", published: true, difference }) };
+                return { from, ...publishResultObject({ revision: to, digest: "", published: true, difference }) };
             },
         },
         {
@@ -62,14 +62,14 @@
                 const { files, baseRevision, ...rest } = parseBody(bodySchemas.publish, body);
                 const editor = new ConfigurationEditor(opts, caller);
                 const current = await opts.publisher.current();
-                const changes = changesOfFiles({ files, current, caller });
+                const changes = changesFromFiles({ files, current, caller });
                 const result = await opts.publisher.publish({
                     actor: caller.keyId,
                     changes,
                     ...rest,
                     ...(baseRevision === undefined ? {} : { baseRevision: baseRevision as Revision }),
                 });
-                return publishAnswer(await editor.settled(result));
+                return publishResultObject(await editor.waitUntilActive(result));
             },
         },
         {
@@ -83,7 +83,7 @@
                     actor: caller.keyId,
                     ...(dryRun === undefined ? {} : { dryRun }),
                 });
-                return publishAnswer(await new ConfigurationEditor(opts, caller).settled(result));
+                return publishResultObject(await new ConfigurationEditor(opts, caller).waitUntilActive(result));
             },
         },
         {
--- a/api/operators/src/jobRoutes.ts
+++ b/api/operators/src/jobRoutes.ts
@@ -2,7 +2,7 @@
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 import type { JobId } from "@knapweedwood/core.ids/jobId";
 import type { TeamId } from "@knapweedwood/core.ids/teamId";
-import { mayTouchTeam } from "./canManageTeam.js";
+import { canManageTeam } from "./canManageTeam.js";
 import { notFound } from "./notFound.js";
 import type { OperatorCaller } from "./operatorCaller.js";
 import type { OperatorsApiOptions } from "./operatorsApiOptions.js";
@@ -24,7 +24,7 @@
             roles: roleSets.operators,
             handle: async ({ caller, query }) => {
                 const limit = readNumber(query, "limit", { maximum: MAX_LIMIT }) ?? DEFAULT_LIMIT;
-                const teams = teamsOf(opts, caller, query.get("team") ?? undefined);
+                const teams = teamsToSearch(opts, caller, query.get("team") ?? undefined);
                 return { jobs: await listJobs(opts, teams, limit) };
             },
         },
@@ -33,9 +33,9 @@
             path: "/jobs/:jobId",
             roles: roleSets.operators,
             handle: ({ caller, query, parameter }) =>
-                firstFound(
+                findInTeams(
                     parameter("jobId"),
-                    teamsOf(opts, caller, query.get("team") ?? undefined),
+                    teamsToSearch(opts, caller, query.get("team") ?? undefined),
                     (teamId, jobId) => opts.jobs.getJob({ teamId, jobId }),
                 ),
         },
@@ -44,19 +44,19 @@
             path: "/jobs/:jobId/cancel",
             roles: roleSets.operators,
             handle: ({ caller, query, parameter }) =>
-                firstFound(
+                findInTeams(
                     parameter("jobId"),
-                    teamsOf(opts, caller, query.get("team") ?? undefined),
+                    teamsToSearch(opts, caller, query.get("team") ?? undefined),
                     (teamId, jobId) => opts.jobs.cancelJob({ teamId, jobId }),
                 ),
         },
     ];
 }
 
-function teamsOf(opts: OperatorsApiOptions, caller: OperatorCaller, wanted: string | undefined): TeamId[] {
+function teamsToSearch(opts: OperatorsApiOptions, caller: OperatorCaller, requestedTeam: string | undefined): TeamId[] {
     const teams = (opts.configuration.current()?.teams() ?? []).map(team => team.teamId);
     const searched = teams.filter(teamId =>
-        mayTouchTeam(caller, teamId) && (wanted === undefined || wanted === teamId)
+        canManageTeam(caller, teamId) && (requestedTeam === undefined || requestedTeam === teamId)
     );
     if (searched.length > MAX_TEAMS_SEARCHED) {
         throw new KnapweedError("TEAM_REQUIRED", `There are more than ${String(MAX_TEAMS_SEARCHED)} teams`, {
@@ -80,7 +80,7 @@
     return jobs;
 }
 
-async function firstFound(
+async function findInTeams(
     jobId: string,
     teams: TeamId[],
     find: (teamId: TeamId, jobId: JobId) => Promise<JobRecord>,
--- a/api/operators/src/keyRoutes.ts
+++ b/api/operators/src/keyRoutes.ts
@@ -9,7 +9,7 @@
 import { notFound } from "./notFound.js";
 import type { OperatorsApiOptions } from "./operatorsApiOptions.js";
 import { parseBody } from "./parseBody.js";
-import { publishAnswer } from "./publishResultObject.js";
+import { publishResultObject } from "./publishResultObject.js";
 import { roleSets } from "./roleSets.js";
 import type { Route } from "./route.js";
 
@@ -22,7 +22,7 @@
             roles: roleSets.operators,
             handle: async ({ caller, parameter }) => {
                 const editor = new ConfigurationEditor(opts, caller);
-                const team = editor.team(await editor.newest(), parameter("teamId"));
+                const team = editor.team(await editor.latest(), parameter("teamId"));
                 return { keys: team.keys.map(keyObject) };
             },
         },
@@ -32,20 +32,20 @@
             roles: roleSets.operators,
             statusCode: 201,
             handle: async ({ caller, parameter, body }) => {
-                const wanted = parseBody(bodySchemas.createKey, body);
-                if (wanted.role === "platform-operator" && caller.role !== "platform-operator") {
+                const requested = parseBody(bodySchemas.createKey, body);
+                if (requested.role === "platform-operator" && caller.role !== "platform-operator") {
                     throw forbidden("Only operators of the platform make keys of this role");
                 }
                 const editor = new ConfigurationEditor(opts, caller);
-                const view = await editor.newest();
+                const view = await editor.latest();
                 const { teamId } = editor.team(view, parameter("teamId"));
                 const { secret, record } = createKey({
-                    name: wanted.name,
-                    role: wanted.role,
+                    name: requested.name,
+                    role: requested.role,
                     createdAtMs: Math.round(opts.clock.nowMs()),
-                    ...(wanted.limits === undefined
+                    ...(requested.limits === undefined
                         ? {}
-                        : { limits: wanted.limits as NonNullable<KeyRecord["limits"]> }),
+                        : { limits: requested.limits as NonNullable<KeyRecord["limits"]> }),
                 });
                 const change = { kind: "put" as const, record: { kind: "key" as const, teamId, key: record } };
                 const result = await editor.publish(view, [change], { message: `create key ${record.keyId}` });
@@ -58,7 +58,7 @@
             roles: roleSets.operators,
             handle: async ({ caller, parameter }) => {
                 const editor = new ConfigurationEditor(opts, caller);
-                const view = await editor.newest();
+                const view = await editor.latest();
                 const { teamId, keys } = editor.team(view, parameter("teamId"));
                 const key = keys.find(candidate => candidate.keyId === parameter("keyId"));
                 if (key === undefined) {
@@ -67,7 +67,7 @@
                 requireAnotherPlatformKey(view, key);
                 const revoked = { ...key, revokedAtMs: key.revokedAtMs ?? Math.round(opts.clock.nowMs()) };
                 const change = { kind: "put" as const, record: { kind: "key" as const, teamId, key: revoked } };
-                return publishAnswer(
+                return publishResultObject(
                     await editor.publish(view, [change], { message: `revoke key ${key.keyId}` }),
                 );
             },
--- a/api/operators/src/operatorsApi.ts
+++ b/api/operators/src/operatorsApi.ts
@@ -53,8 +53,8 @@
         }
         try {
             const { route, parameters } = matched;
-            const answer = await this.run(route, { request, caller, query: url.searchParams, parameters });
-            writeJson(response, answer, { statusCode: route.statusCode ?? 200 });
+            const result = await this.run(route, { request, caller, query: url.searchParams, parameters });
+            writeJson(response, result, { statusCode: route.statusCode ?? 200 });
         }
         catch (thrown) {
             writeError(response, thrown);
--- a/api/operators/src/publishResultObject.ts
+++ b/api/operators/src/publishResultObject.ts
@@ -3,7 +3,7 @@
 import { isDeepStrictEqual } from "node:util";
 
 /** A publish result as the API shows it. */
-export function publishAnswer(result: PublishResult): object {
+export function publishResultObject(result: PublishResult): object {
     return {
         revision: result.revision,
         digest: result.digest,
--- a/api/operators/src/serviceRoutes.ts
+++ b/api/operators/src/serviceRoutes.ts
@@ -1,11 +1,11 @@
 import type { ServiceDefinition } from "@knapweedwood/config.configuration/serviceDefinition";
 import type { RecordKey } from "@knapweedwood/config.publishing/recordKey";
 import { bodySchemas } from "./bodySchemas.js";
+import { canManageTeam } from "./canManageTeam.js";
 import { ConfigurationEditor } from "./configurationEditor.js";
-import { mayTouchTeam } from "./canManageTeam.js";
 import type { OperatorsApiOptions } from "./operatorsApiOptions.js";
 import { parseBody } from "./parseBody.js";
-import { publishAnswer } from "./publishResultObject.js";
+import { publishResultObject } from "./publishResultObject.js";
 import { roleSets } from "./roleSets.js";
 import type { Route } from "./route.js";
 
@@ -17,8 +17,8 @@
             path: "/services",
             roles: roleSets.operators,
             handle: async ({ caller }) => {
-                const view = await new ConfigurationEditor(opts, caller).newest();
-                return { services: view.services().filter(service => mayTouchTeam(caller, service.team)) };
+                const view = await new ConfigurationEditor(opts, caller).latest();
+                return { services: view.services().filter(service => canManageTeam(caller, service.team)) };
             },
         },
         {
@@ -27,7 +27,7 @@
             roles: roleSets.operators,
             handle: async ({ caller, parameter }) => {
                 const editor = new ConfigurationEditor(opts, caller);
-                return editor.service(await editor.newest(), parameter("name"));
+                return editor.service(await editor.latest(), parameter("name"));
             },
         },
         {
@@ -37,10 +37,10 @@
             handle: async ({ caller, parameter, body }) => {
                 const limits = parseBody(bodySchemas.limits, body);
                 const editor = new ConfigurationEditor(opts, caller);
-                const view = await editor.newest();
+                const view = await editor.latest();
                 const service = { ...editor.service(view, parameter("name")), limits } as ServiceDefinition;
                 const change = { kind: "put" as const, record: { kind: "service" as const, service } };
-                return publishAnswer(
+                return publishResultObject(
                     await editor.publish(view, [change], { message: `limits of service ${service.name}` }),
                 );
             },
@@ -51,10 +51,10 @@
             roles: roleSets.operators,
             handle: async ({ caller, parameter }) => {
                 const editor = new ConfigurationEditor(opts, caller);
-                const view = await editor.newest();
+                const view = await editor.latest();
                 const { name } = editor.service(view, parameter("name"));
                 const change = { kind: "remove" as const, recordKey: `service/${name}` as RecordKey };
-                return publishAnswer(await editor.publish(view, [change], { message: `delete service ${name}` }));
+                return publishResultObject(await editor.publish(view, [change], { message: `delete service ${name}` }));
             },
         },
     ];
--- a/api/operators/src/teamRoutes.ts
+++ b/api/operators/src/teamRoutes.ts
@@ -3,12 +3,12 @@
 import type { RecordKey } from "@knapweedwood/config.publishing/recordKey";
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 import { bodySchemas } from "./bodySchemas.js";
+import { canManageTeam } from "./canManageTeam.js";
 import { ConfigurationEditor } from "./configurationEditor.js";
 import { forbidden } from "./forbidden.js";
-import { mayTouchTeam } from "./canManageTeam.js";
 import type { OperatorsApiOptions } from "./operatorsApiOptions.js";
 import { parseBody } from "./parseBody.js";
-import { publishAnswer } from "./publishResultObject.js";
+import { publishResultObject } from "./publishResultObject.js";
 import { roleSets } from "./roleSets.js";
 import type { Route } from "./route.js";
 import { teamObject } from "./teamObject.js";
@@ -21,8 +21,8 @@
             path: "/teams",
             roles: roleSets.operators,
             handle: async ({ caller }) => {
-                const view = await new ConfigurationEditor(opts, caller).newest();
-                const teams = view.teams().filter(team => mayTouchTeam(caller, team.teamId));
+                const view = await new ConfigurationEditor(opts, caller).latest();
+                const teams = view.teams().filter(team => canManageTeam(caller, team.teamId));
                 return { teams: teams.map(teamObject) };
             },
         },
@@ -32,7 +32,7 @@
             roles: roleSets.operators,
             handle: async ({ caller, parameter }) => {
                 const editor = new ConfigurationEditor(opts, caller);
-                return teamObject(editor.team(await editor.newest(), parameter("teamId")));
+                return teamObject(editor.team(await editor.latest(), parameter("teamId")));
             },
         },
         {
@@ -43,8 +43,8 @@
             handle: async ({ caller, body }) => {
                 const team = parseBody(bodySchemas.createTeam, body);
                 const editor = new ConfigurationEditor(opts, caller);
-                const view = await editor.newest();
-                if (view.teams().some(known => known.teamId === team.teamId)) {
+                const view = await editor.latest();
+                if (view.teams().some(existing => existing.teamId === team.teamId)) {
                     throw new KnapweedError("TEAM_EXISTS", `There is a team "${team.teamId}" already`, {
                         statusCode: 409,
                         outcome: "not-run",
@@ -62,15 +62,15 @@
             roles: roleSets.operators,
             handle: async ({ caller, parameter, body }) => {
                 const changed = parseBody(bodySchemas.changeTeam, body);
-                const isShare = changed.weight !== undefined || changed.limits !== undefined;
-                if (caller.role !== "platform-operator" && isShare) {
+                const changesShare = changed.weight !== undefined || changed.limits !== undefined;
+                if (caller.role !== "platform-operator" && changesShare) {
                     throw forbidden("Only operators of the platform change a team's weight and limits");
                 }
                 const editor = new ConfigurationEditor(opts, caller);
-                const view = await editor.newest();
+                const view = await editor.latest();
                 const team = editor.team(view, parameter("teamId"));
                 const change = putTeam({ ...team, ...changed } as TeamDefinition);
-                return publishAnswer(
+                return publishResultObject(
                     await editor.publish(view, [change], { message: `change team ${team.teamId}` }),
                 );
             },
@@ -82,10 +82,10 @@
             handle: async ({ caller, parameter, body }) => {
                 const limits = parseBody(bodySchemas.limits, body);
                 const editor = new ConfigurationEditor(opts, caller);
-                const view = await editor.newest();
+                const view = await editor.latest();
                 const team = editor.team(view, parameter("teamId"));
                 const change = putTeam({ ...team, limits } as TeamDefinition);
-                return publishAnswer(
+                return publishResultObject(
                     await editor.publish(view, [change], { message: `limits of team ${team.teamId}` }),
                 );
             },
@@ -96,10 +96,10 @@
             roles: roleSets.platform,
             handle: async ({ caller, parameter }) => {
                 const editor = new ConfigurationEditor(opts, caller);
-                const view = await editor.newest();
+                const view = await editor.latest();
                 const team = editor.team(view, parameter("teamId"));
                 const message = `delete team ${team.teamId}`;
-                return publishAnswer(await editor.publish(view, removalOf(team), { message }));
+                return publishResultObject(await editor.publish(view, removeTeam(team), { message }));
             },
         },
     ];
@@ -110,7 +110,7 @@
     return { kind: "put", record: { kind: "team", team: fields } };
 }
 
-function removalOf(team: TeamDefinition): ConfigurationChange[] {
+function removeTeam(team: TeamDefinition): ConfigurationChange[] {
     return [
         { kind: "remove", recordKey: `team/${team.teamId}` as RecordKey },
         ...team.keys.map(key => ({ kind: "remove" as const, recordKey: `key/${key.keyId}` as RecordKey })),
--- a/api/operators/src/usageMeter.ts
+++ b/api/operators/src/usageMeter.ts
@@ -13,9 +13,9 @@
 /** Usage of this long is lost at most when a process is killed. */
 const FLUSH_PERIOD_MS = 30_000;
 const DAY_CHARACTERS = 10;
-const PART_DIGITS = 1;
+const SHARD_DIGITS = 1;
 
-interface Part {
+interface UsageShard {
     totals: Map<TeamId, UsageTotals>;
     isChanged: boolean;
 }
@@ -30,9 +30,9 @@
     private readonly logger: Logger;
     private readonly prefix: string;
     private readonly processName: string;
-    private readonly parts = new Map<string, Part>();
-    private readonly stopped = new AbortController();
-    private running: Promise<void> = Promise.resolve();
+    private readonly shards = new Map<string, UsageShard>();
+    private readonly stopController = new AbortController();
+    private flushLoop: Promise<void> = Promise.resolve();
 
     /** @param opts.processName differs between any two processes, restarts of one instance among them */
     constructor(opts: {
@@ -50,23 +50,23 @@
     }
 
     start(): void {
-        this.running = this.run();
+        this.flushLoop = this.run();
     }
 
     /** Writes what is left, and stops. */
     async stop(): Promise<void> {
-        this.stopped.abort();
-        await this.running;
+        this.stopController.abort();
+        await this.flushLoop;
         await this.flush();
     }
 
     record(used: UsageRecord): void {
         const day = new Date(this.clock.nowMs()).toISOString().slice(0, DAY_CHARACTERS);
-        const key = `${this.prefix}${day}/${this.processName}/${digestOf(used.teamId).slice(0, PART_DIGITS)}`;
-        const part = this.parts.get(key) ?? { totals: new Map<TeamId, UsageTotals>(), isChanged: true };
-        part.totals.set(used.teamId, addUsage(part.totals.get(used.teamId) ?? {}, used));
-        part.isChanged = true;
-        this.parts.set(key, part);
+        const key = `${this.prefix}${day}/${this.processName}/${digestOf(used.teamId).slice(0, SHARD_DIGITS)}`;
+        const shard = this.shards.get(key) ?? { totals: new Map<TeamId, UsageTotals>(), isChanged: true };
+        shard.totals.set(used.teamId, addUsage(shard.totals.get(used.teamId) ?? {}, used));
+        shard.isChanged = true;
+        this.shards.set(key, shard);
     }
 
     async usageOfDay(day: string): Promise<Map<TeamId, UsageTotals>> {
@@ -80,37 +80,37 @@
     }
 
     private async run(): Promise<void> {
-        while (!this.stopped.signal.aborted) {
-            await sleep(this.clock, FLUSH_PERIOD_MS, this.stopped.signal);
+        while (!this.stopController.signal.aborted) {
+            await sleep(this.clock, FLUSH_PERIOD_MS, this.stopController.signal);
             await this.flush();
-            this.forgetEarlierDays();
+            this.dropEarlierDays();
         }
     }
 
     private async flush(): Promise<void> {
-        for (const [key, part] of this.parts) {
-            if (part.isChanged) {
-                await this.write(key, part);
+        for (const [key, shard] of this.shards) {
+            if (shard.isChanged) {
+                await this.write(key, shard);
             }
         }
     }
 
-    private async write(key: string, part: Part): Promise<void> {
-        part.isChanged = false;
-        const value = new TextEncoder().encode(JSON.stringify([...part.totals.entries()]));
+    private async write(key: string, shard: UsageShard): Promise<void> {
+        shard.isChanged = false;
+        const value = new TextEncoder().encode(JSON.stringify([...shard.totals.entries()]));
         try {
             await this.keyValue.transact([], [{ kind: "put", key, value }]);
         }
         catch (thrown) {
-            part.isChanged = true;
+            shard.isChanged = true;
             this.logger.debug("usage.not-written", { key, error: String(thrown) });
         }
     }
 
-    private forgetEarlierDays(): void {
+    private dropEarlierDays(): void {
         const today = `${this.prefix}${new Date(this.clock.nowMs()).toISOString().slice(0, DAY_CHARACTERS)}/`;
-        [...this.parts.entries()]
-            .filter(([key, part]) => !part.isChanged && !key.startsWith(today))
-            .forEach(([key]) => this.parts.delete(key));
+        [...this.shards.entries()]
+            .filter(([key, shard]) => !shard.isChanged && !key.startsWith(today))
+            .forEach(([key]) => this.shards.delete(key));
     }
 }
--- a/api/operators/src/usageRoutes.ts
+++ b/api/operators/src/usageRoutes.ts
@@ -1,5 +1,5 @@
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
-import { mayTouchTeam } from "./canManageTeam.js";
+import { canManageTeam } from "./canManageTeam.js";
 import type { OperatorsApiOptions } from "./operatorsApiOptions.js";
 import { roleSets } from "./roleSets.js";
 import type { Route } from "./route.js";
@@ -26,7 +26,7 @@
                 }
                 const totals = await opts.usage?.usageOfDay(day) ?? new Map();
                 const teams = [...totals.entries()]
-                    .filter(([teamId]) => mayTouchTeam(caller, teamId))
+                    .filter(([teamId]) => canManageTeam(caller, teamId))
                     .map(([teamId, used]) => ({ teamId, ...used }));
                 return { day, teams };
             },
--- a/api/operators/test/operatorsApi.test.ts
+++ b/api/operators/test/operatorsApi.test.ts
@@ -35,12 +35,12 @@
     const publisher = new ConfigurationPublisher({ keyValue, clock, createChangeId: randomUUID });
     const holder = new ConfigurationHolder({ onAdopted: () => undefined });
     const store = new ConfigurationStore({ keyValue });
-    const catchUp = async () => {
+    const adoptLatest = async () => {
         const { root } = await store.load();
         return root !== undefined && holder.adopt(root, new KeyValueChunkSource({ keyValue }));
     };
     await ensureBootstrapConfiguration({ publisher, platformKeyHash: digestOf("first") });
-    await catchUp();
+    await adoptLatest();
     const jobs = {
         getJob: ({ teamId, jobId }: { teamId: string; jobId: string; }) =>
             teamId === "desk" && jobId === "job-1"
@@ -52,7 +52,7 @@
         configuration: {
             current: () => holder.current(),
             subscribe: listener => holder.subscribe(listener),
-            waitFor: catchUp,
+            waitFor: adoptLatest,
             inForce: revision =>
                 Promise.resolve({ revision: revision ?? holder.revision, reached: 1, total: 1, missing: [] }),
         },
@@ -72,11 +72,11 @@
     const { port } = server.address() as AddressInfo;
     const send = async (as: OperatorCaller, method: string, path: string, body?: Json) => {
         caller = as;
-        const answer = await fetch(`http://127.0.0.1:${port}/admin/v1${path}`, {
+        const response = await fetch(`http://127.0.0.1:${port}/admin/v1${path}`, {
             method,
             ...(body === undefined ? {} : { body: JSON.stringify(body) }),
         });
-        return { status: answer.status, body: await answer.json() as Json };
+        return { status: response.status, body: await response.json() as Json };
     };
     return { send, holder, publisher };
 }
@@ -113,7 +113,7 @@
         await send({ ...CELLAR, role: "caller" }, "GET", "/teams"),
         await send(CELLAR, "PATCH", "/teams/cellar", { displayName: "Cellar" }),
         await send(PLATFORM, "GET", "/jobs/job-1"),
-    ].map(answer => answer.status);
+    ].map(response => response.status);
     assert.deepEqual(statuses, [404, 404, 403, 403, 403, 403, 404, 403, 200, 200]);
 });
 
@@ -132,10 +132,10 @@
     assert.equal(holder.current()?.services().length, 0);
     const done = await send(CELLAR, "POST", "/configuration/publish", { files: files("cellar", 1) });
     assert.deepEqual([done.status, done.body["published"]], [200, true]);
-    const stolen = await send({ ...CELLAR, teamId: "desk" as TeamId }, "POST", "/configuration/publish", {
+    const foreign = await send({ ...CELLAR, teamId: "desk" as TeamId }, "POST", "/configuration/publish", {
         files: files("desk", 1),
     });
-    assert.equal(stolen.status, 403);
+    assert.equal(foreign.status, 403);
     const wrong = await send(CELLAR, "POST", "/configuration/publish", { files: files("cellar", -1) });
     assert.match(JSON.stringify(wrong.body), /knapweed\.yaml:1: services\[0\]\.replicas/u);
     const back = await send(PLATFORM, "POST", "/configuration/rollback", { revision: 3 });
@@ -147,8 +147,8 @@
 
 test("the last key of a platform operator can't be revoked", async context => {
     const { send } = await setUp(context);
-    const refused = await send(PLATFORM, "DELETE", "/teams/platform/keys/bootstrap");
-    assert.deepEqual([refused.status, (refused.body["error"] as Json)["code"]], [
+    const rejected = await send(PLATFORM, "DELETE", "/teams/platform/keys/bootstrap");
+    assert.deepEqual([rejected.status, (rejected.body["error"] as Json)["code"]], [
         409,
         "ERR_KNAPWEED_LAST_PLATFORM_KEY",
     ]);
