--- a/api/http/src/errorBody.ts
+++ b/api/http/src/errorBody.ts
@@ -1,7 +1,7 @@
 import type { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 import { statusCodeOf } from "./statusCodeOf.js";
 
-/** An error in the published form of the OpenAI API. */
+/** Returns the body of an error response in the format of the OpenAI API. */
 export function errorBody(error: KnapweedError): object {
     return {
         error: {
--- a/api/http/src/httpListener.ts
+++ b/api/http/src/httpListener.ts
@@ -16,7 +16,7 @@
     keyFile: string;
 }
 
-/** An HTTP server, with TLS where certificates are given; a changed certificate is taken up without a restart. */
+/** Serves HTTP, or HTTPS if a certificate is given. A changed certificate is loaded without a restart. */
 export class HttpListener {
     private readonly server: Server | TlsServer;
     private readonly stopWatching: () => void;
@@ -45,7 +45,11 @@
         this.stopWatching = reloadCertificateOnChange(tlsServer, opts.tls);
     }
 
-    /** @returns the port bound */
+    /**
+     * Starts to listen. Rejects with `LISTEN_FAILED` if the address can't be bound.
+     *
+     * @returns the port that is bound, which differs from `port` if that is 0
+     */
     async listen(host: string, port: number): Promise<number> {
         await new Promise<void>((resolve, reject) => {
             this.server.once("error", cause => {
@@ -56,7 +60,10 @@
         return (this.server.address() as AddressInfo).port;
     }
 
-    /** Accepts no new connections, lets requests in progress end, and cuts off what is left after `graceMs`. */
+    /**
+     * Stops accepting connections and waits for requests in progress. Connections that are still open after `graceMs`
+     * milliseconds are closed.
+     */
     async close(graceMs: number): Promise<void> {
         this.stopWatching();
         const closed = new Promise<void>(resolve => this.server.close(() => resolve()));
@@ -79,7 +86,7 @@
             server.setSecureContext(readCertificate(tls));
         }
         catch {
-            // A half-written pair is read again at its next change.
+            // The certificate and key are partly written. They are read again at the next change.
         }
     });
 }
--- a/api/http/src/readBody.ts
+++ b/api/http/src/readBody.ts
@@ -1,7 +1,7 @@
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 import type { IncomingMessage } from "node:http";
 
-/** Reads a request's body. Throws `BODY_TOO_LARGE` (413) or `BODY_CUT` (400). */
+/** Reads a request's body. Rejects with `BODY_TOO_LARGE` (413), or `BODY_CUT` (400) if the body ended early. */
 export async function readBody(request: IncomingMessage, maxBytes: number): Promise<Buffer> {
     const declaredBytes = Number(request.headers["content-length"] ?? 0);
     if (declaredBytes > maxBytes) {
--- a/api/http/src/readJson.ts
+++ b/api/http/src/readJson.ts
@@ -2,7 +2,10 @@
 import type { IncomingMessage } from "node:http";
 import { readBody } from "./readBody.js";
 
-/** Reads a request's body as a JSON object. Throws `BODY_NOT_JSON` (400) besides the errors of `readBody`. */
+/**
+ * Reads a request's body as a JSON object. Rejects with `BODY_NOT_JSON` (400) if it is anything else, or with an error
+ * of `readBody`.
+ */
 export async function readJson(request: IncomingMessage, maxBytes: number): Promise<{ [field: string]: unknown; }> {
     const body = await readBody(request, maxBytes);
     const parsed = parse(body.toString("utf8"));
--- a/api/http/src/statusCodeOf.ts
+++ b/api/http/src/statusCodeOf.ts
@@ -1,6 +1,9 @@
 import type { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 
-/** The HTTP status of an error: its own, 503 for what was not run, 502 for an unknown outcome, else 500. */
+/**
+ * Returns the HTTP status of an error. Without a status of its own, it is 503 if the request was not run, 502 if the
+ * outcome is unknown, and 500 otherwise.
+ */
 export function statusCodeOf(error: KnapweedError): number {
     if (error.statusCode !== undefined) {
         return error.statusCode;
--- a/api/http/src/watchFile.ts
+++ b/api/http/src/watchFile.ts
@@ -4,10 +4,10 @@
 const DEBOUNCE_MS = 200;
 
 /**
- * Calls `onChange` after a file, or another in its folder, has changed. The folder is watched, since certificates are
- * usually replaced by a rename.
+ * Calls `onChange` after a file in the folder of `file` has changed. Changes in quick succession cause one call. The
+ * folder is watched because certificates are usually replaced by a rename.
  *
- * @returns a function that stops it
+ * @returns a function that stops watching
  */
 export function watchFile(file: string, onChange: () => void): () => void {
     let pending: NodeJS.Timeout | undefined;
--- a/api/http/src/writeError.ts
+++ b/api/http/src/writeError.ts
@@ -6,8 +6,8 @@
 const MS_PER_SECOND = 1000;
 
 /**
- * Answers with an error. `x-should-retry: false` keeps clients from repeating, by themselves, a call whose outcome
- * is unknown.
+ * Sends an error response. If the headers have already been sent, the connection is closed instead. The header
+ * `x-should-retry: false` keeps clients from automatically retrying a call whose outcome is unknown.
  */
 export function writeError(response: ServerResponse, thrown: unknown): void {
     const error = toKnapweedError(thrown);
--- a/api/http/src/writeJson.ts
+++ b/api/http/src/writeJson.ts
@@ -1,6 +1,6 @@
 import type { ServerResponse } from "node:http";
 
-/** Answers with a JSON value. */
+/** Sends a JSON response, with status 200 by default. */
 export function writeJson(
     response: ServerResponse,
     value: unknown,
