--- a/api/callers/src/authenticate.ts
+++ b/api/callers/src/authenticate.ts
@@ -6,11 +6,11 @@
 
 const BEARER_PATTERN = /^Bearer\s+(\S+)$/iu;
 
-/** Finds the caller by the bearer key. Throws `KEY_MISSING`, `KEY_UNKNOWN` or `KEY_REVOKED` (401). */
+/** Returns the caller that the bearer key belongs to. Throws `KEY_MISSING`, `KEY_UNKNOWN` or `KEY_REVOKED` (401). */
 export function authenticate(request: IncomingMessage, view: ConfigurationView): Caller {
     const key = BEARER_PATTERN.exec(request.headers.authorization ?? "")?.[1];
     if (key === undefined) {
-        throw unauthorized("KEY_MISSING", "The request carries no key", "Send it as Authorization: Bearer KEY");
+        throw unauthorized("KEY_MISSING", "The request has no API key", "Send it as Authorization: Bearer KEY");
     }
     const keyHash = createHash("sha256").update(key).digest("hex");
     const found = view.findKey(keyHash);
--- a/api/callers/src/backendCallOptions.ts
+++ b/api/callers/src/backendCallOptions.ts
@@ -1,11 +1,11 @@
 import type { Caller } from "./caller.js";
 
-/** What every call of the backend is given. */
+/** Options of every call to an inference backend. */
 export interface BackendCallOptions {
     caller: Caller;
-    /** Aborted when the caller goes away. */
+    /** Aborted when the caller disconnects. */
     signal: AbortSignal;
-    /** When the call is due, by this process's clock, in milliseconds. */
+    /** Deadline of the call in milliseconds, by this process's clock. */
     deadlineMs: number;
     /** W3C trace context of the request's span. */
     traceParent: string;
--- a/api/callers/src/batchObject.ts
+++ b/api/callers/src/batchObject.ts
@@ -3,7 +3,7 @@
 const MS_PER_SECOND = 1000;
 const MS_PER_HOUR = 3_600_000;
 
-/** A batch job in the published form of the OpenAI API. */
+/** Converts a job to the batch object of the OpenAI API. */
 export function batchObject(job: JobRecord): object {
     const finishedAt = toSeconds(job.finishedAtMs);
     return {
--- a/api/callers/src/batchRoutes.ts
+++ b/api/callers/src/batchRoutes.ts
@@ -20,7 +20,7 @@
     metadata: z.record(z.string(), z.string()).nullish(),
 });
 
-/** Paths under `/v1/batches`. */
+/** Handles requests to `/v1/batches` and the paths under it. */
 export class BatchRoutes {
     private readonly opts: CallersApiOptions;
 
@@ -28,6 +28,10 @@
         this.opts = opts;
     }
 
+    /**
+     * Handles a request. Rejects with `PATH_UNKNOWN` (404), `REQUEST_INVALID` (400), or an error of the body or
+     * the batch service.
+     */
     async handle(context: RequestContext): Promise<void> {
         const [, , , jobId, action] = context.path.split("/");
         const method = context.request.method ?? "GET";
@@ -41,7 +45,7 @@
         if (method === "GET" && action === undefined) {
             return writeJson(context.response, batchObject(await this.opts.batches.getJob(target)));
         }
-        throw new KnapweedError("PATH_UNKNOWN", `There is nothing at ${method} ${context.path}`, {
+        throw new KnapweedError("PATH_UNKNOWN", `There is no endpoint at ${method} ${context.path}`, {
             statusCode: 404,
             outcome: "not-run",
         });
@@ -52,7 +56,7 @@
         if (!checked.success) {
             const issue = checked.error.issues[0];
             const parameter = issue?.path.map(String).join(".") ?? "";
-            throw new KnapweedError("REQUEST_INVALID", `${parameter}: ${issue?.message ?? "is wrong"}`, {
+            throw new KnapweedError("REQUEST_INVALID", `${parameter}: ${issue?.message ?? "is invalid"}`, {
                 statusCode: 400,
                 outcome: "not-run",
                 parameter,
--- a/api/callers/src/callAdmission.ts
+++ b/api/callers/src/callAdmission.ts
@@ -2,13 +2,13 @@
 import type { Caller } from "./caller.js";
 import type { CallUsage } from "./callUsage.js";
 
-/** Applies the limits of teams and callers. */
+/** Enforces the limits of teams and callers. */
 export interface CallAdmission {
     /**
-     * Admits a call, or throws `LIMIT_EXCEEDED` (429, not run) with the time to come back.
+     * Admits a call. Throws `LIMIT_EXCEEDED` (429, not run) with the time after which the caller may retry.
      *
-     * @param opts.tokens tokens that the call may take at the most
-     * @returns to be called once the call has ended, with what it used
+     * @param opts.tokens the most tokens that the call may use
+     * @returns a function to call once the call has ended, with its usage
      */
     admit(opts: { caller: Caller; service: ServiceDefinition; tokens: number; }): (used: CallUsage) => void;
 }
--- a/api/callers/src/callUsage.ts
+++ b/api/callers/src/callUsage.ts
@@ -1,4 +1,4 @@
-/** What a call has used, so far as is known. */
+/** Tokens that a call used, as far as known. */
 export interface CallUsage {
     promptTokens: number;
     completionTokens: number;
--- a/api/callers/src/caller.ts
+++ b/api/callers/src/caller.ts
@@ -1,7 +1,7 @@
 import type { KeyRecord } from "@knapweedwood/config.configuration/keyRecord";
 import type { TeamDefinition } from "@knapweedwood/config.configuration/teamDefinition";
 
-/** Who sent a request. */
+/** An authenticated caller: its team and its key. */
 export interface Caller {
     team: TeamDefinition;
     key: KeyRecord;
--- a/api/callers/src/callersApi.ts
+++ b/api/callers/src/callersApi.ts
@@ -13,7 +13,7 @@
 import { PlainRoute } from "./plainRoute.js";
 import type { RequestContext } from "./requestContext.js";
 
-/** The callers' API: OpenAI-compatible paths under `/v1`, plain services under `/services/NAME/`. */
+/** Serves the callers' API: OpenAI-compatible paths under `/v1` and plain services under `/services/NAME/`. */
 export class CallersApi {
     private readonly opts: CallersApiOptions;
     private readonly generateRoute: GenerateRoute;
@@ -31,7 +31,7 @@
         this.plainRoute = new PlainRoute(opts);
     }
 
-    /** Answers a request; every failure is answered in the API's error form. */
+    /** Handles a request. Every failure is sent as an error response in the API's format. */
     async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
         const url = new URL(request.url ?? "/", "http://localhost");
         const startedMs = this.opts.clock.nowMs();
@@ -93,7 +93,7 @@
         if (path.startsWith("/services/")) {
             return this.plainRoute.handle(context);
         }
-        throw new KnapweedError("PATH_UNKNOWN", `There is nothing at ${method} ${path}`, {
+        throw new KnapweedError("PATH_UNKNOWN", `There is no endpoint at ${method} ${path}`, {
             statusCode: 404,
             outcome: "not-run",
         });
@@ -121,10 +121,10 @@
             callerGone: isCallerDisconnected,
         };
         if (error.code === "ERR_KNAPWEED_INTERNAL") {
-            this.opts.logger.error("request.failed", { ...fields, stack: (error.cause as Error | undefined)?.stack });
+            this.opts.logger.error("request-failed", { ...fields, stack: (error.cause as Error | undefined)?.stack });
             return;
         }
-        this.opts.logger.info("request.failed", fields);
+        this.opts.logger.info("request-failed", fields);
     }
 }
 
--- a/api/callers/src/callersApiOptions.ts
+++ b/api/callers/src/callersApiOptions.ts
@@ -8,7 +8,7 @@
 import type { IdempotentCalls } from "./idempotentCalls.js";
 import type { InferenceBackend } from "./inferenceBackend.js";
 
-/** What the callers' API works with. */
+/** Dependencies and limits of the callers' API. */
 export interface CallersApiOptions {
     configuration: ConfigurationSource;
     backend: InferenceBackend;
--- a/api/callers/src/checkGenerateBody.ts
+++ b/api/callers/src/checkGenerateBody.ts
@@ -10,7 +10,7 @@
     stream: z.boolean().nullish(),
     stream_options: z.looseObject({ include_usage: z.boolean().optional() }).nullish(),
     max_tokens: tokenLimit,
-    n: z.literal(1, { error: "1: several choices in one request are not offered" }).nullish(),
+    n: z.literal(1, { error: "must be 1, several choices in one request are not supported" }).nullish(),
 };
 
 const message = z.looseObject({
@@ -26,7 +26,7 @@
 
 const completionSchema = z.looseObject({ ...sharedShape, prompt: z.string() });
 
-/** Checks the body of a generation. Throws `REQUEST_INVALID` (400) that names the first wrong parameter. */
+/** Validates the body of a generation request. Throws `REQUEST_INVALID` (400) with the first invalid parameter. */
 export function checkGenerateBody(endpoint: GenerateRequest["endpoint"], body: JsonObject): void {
     const checked = (endpoint === "/v1/chat/completions" ? chatSchema : completionSchema).safeParse(body);
     if (checked.success) {
@@ -34,7 +34,7 @@
     }
     const issue = checked.error.issues[0];
     const parameter = issue?.path.map(String).join(".") ?? "";
-    throw new KnapweedError("REQUEST_INVALID", `${parameter}: ${issue?.message ?? "is wrong"}`, {
+    throw new KnapweedError("REQUEST_INVALID", `${parameter}: ${issue?.message ?? "is invalid"}`, {
         statusCode: 400,
         outcome: "not-run",
         parameter,
--- a/api/callers/src/embeddingRoute.ts
+++ b/api/callers/src/embeddingRoute.ts
@@ -6,7 +6,7 @@
 import type { RequestContext } from "./requestContext.js";
 import { serviceForModel } from "./serviceForModel.js";
 
-/** `POST /v1/embeddings`. */
+/** Handles `POST /v1/embeddings`. */
 export class EmbeddingRoute {
     private readonly opts: CallersApiOptions;
 
@@ -14,6 +14,7 @@
         this.opts = opts;
     }
 
+    /** Sends the embeddings. Rejects with an error of the request, its admission or the backend. */
     async handle(context: RequestContext): Promise<void> {
         const body = await readJson(context.request, this.opts.maxBodyBytes);
         const service = serviceForModel(context, body["model"]);
--- a/api/callers/src/estimateTokens.ts
+++ b/api/callers/src/estimateTokens.ts
@@ -3,7 +3,7 @@
 const CHARACTERS_PER_TOKEN = 4;
 const DEFAULT_COMPLETION_TOKENS = 256;
 
-/** Upper estimate of the tokens that a generation takes, prompt and completion together. */
+/** Returns an upper estimate of the tokens that a request uses, prompt and completion together. */
 export function estimateTokens(body: JsonObject): number {
     const prompt = JSON.stringify(body["messages"] ?? body["prompt"] ?? body["input"] ?? "");
     const limit = body["max_completion_tokens"] ?? body["max_tokens"];
--- a/api/callers/src/fileObject.ts
+++ b/api/callers/src/fileObject.ts
@@ -2,7 +2,7 @@
 
 const MS_PER_SECOND = 1000;
 
-/** A file in the published form of the OpenAI API. */
+/** Converts a file record to the file object of the OpenAI API. */
 export function fileObject(file: FileRecord): object {
     return {
         id: file.fileId,
--- a/api/callers/src/fileRoutes.ts
+++ b/api/callers/src/fileRoutes.ts
@@ -7,7 +7,7 @@
 import { readUpload } from "./readUpload.js";
 import type { RequestContext } from "./requestContext.js";
 
-/** Paths under `/v1/files`. */
+/** Handles requests to `/v1/files` and the paths under it. */
 export class FileRoutes {
     private readonly opts: CallersApiOptions;
 
@@ -15,6 +15,7 @@
         this.opts = opts;
     }
 
+    /** Handles a request. Rejects with `PATH_UNKNOWN` (404), or an error of the upload or the batch service. */
     async handle(context: RequestContext): Promise<void> {
         const [, , , fileId, part] = context.path.split("/");
         const method = context.request.method ?? "GET";
@@ -32,7 +33,7 @@
         if (part === undefined) {
             return writeJson(context.response, fileObject(await this.opts.batches.getFile(target)));
         }
-        throw new KnapweedError("PATH_UNKNOWN", `There is nothing at ${context.path}`, {
+        throw new KnapweedError("PATH_UNKNOWN", `There is no endpoint at ${context.path}`, {
             statusCode: 404,
             outcome: "not-run",
         });
--- a/api/callers/src/generateRoute.ts
+++ b/api/callers/src/generateRoute.ts
@@ -18,7 +18,7 @@
 import { ServerSentEvents } from "./serverSentEvents.js";
 import { serviceForModel } from "./serviceForModel.js";
 
-/** `POST /v1/chat/completions` and `POST /v1/completions`. */
+/** Handles `POST /v1/chat/completions` and `POST /v1/completions`. */
 export class GenerateRoute {
     private readonly opts: CallersApiOptions;
 
@@ -26,6 +26,10 @@
         this.opts = opts;
     }
 
+    /**
+     * Sends the completion, as server-sent events if the body has `stream: true`. Rejects only before the response has
+     * begun; a later failure is sent as the last event of the stream.
+     */
     async handle(context: RequestContext, endpoint: GenerateRequest["endpoint"]): Promise<void> {
         const body = await readJson(context.request, this.opts.maxBodyBytes);
         checkGenerateBody(endpoint, body);
@@ -115,7 +119,7 @@
         return new CompletionAssembler({ request, answerId: randomUUID(), createdAtMs: this.opts.clock.nowMs() });
     }
 
-    /** Yields the events up to the finish; throws where a stream ends without one. */
+    /** Yields the events up to the finish event. Throws `STREAM_CUT` if the stream ends without one. */
     private async *events(
         context: RequestContext,
         service: ServiceDefinition,
@@ -138,6 +142,6 @@
                 return;
             }
         }
-        throw new KnapweedError("STREAM_CUT", "The upstream's answer ended early", { outcome: "unknown" });
+        throw new KnapweedError("STREAM_CUT", "The upstream's response ended early", { outcome: "unknown" });
     }
 }
--- a/api/callers/src/idempotentJsonCall.ts
+++ b/api/callers/src/idempotentJsonCall.ts
@@ -4,7 +4,7 @@
 import type { IdempotentCalls } from "./idempotentCalls.js";
 import type { RequestContext } from "./requestContext.js";
 
-/** Runs a JSON call under its idempotency key; undefined where the request carries none. */
+/** Runs a JSON call under its idempotency key. Returns undefined if the request has none. */
 export function idempotentJsonCall(
     context: RequestContext,
     idempotentCalls: IdempotentCalls,
--- a/api/callers/src/inferenceBackend.ts
+++ b/api/callers/src/inferenceBackend.ts
@@ -6,13 +6,13 @@
 import type { JsonObject } from "@knapweedwood/engines.model-engine/jsonObject";
 import type { BackendCallOptions } from "./backendCallOptions.js";
 
-/** Runs callers' requests at upstreams. Throws KnapweedErrors with a truthful outcome. */
+/** Runs callers' requests at upstreams. Throws `KnapweedError` with an accurate outcome. */
 export interface InferenceBackend {
     generate(
         opts: BackendCallOptions & { service: ServiceDefinition; request: GenerateRequest; },
     ): AsyncIterable<GenerateEvent>;
     embed(opts: BackendCallOptions & { service: ServiceDefinition; body: JsonObject; }): Promise<JsonObject>;
-    /** @param opts.body the request's body in parts; undefined where there is none */
+    /** @param opts.body the chunks of the request's body; undefined if it has none */
     callPlain(
         opts: BackendCallOptions & {
             service: ServiceDefinition;
--- a/api/callers/src/modelObjects.ts
+++ b/api/callers/src/modelObjects.ts
@@ -6,7 +6,10 @@
 
 const LIST_PATH = "/v1/models";
 
-/** The list of models, or the one named by the path. Throws `MODEL_UNKNOWN` (404). */
+/**
+ * Returns the models that a team may call, or the one whose name is in the path, in the format of the OpenAI API.
+ * Throws `MODEL_UNKNOWN` (404).
+ */
 export function modelObjects(view: ConfigurationView, teamId: TeamId, path: string): object {
     const models = view.services()
         .filter(service => mayCall(service, teamId))
--- a/api/callers/src/parseDuration.ts
+++ b/api/callers/src/parseDuration.ts
@@ -3,7 +3,7 @@
 const DURATION_PATTERN = /^(\d+)([dhms])$/u;
 const UNIT_MS: { [unit: string]: number; } = { d: 86_400_000, h: 3_600_000, m: 60_000, s: 1000 };
 
-/** Milliseconds of a duration such as `24h`. Throws `REQUEST_INVALID` (400). */
+/** Returns the milliseconds of a duration such as `24h`; undefined without one. Throws `REQUEST_INVALID` (400). */
 export function parseDuration(text: string | undefined): number | undefined {
     if (text === undefined) {
         return undefined;
--- a/api/callers/src/plainRoute.ts
+++ b/api/callers/src/plainRoute.ts
@@ -16,7 +16,10 @@
 const SERVICE_PATH_PATTERN = /^\/services\/([^/]+)(\/.*)?$/u;
 const HEADERS_NOT_FORWARDED = ["host", "authorization", "content-length"];
 
-/** Passes calls under `/services/NAME/` to a plain service, streamed both ways. */
+/**
+ * Forwards calls under `/services/NAME/` to a plain service. Both bodies are streamed, except for calls that run under
+ * an idempotency key.
+ */
 export class PlainRoute {
     private readonly opts: CallersApiOptions;
 
@@ -24,6 +27,7 @@
         this.opts = opts;
     }
 
+    /** Forwards a call. Rejects with `SERVICE_UNKNOWN` (404), or an error of the body, the admission or the backend. */
     async handle(context: RequestContext): Promise<void> {
         const { service, path } = this.resolve(context);
         const release = this.opts.admission.admit({ caller: context.caller, service, tokens: 0 });
@@ -125,7 +129,7 @@
         }
     }
     if (head === undefined) {
-        throw new KnapweedError("STREAM_CUT", "The upstream's answer ended early", { outcome: "unknown" });
+        throw new KnapweedError("STREAM_CUT", "The upstream's response ended early", { outcome: "unknown" });
     }
     return { statusCode: head.statusCode, headers: head.headers, body: Buffer.concat(parts) };
 }
--- a/api/callers/src/readUpload.ts
+++ b/api/callers/src/readUpload.ts
@@ -5,9 +5,9 @@
 import type { Readable } from "node:stream";
 
 /**
- * Reads a multipart upload, streamed. Throws `UPLOAD_INVALID` (400) or `BODY_TOO_LARGE` (413).
+ * Streams the file of a multipart upload to `store`. Rejects with `UPLOAD_INVALID` (400) or `BODY_TOO_LARGE` (413).
  *
- * @param store takes the file's content; the form's fields that came before the file are given to it
+ * @param opts.store stores the file's content; `purpose` is read only from a form field that precedes the file
  */
 export function readUpload<Stored>(
     request: IncomingMessage,
@@ -33,7 +33,7 @@
             });
             stored.catch((thrown: unknown) => reject(toKnapweedError(thrown)));
         });
-        parser.on("error", cause => reject(invalidUpload("The form can't be read", cause)));
+        parser.on("error", cause => reject(invalidUpload("The multipart form can't be parsed", cause)));
         parser.on("close", () => {
             if (stored === undefined) {
                 reject(invalidUpload("The form has no file"));
@@ -41,7 +41,7 @@
             }
             stored.then(resolve, reject);
         });
-        request.once("aborted", () => parser.destroy(new Error("The request was cut")));
+        request.once("aborted", () => parser.destroy(new Error("The request was aborted")));
         request.pipe(parser);
     });
 }
@@ -51,7 +51,7 @@
         return busboy({ headers: request.headers, limits: { files: 1, fileSize: maxBytes + 1 } });
     }
     catch (cause) {
-        throw invalidUpload("The request is not a form with a file", cause);
+        throw invalidUpload("The request is not a multipart form with a file", cause);
     }
 }
 
--- a/api/callers/src/recordedResponse.ts
+++ b/api/callers/src/recordedResponse.ts
@@ -1,6 +1,6 @@
 import type { HeaderField } from "@knapweedwood/core.http-headers/headerField";
 
-/** A whole answer, kept under the call's idempotency key. */
+/** A whole response, stored under the call's idempotency key. */
 export interface RecordedResponse {
     statusCode: number;
     headers: HeaderField[];
--- a/api/callers/src/requestContext.ts
+++ b/api/callers/src/requestContext.ts
@@ -3,7 +3,7 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { Caller } from "./caller.js";
 
-/** One request of a caller, authenticated. */
+/** An authenticated request of a caller. */
 export interface RequestContext {
     request: IncomingMessage;
     response: ServerResponse;
@@ -12,7 +12,7 @@
     query: URLSearchParams;
     caller: Caller;
     view: ConfigurationView;
-    /** Aborted when the caller goes away before the answer has ended. */
+    /** Aborted when the caller disconnects before the response has ended. */
     signal: AbortSignal;
     span: TraceSpan;
 }
--- a/api/callers/src/serverSentEvents.ts
+++ b/api/callers/src/serverSentEvents.ts
@@ -18,7 +18,7 @@
         });
     }
 
-    /** @param events JSON objects, an event each, shape [events] */
+    /** @param events a JSON object per event, shape [events] */
     async send(events: object[], signal: AbortSignal): Promise<void> {
         await this.write(events.map(data => `data: ${JSON.stringify(data)}\n\n`).join(""), signal);
     }
@@ -27,7 +27,7 @@
         this.response.end("data: [DONE]\n\n");
     }
 
-    /** Ends a stream that failed after it had begun: the last event carries the error and no `[DONE]` follows. */
+    /** Ends a stream that failed after it had begun. The last event contains the error, and no `[DONE]` follows. */
     fail(error: object): void {
         this.response.end(`data: ${JSON.stringify(error)}\n\n`);
     }
--- a/api/callers/src/serviceForModel.ts
+++ b/api/callers/src/serviceForModel.ts
@@ -4,10 +4,10 @@
 import { mayCall } from "./mayCall.js";
 import type { RequestContext } from "./requestContext.js";
 
-/** The service that offers the model a request names. Throws `MODEL_MISSING` (400) or `MODEL_UNKNOWN` (404). */
+/** Returns the service of the requested model. Throws `MODEL_MISSING` (400) or `MODEL_UNKNOWN` (404). */
 export function serviceForModel(context: RequestContext, model: unknown): ServiceDefinition {
     if (typeof model !== "string" || model === "") {
-        throw new KnapweedError("MODEL_MISSING", "The request names no model", {
+        throw new KnapweedError("MODEL_MISSING", "The request has no model", {
             statusCode: 400,
             outcome: "not-run",
             parameter: "model",
--- a/api/callers/test/requestValidation.test.ts
+++ b/api/callers/test/requestValidation.test.ts
@@ -5,25 +5,25 @@
 
 const CHAT = { model: "m", messages: [{ role: "user", content: "hello" }] };
 
-test("bodies that clients send are accepted, unknown fields among them", () => {
+test("bodies that clients send are accepted, including unknown fields", () => {
     checkGenerateBody("/v1/chat/completions", { ...CHAT, temperature: 0.2, max_tokens: null });
     checkGenerateBody("/v1/completions", { model: "m", prompt: "hello", stream: true });
 });
 
-test("a wrong body names the parameter", () => {
-    const wrong = (body: { [field: string]: unknown; }, parameter: string) =>
+test("an invalid body is rejected with the name of the parameter", () => {
+    const assertInvalid = (body: { [field: string]: unknown; }, parameter: string) =>
         assert.throws(() => checkGenerateBody("/v1/chat/completions", body), {
             code: "ERR_KNAPWEED_REQUEST_INVALID",
             parameter,
             outcome: "not-run",
         });
-    wrong({ ...CHAT, max_tokens: 0 }, "max_tokens");
-    wrong({ ...CHAT, messages: "hello" }, "messages");
-    wrong({ ...CHAT, n: 2 }, "n");
-    wrong({ ...CHAT, stream: "yes" }, "stream");
+    assertInvalid({ ...CHAT, max_tokens: 0 }, "max_tokens");
+    assertInvalid({ ...CHAT, messages: "hello" }, "messages");
+    assertInvalid({ ...CHAT, n: 2 }, "n");
+    assertInvalid({ ...CHAT, stream: "yes" }, "stream");
 });
 
-test("durations are read with their unit and refused without one", () => {
+test("durations are parsed with their unit and rejected without one", () => {
     assert.equal(parseDuration("24h"), 86_400_000);
     assert.equal(parseDuration("90s"), 90_000);
     assert.equal(parseDuration(undefined), undefined);
