--- a/api/operators/src/addUsage.ts
+++ b/api/operators/src/addUsage.ts
@@ -1,6 +1,6 @@
 import type { UsageTotals } from "./usageTotals.js";
 
-/** The sum of two totals. */
+/** Returns the sum of two totals. Missing counts are 0. */
 export function addUsage(left: Partial<UsageTotals>, right: Partial<UsageTotals>): UsageTotals {
     return {
         calls: (left.calls ?? 0) + (right.calls ?? 0),
--- a/api/operators/src/bodySchemas.ts
+++ b/api/operators/src/bodySchemas.ts
@@ -10,7 +10,7 @@
     message: z.string().max(MAX_MESSAGE_CHARACTERS).default(""),
 };
 
-/** Bodies that the operators' API accepts. */
+/** Schemas of the request bodies of the operators' API. */
 export const bodySchemas = {
     createTeam: teamSchema,
     changeTeam: z.strictObject({
--- a/api/operators/src/changesFromFiles.ts
+++ b/api/operators/src/changesFromFiles.ts
@@ -9,7 +9,10 @@
 import { forbidden } from "./forbidden.js";
 import type { OperatorCaller } from "./operatorCaller.js";
 
-/** The changes that service files ask for. Throws `SERVICE_FILES_INVALID` with every problem, or `ROLE_FORBIDDEN`. */
+/**
+ * Returns the configuration changes that service files define. Throws `SERVICE_FILES_INVALID` (400) with every problem,
+ * or `ROLE_FORBIDDEN` (403).
+ */
 export function changesFromFiles(
     opts: { files: ServiceFile[]; current: ConfigurationView | undefined; caller: OperatorCaller; },
 ): ConfigurationChange[] {
@@ -20,7 +23,7 @@
     if (opts.caller.role !== "platform-operator") {
         requireOwnServices(definitions.services, opts);
         if (definitions.teams.length > 0) {
-            throw forbidden("Only operators of the platform publish teams");
+            throw forbidden("Only platform operators may publish teams");
         }
     }
     return [
@@ -32,7 +35,7 @@
     ];
 }
 
-/** A team operator neither gives a service to another team nor takes one from it. */
+/** Throws if a team operator would move a service to another team or change a service of another team. */
 function requireOwnServices(
     services: ServiceDefinition[],
     opts: { current: ConfigurationView | undefined; caller: OperatorCaller; },
@@ -43,7 +46,7 @@
             || (before !== undefined && !canManageTeam(opts.caller, before.team));
     });
     if (foreignService !== undefined) {
-        throw forbidden(`The service "${foreignService.name}" is not of team "${opts.caller.teamId}"`);
+        throw forbidden(`The service "${foreignService.name}" does not belong to team "${opts.caller.teamId}"`);
     }
 }
 
--- a/api/operators/src/configurationEditor.ts
+++ b/api/operators/src/configurationEditor.ts
@@ -13,7 +13,7 @@
 
 const LOCAL_ACTIVATION_TIMEOUT_MS = 3_000;
 
-/** Reads the newest configuration and publishes changes to it, for one request. */
+/** Reads the latest configuration and publishes changes to it on behalf of the caller of one request. */
 export class ConfigurationEditor {
     private readonly opts: Pick<OperatorsApiOptions, "publisher" | "configuration">;
     private readonly caller: OperatorCaller;
@@ -23,11 +23,14 @@
         this.caller = caller;
     }
 
-    /** The newest configuration published, which may not be in force here yet. */
+    /**
+     * Returns the latest published configuration, which may not be active in this process yet. Rejects with
+     * `CONFIGURATION_MISSING` (503).
+     */
     async latest(): Promise<ConfigurationView> {
         const view = await this.opts.publisher.current();
         if (view === undefined) {
-            throw new KnapweedError("CONFIGURATION_MISSING", "Nothing has been published yet", {
+            throw new KnapweedError("CONFIGURATION_MISSING", "No configuration has been published yet", {
                 statusCode: 503,
                 outcome: "not-run",
             });
@@ -35,7 +38,7 @@
         return view;
     }
 
-    /** A team that the caller may touch. Throws `TEAM_NOT_FOUND` for any other. */
+    /** Returns a team that the caller may manage. Throws `TEAM_NOT_FOUND` (404) for any other. */
     team(view: ConfigurationView, teamId: string): TeamDefinition {
         const team = canManageTeam(this.caller, teamId) ? view.team(teamId as TeamId) : undefined;
         if (team === undefined) {
@@ -44,7 +47,7 @@
         return team;
     }
 
-    /** A service that the caller may touch. Throws `SERVICE_NOT_FOUND` for any other. */
+    /** Returns a service that the caller may manage. Throws `SERVICE_NOT_FOUND` (404) for any other. */
     service(view: ConfigurationView, name: string): ServiceDefinition {
         const service = view.service(name as ServiceName);
         if (service === undefined || !canManageTeam(this.caller, service.team)) {
@@ -53,7 +56,7 @@
         return service;
     }
 
-    /** Publishes changes made to `view`, and waits a moment until they are in force in this process. */
+    /** Publishes changes based on `view` and waits a few seconds at most until they are active in this process. */
     async publish(
         view: ConfigurationView,
         changes: ConfigurationChange[],
@@ -68,7 +71,10 @@
         return this.waitUntilActive(result);
     }
 
-    /** Waits a moment until a result is in force in this process, so that the next request here sees it. */
+    /**
+     * Waits a few seconds at most until a published result is active in this process, so that the next request to it
+     * sees the change.
+     */
     async waitUntilActive(result: PublishResult): Promise<PublishResult> {
         if (result.published) {
             await this.opts.configuration.waitFor(result.revision, { timeoutMs: LOCAL_ACTIVATION_TIMEOUT_MS });
--- a/api/operators/src/configurationRoutes.ts
+++ b/api/operators/src/configurationRoutes.ts
@@ -13,7 +13,7 @@
 const DEFAULT_HISTORY_LIMIT = 50;
 const MAX_HISTORY_LIMIT = 1_000;
 
-/** Publishing, history, rollback, and on how many processes a revision is in force. */
+/** Returns the routes for publishing, history, rollback, and the number of processes with an active revision. */
 export function configurationRoutes(opts: OperatorsApiOptions): Route[] {
     return [
         {
--- a/api/operators/src/createKey.ts
+++ b/api/operators/src/createKey.ts
@@ -6,7 +6,7 @@
 const SECRET_BYTES = 32;
 const KEY_ID_BYTES = 9;
 
-/** Makes a key. The secret is shown to its holder once; only its hash is kept. */
+/** Creates a key. The secret is returned to its holder only once, and only its hash is stored. */
 export function createKey(
     opts: Pick<KeyRecord, "name" | "role" | "createdAtMs" | "limits">,
 ): { secret: string; record: KeyRecord; } {
--- a/api/operators/src/ensureBootstrapConfiguration.ts
+++ b/api/operators/src/ensureBootstrapConfiguration.ts
@@ -6,10 +6,10 @@
 const BOOTSTRAP_KEY_ID = "bootstrap" as KeyId;
 
 /**
- * Publishes the first configuration, with the team of the platform's operators and its first key, where there is
- * none yet. Several entries may do so at once.
+ * Publishes the first configuration, with the platform operators' team and its first key, if there is none yet. Several
+ * entries may do so at once.
  *
- * @param opts.platformKeyHash SHA-256 of the first key, in hexadecimal
+ * @param opts.platformKeyHash SHA-256 digest of the first key, in hexadecimal
  */
 export async function ensureBootstrapConfiguration(
     opts: { publisher: ConfigurationPublisher; platformKeyHash: string; },
--- a/api/operators/src/fleetInstance.ts
+++ b/api/operators/src/fleetInstance.ts
@@ -1,7 +1,7 @@
 import type { InstanceRecord } from "@knapweedwood/routing.instance-list/instanceRecord";
 
-/** One instance with its link, as seen from this process. */
+/** An instance and the state of this process's link to it. */
 export interface FleetInstance extends InstanceRecord {
-    /** Undefined where this process has no link to it. */
+    /** Undefined if this process has no link to it. */
     linkState: "connecting" | "open" | "suspect" | "closed" | undefined;
 }
--- a/api/operators/src/fleetRoutes.ts
+++ b/api/operators/src/fleetRoutes.ts
@@ -2,7 +2,7 @@
 import { roleSets } from "./roleSets.js";
 import type { Route } from "./route.js";
 
-/** Instances and upstreams with their load. */
+/** Returns the routes that list instances, and upstreams with their load. */
 export function fleetRoutes(opts: OperatorsApiOptions): Route[] {
     return [
         {
--- a/api/operators/src/fleetUpstream.ts
+++ b/api/operators/src/fleetUpstream.ts
@@ -2,7 +2,7 @@
 import type { ServiceName } from "@knapweedwood/core.ids/serviceName";
 import type { ZoneName } from "@knapweedwood/core.ids/zoneName";
 
-/** One upstream with its load, as seen from this process. */
+/** An upstream and its load, as seen from this process. */
 export interface FleetUpstream {
     instanceId: InstanceId;
     service: ServiceName;
--- a/api/operators/src/fleetView.ts
+++ b/api/operators/src/fleetView.ts
@@ -1,7 +1,7 @@
 import type { FleetInstance } from "./fleetInstance.js";
 import type { FleetUpstream } from "./fleetUpstream.js";
 
-/** The fleet, as this process sees it. */
+/** Lists instances and upstreams, as seen from this process. */
 export interface FleetView {
     instances(): Promise<FleetInstance[]>;
     upstreams(): Promise<FleetUpstream[]>;
--- a/api/operators/src/jobRoutes.ts
+++ b/api/operators/src/jobRoutes.ts
@@ -12,10 +12,10 @@
 
 const DEFAULT_LIMIT = 100;
 const MAX_LIMIT = 1_000;
-/** Each team searched costs a read of the key-value service. */
+/** Searching a team takes one read of the key-value service. */
 const MAX_TEAMS_SEARCHED = 200;
 
-/** Jobs of the caller's team; of any team for operators of the platform. */
+/** Returns the routes for jobs: of the caller's team, or of any team for platform operators. */
 export function jobRoutes(opts: OperatorsApiOptions): Route[] {
     return [
         {
@@ -63,7 +63,7 @@
             statusCode: 400,
             outcome: "not-run",
             parameter: "team",
-            hint: "Name one with ?team=ID.",
+            hint: "Select one with ?team=ID.",
         });
     }
     return searched;
--- a/api/operators/src/keyObject.ts
+++ b/api/operators/src/keyObject.ts
@@ -1,6 +1,6 @@
 import type { KeyRecord } from "@knapweedwood/config.configuration/keyRecord";
 
-/** A key as the API shows it: without its hash. */
+/** Returns a key as the API shows it, without its hash. */
 export function keyObject(key: KeyRecord): object {
     const { keyHash: _keyHash, ...fields } = key;
     return fields;
--- a/api/operators/src/keyRoutes.ts
+++ b/api/operators/src/keyRoutes.ts
@@ -13,7 +13,7 @@
 import { roleSets } from "./roleSets.js";
 import type { Route } from "./route.js";
 
-/** Keys of a team. */
+/** Returns the routes for the keys of a team. */
 export function keyRoutes(opts: OperatorsApiOptions): Route[] {
     return [
         {
@@ -34,7 +34,7 @@
             handle: async ({ caller, parameter, body }) => {
                 const requested = parseBody(bodySchemas.createKey, body);
                 if (requested.role === "platform-operator" && caller.role !== "platform-operator") {
-                    throw forbidden("Only operators of the platform make keys of this role");
+                    throw forbidden("Only platform operators may create keys with this role");
                 }
                 const editor = new ConfigurationEditor(opts, caller);
                 const view = await editor.latest();
@@ -75,14 +75,14 @@
     ];
 }
 
-/** Keeps operators from locking themselves out. */
+/** Throws `LAST_PLATFORM_KEY` (409) if platform operators would lose their last key and so their access. */
 function requireAnotherPlatformKey(view: ConfigurationView, revoked: KeyRecord): void {
     const others = view.teams()
         .flatMap(team => team.keys)
         .filter(key => key.role === "platform-operator" && key.revokedAtMs === undefined)
         .filter(key => key.keyId !== revoked.keyId);
     if (revoked.role === "platform-operator" && others.length === 0) {
-        throw new KnapweedError("LAST_PLATFORM_KEY", "This is the last key of an operator of the platform", {
+        throw new KnapweedError("LAST_PLATFORM_KEY", "This is the last key of a platform operator", {
             statusCode: 409,
             outcome: "not-run",
             hint: "Create another one first.",
--- a/api/operators/src/matchRoute.ts
+++ b/api/operators/src/matchRoute.ts
@@ -1,6 +1,6 @@
 import type { Route } from "./route.js";
 
-/** The route for a request, with the parameters of its path. */
+/** Returns the route for a request and the parameters of its path; undefined if no route matches. */
 export function matchRoute(
     routes: readonly Route[],
     method: string,
--- a/api/operators/src/operatorsApi.ts
+++ b/api/operators/src/operatorsApi.ts
@@ -19,7 +19,7 @@
 const PREFIX = "/admin/v1";
 const MAX_BODY_BYTES = 16 * 1024 * 1024;
 
-/** The operators' API under `/admin/v1`. */
+/** Serves the operators' API under `/admin/v1`. */
 export class OperatorsApi {
     private readonly opts: OperatorsApiOptions;
     private readonly routes: Route[];
@@ -38,9 +38,9 @@
     }
 
     /**
-     * Answers a request of an authenticated caller; errors are answered too.
+     * Handles a request of an authenticated caller. Failures are sent as error responses.
      *
-     * @returns false where there is nothing at the path, and nothing was answered
+     * @returns false if no route matches, in which case no response was sent
      */
     async handle(request: IncomingMessage, response: ServerResponse, caller: OperatorCaller): Promise<boolean> {
         const url = new URL(request.url ?? "/", "http://entry");
@@ -78,7 +78,7 @@
         const body = route.method === "GET" ? {} : await readOptionalJson(call.request);
         const isChange = route.method !== "GET";
         if (isChange) {
-            this.opts.logger.info("operators.request", {
+            this.opts.logger.info("operators-request", {
                 method: route.method,
                 path: call.request.url,
                 keyId: caller.keyId,
--- a/api/operators/src/operatorsApiOptions.ts
+++ b/api/operators/src/operatorsApiOptions.ts
@@ -8,17 +8,17 @@
 import type { FleetView } from "./fleetView.js";
 import type { UsageView } from "./usageView.js";
 
-/** What an {@link OperatorsApi} works with. */
+/** Dependencies of {@link OperatorsApi}. */
 export interface OperatorsApiOptions {
     publisher: ConfigurationPublisher;
-    /** The configuration in force here, and on how many processes it is. */
+    /** The configuration that is active in this process, and the number of processes where it is active. */
     configuration: ConfigurationSource & {
         inForce(revision?: Revision): Promise<InForceReport>;
         waitFor(revision: Revision, opts: { timeoutMs: number; }): Promise<boolean>;
     };
     jobs: BatchService;
     fleet: FleetView;
-    /** Undefined where usage is not metered. */
+    /** Undefined if usage is not metered. */
     usage: UsageView | undefined;
     clock: Clock;
     logger: Logger;
--- a/api/operators/src/parseBody.ts
+++ b/api/operators/src/parseBody.ts
@@ -1,7 +1,7 @@
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 import type { z } from "zod";
 
-/** Checks a body. Throws `BODY_INVALID` with every problem. */
+/** Validates a body and returns it with its defaults. Throws `BODY_INVALID` (400) with every problem. */
 export function parseBody<Schema extends z.ZodType>(schema: Schema, body: unknown): z.output<Schema> {
     const parsed = schema.safeParse(body);
     if (parsed.success) {
--- a/api/operators/src/publishResultObject.ts
+++ b/api/operators/src/publishResultObject.ts
@@ -2,7 +2,7 @@
 import type { RecordDifference } from "@knapweedwood/config.publishing/recordDifference";
 import { isDeepStrictEqual } from "node:util";
 
-/** A publish result as the API shows it. */
+/** Returns a publish result as the API shows it, without the hashes of keys. */
 export function publishResultObject(result: PublishResult): object {
     return {
         revision: result.revision,
--- a/api/operators/src/readNumber.ts
+++ b/api/operators/src/readNumber.ts
@@ -1,6 +1,6 @@
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 
-/** A whole number of the query; undefined where it is absent. Throws `QUERY_INVALID`. */
+/** Returns a whole number of the query; undefined if it is absent. Throws `QUERY_INVALID` (400). */
 export function readNumber(
     query: URLSearchParams,
     name: string,
--- a/api/operators/src/serviceRoutes.ts
+++ b/api/operators/src/serviceRoutes.ts
@@ -9,7 +9,10 @@
 import { roleSets } from "./roleSets.js";
 import type { Route } from "./route.js";
 
-/** Services. They are created and changed by publishing files; limits can be changed by themselves. */
+/**
+ * Returns the routes for services. Services are created and changed by publishing files. Their limits can also be
+ * changed separately.
+ */
 export function serviceRoutes(opts: OperatorsApiOptions): Route[] {
     return [
         {
--- a/api/operators/src/teamRoutes.ts
+++ b/api/operators/src/teamRoutes.ts
@@ -13,7 +13,7 @@
 import type { Route } from "./route.js";
 import { teamObject } from "./teamObject.js";
 
-/** Teams and their limits. */
+/** Returns the routes for teams and their limits. */
 export function teamRoutes(opts: OperatorsApiOptions): Route[] {
     return [
         {
@@ -45,7 +45,7 @@
                 const editor = new ConfigurationEditor(opts, caller);
                 const view = await editor.latest();
                 if (view.teams().some(existing => existing.teamId === team.teamId)) {
-                    throw new KnapweedError("TEAM_EXISTS", `There is a team "${team.teamId}" already`, {
+                    throw new KnapweedError("TEAM_EXISTS", `The team "${team.teamId}" already exists`, {
                         statusCode: 409,
                         outcome: "not-run",
                     });
@@ -64,7 +64,7 @@
                 const changed = parseBody(bodySchemas.changeTeam, body);
                 const changesShare = changed.weight !== undefined || changed.limits !== undefined;
                 if (caller.role !== "platform-operator" && changesShare) {
-                    throw forbidden("Only operators of the platform change a team's weight and limits");
+                    throw forbidden("Only platform operators may change a team's weight and limits");
                 }
                 const editor = new ConfigurationEditor(opts, caller);
                 const view = await editor.latest();
--- a/api/operators/src/usageMeter.ts
+++ b/api/operators/src/usageMeter.ts
@@ -10,7 +10,7 @@
 import type { UsageTotals } from "./usageTotals.js";
 import type { UsageView } from "./usageView.js";
 
-/** Usage of this long is lost at most when a process is killed. */
+/** A process that is killed loses the usage of one period at most. */
 const FLUSH_PERIOD_MS = 30_000;
 const DAY_CHARACTERS = 10;
 const SHARD_DIGITS = 1;
@@ -21,8 +21,9 @@
 }
 
 /**
- * Counts what teams use at this process. Totals of a day are written under keys of this process's own, whole each time,
- * so that a write whose answer was lost can be repeated. What can't be written waits for the key-value service.
+ * Counts the usage of teams in this process. The totals of a day are stored under keys that only this process writes.
+ * Each write contains the whole totals, so that it can be repeated if its response was lost. Totals that can't be
+ * written are kept until the key-value service is available.
  */
 export class UsageMeter implements UsageView {
     private readonly keyValue: KeyValueService;
@@ -34,7 +35,7 @@
     private readonly stopController = new AbortController();
     private flushLoop: Promise<void> = Promise.resolve();
 
-    /** @param opts.processName differs between any two processes, restarts of one instance among them */
+    /** @param opts.processName unique name of this process; it also differs between restarts of an instance */
     constructor(opts: {
         keyValue: KeyValueService;
         clock: Clock;
@@ -53,7 +54,7 @@
         this.flushLoop = this.run();
     }
 
-    /** Writes what is left, and stops. */
+    /** Stops and writes the remaining totals. */
     async stop(): Promise<void> {
         this.stopController.abort();
         await this.flushLoop;
@@ -103,7 +104,7 @@
         }
         catch (thrown) {
             shard.isChanged = true;
-            this.logger.debug("usage.not-written", { key, error: String(thrown) });
+            this.logger.debug("usage-write-failed", { key, error: String(thrown) });
         }
     }
 
--- a/api/operators/src/usageRecord.ts
+++ b/api/operators/src/usageRecord.ts
@@ -1,7 +1,7 @@
 import type { TeamId } from "@knapweedwood/core.ids/teamId";
 import type { UsageTotals } from "./usageTotals.js";
 
-/** Something that a team used. */
+/** Usage of a team to add to its totals. */
 export interface UsageRecord extends Partial<UsageTotals> {
     teamId: TeamId;
 }
--- a/api/operators/src/usageRoutes.ts
+++ b/api/operators/src/usageRoutes.ts
@@ -7,7 +7,7 @@
 const DAY_PATTERN = /^\d{4}-\d{2}-\d{2}$/u;
 const DAY_CHARACTERS = 10;
 
-/** What teams have used in a day. */
+/** Returns the route for the usage of teams in a UTC day. */
 export function usageRoutes(opts: OperatorsApiOptions): Route[] {
     return [
         {
--- a/api/operators/src/usageTotals.ts
+++ b/api/operators/src/usageTotals.ts
@@ -1,4 +1,4 @@
-/** What a team has used, for charge-back. */
+/** Usage of a team, for charge-back. */
 export interface UsageTotals {
     calls: number;
     items: number;
--- a/api/operators/src/usageView.ts
+++ b/api/operators/src/usageView.ts
@@ -1,8 +1,8 @@
 import type { TeamId } from "@knapweedwood/core.ids/teamId";
 import type { UsageTotals } from "./usageTotals.js";
 
-/** What teams have used. */
+/** Reads the usage of teams. */
 export interface UsageView {
-    /** Totals of one UTC day (`YYYY-MM-DD`) by team. */
+    /** Returns the totals of a UTC day (`YYYY-MM-DD`) by team. */
     usageOfDay(day: string): Promise<Map<TeamId, UsageTotals>>;
 }
--- a/api/operators/test/operatorsApi.test.ts
+++ b/api/operators/test/operatorsApi.test.ts
@@ -81,7 +81,7 @@
     return { send, holder, publisher };
 }
 
-test("teams and keys are created, and a key is shown once and kept as its hash", async context => {
+test("teams and keys are created, and a key is shown once and stored only as its hash", async context => {
     const { send, holder, publisher } = await setUp(context);
     assert.equal((await send(PLATFORM, "POST", "/teams", { teamId: "cellar" })).status, 201);
     const created = await send(PLATFORM, "POST", "/teams/cellar/keys", { role: "caller", name: "desk" });
@@ -92,11 +92,11 @@
     assert.doesNotMatch(JSON.stringify(await publisher.history()), /kw-/u);
     await send(PLATFORM, "DELETE", `/teams/cellar/keys/${String(created.body["keyId"])}`);
     assert.ok(holder.current()?.findKeyById(created.body["keyId"] as KeyId)?.key.revokedAtMs);
-    const [newest] = await publisher.history({ limit: 1 });
-    assert.equal(newest?.actor, "bootstrap");
+    const [latest] = await publisher.history({ limit: 1 });
+    assert.equal(latest?.actor, "bootstrap");
 });
 
-test("a team's operator sees and touches only its own team", async context => {
+test("a team operator sees and changes only its own team", async context => {
     const { send } = await setUp(context);
     await send(PLATFORM, "POST", "/teams", { teamId: "cellar", limits: { requestsPerSecond: 5 } });
     await send(PLATFORM, "POST", "/teams", { teamId: "desk" });
@@ -117,7 +117,7 @@
     assert.deepEqual(statuses, [404, 404, 403, 403, 403, 403, 404, 403, 200, 200]);
 });
 
-test("files are published with their difference, by those whose services they are", async context => {
+test("files are published with their difference, and only by the team that owns the services", async context => {
     const { send, holder } = await setUp(context);
     await send(PLATFORM, "POST", "/teams", { teamId: "cellar" });
     await send(PLATFORM, "POST", "/teams", { teamId: "desk" });
@@ -130,16 +130,16 @@
     const dry = await send(CELLAR, "POST", "/configuration/publish", { files: files("cellar", 1), dryRun: true });
     assert.equal(dry.body["published"], false);
     assert.equal(holder.current()?.services().length, 0);
-    const done = await send(CELLAR, "POST", "/configuration/publish", { files: files("cellar", 1) });
-    assert.deepEqual([done.status, done.body["published"]], [200, true]);
+    const published = await send(CELLAR, "POST", "/configuration/publish", { files: files("cellar", 1) });
+    assert.deepEqual([published.status, published.body["published"]], [200, true]);
     const foreign = await send({ ...CELLAR, teamId: "desk" as TeamId }, "POST", "/configuration/publish", {
         files: files("desk", 1),
     });
     assert.equal(foreign.status, 403);
-    const wrong = await send(CELLAR, "POST", "/configuration/publish", { files: files("cellar", -1) });
-    assert.match(JSON.stringify(wrong.body), /knapweed\.yaml:1: services\[0\]\.replicas/u);
-    const back = await send(PLATFORM, "POST", "/configuration/rollback", { revision: 3 });
-    assert.equal(back.status, 200);
+    const invalid = await send(CELLAR, "POST", "/configuration/publish", { files: files("cellar", -1) });
+    assert.match(JSON.stringify(invalid.body), /knapweed\.yaml:1: services\[0\]\.replicas/u);
+    const rollback = await send(PLATFORM, "POST", "/configuration/rollback", { revision: 3 });
+    assert.equal(rollback.status, 200);
     assert.equal(holder.current()?.services().length, 0);
     const difference = await send(PLATFORM, "GET", "/configuration/difference?from=4&to=5");
     assert.deepEqual((difference.body["difference"] as Json[]).map(changed => changed["kind"]), ["removed"]);
@@ -154,7 +154,7 @@
     ]);
 });
 
-test("unknown fields, bad JSON and unknown paths get clear errors", async context => {
+test("unknown fields, unknown paths and invalid query values are rejected", async context => {
     const { send } = await setUp(context);
     const unknown = await send(PLATFORM, "POST", "/teams", { teamId: "cellar", colour: "red" });
     assert.deepEqual([unknown.status, (unknown.body["error"] as Json)["code"]], [400, "ERR_KNAPWEED_BODY_INVALID"]);
--- a/api/operators/test/usageMeter.test.ts
+++ b/api/operators/test/usageMeter.test.ts
@@ -11,7 +11,7 @@
 const cellar = "cellar" as TeamId;
 const DAY = "2026-12-03";
 
-test("usage is summed over processes and survives restarts, an outage and lost answers", async () => {
+test("usage is summed over processes and survives restarts, an outage and lost responses", async () => {
     const clock = new ManualClock(Date.parse(`${DAY}T12:00:00Z`));
     const keyValue = new MemoryKeyValueService({ clock });
     const create = (processName: string) =>
@@ -34,7 +34,7 @@
     assert.equal(usage.get("desk" as TeamId)?.calls, 7);
 });
 
-test("a process that is killed loses the usage of half a minute at most, and days are counted apart", async () => {
+test("a killed process loses the usage of half a minute at most, and each day is counted separately", async () => {
     const clock = new ManualClock(Date.parse(`${DAY}T23:59:00Z`));
     const keyValue = new MemoryKeyValueService({ clock });
     const killed = new UsageMeter({ keyValue, clock, logger: silentLogger, region, processName: "entry-1.1" });
