--- a/api/callers/src/callersApi.ts
+++ b/api/callers/src/callersApi.ts
@@ -13,7 +13,7 @@
 import { PlainRoute } from "./plainRoute.js";
 import type { RequestContext } from "./requestContext.js";
 
-/** The callers' API: OpenAI-compatible paths under `/v1`, plain services under `/services/NAME/`. */
+/** Serves the callers' API: OpenAI-compatible paths under `/v1` and plain services under `/services/NAME/`. */
 export class CallersApi {
     private readonly opts: CallersApiOptions;
     private readonly generateRoute: GenerateRoute;
@@ -31,7 +31,7 @@
         this.plainRoute = new PlainRoute(opts);
     }
 
-    /** Answers a request; every failure is answered in the API's error form. */
+    /** Handles a request. Every failure is sent as an error response in the API's format. */
     async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
         const url = new URL(request.url ?? "/", "http://localhost");
         const startedMs = this.opts.clock.nowMs();
@@ -39,10 +39,10 @@
             parent: singleHeader(request, "traceparent"),
             attributes: { "http.method": request.method ?? "", "http.path": url.pathname },
         });
-        const gone = new AbortController();
+        const disconnect = new AbortController();
         response.once("close", () => {
             if (!response.writableFinished) {
-                gone.abort();
+                disconnect.abort();
             }
         });
         try {
@@ -56,14 +56,14 @@
                 query: url.searchParams,
                 caller,
                 view,
-                signal: gone.signal,
+                signal: disconnect.signal,
                 span,
             });
             span.end();
         }
         catch (thrown) {
             const error = toKnapweedError(thrown);
-            this.reportFailure(error, span.traceParent, gone.signal.aborted);
+            this.recordFailure(error, span.traceParent, disconnect.signal.aborted);
             span.end(error);
             writeError(response, error);
         }
@@ -93,7 +93,7 @@
         if (path.startsWith("/services/")) {
             return this.plainRoute.handle(context);
         }
-        throw new KnapweedError("PATH_UNKNOWN", `There is nothing at ${method} ${path}`, {
+        throw new KnapweedError("PATH_UNKNOWN", `There is no endpoint at ${method} ${path}`, {
             statusCode: 404,
             outcome: "not-run",
         });
@@ -110,15 +110,21 @@
         return view;
     }
 
-    private reportFailure(error: KnapweedError, traceParent: string, callerGone: boolean): void {
-        const reason = callerGone ? "caller-gone" : error.code;
+    private recordFailure(error: KnapweedError, traceParent: string, isCallerDisconnected: boolean): void {
+        const reason = isCallerDisconnected ? "caller-gone" : error.code;
         this.opts.metrics.increment("request_failed", { reason });
-        const fields = { code: error.code, outcome: error.outcome, message: error.message, traceParent, callerGone };
+        const fields = {
+            code: error.code,
+            outcome: error.outcome,
+            message: error.message,
+            traceParent,
+            callerGone: isCallerDisconnected,
+        };
         if (error.code === "ERR_KNAPWEED_INTERNAL") {
-            this.opts.logger.error("request.failed", { ...fields, stack: (error.cause as Error | undefined)?.stack });
+            this.opts.logger.error("request-failed", { ...fields, stack: (error.cause as Error | undefined)?.stack });
             return;
         }
-        this.opts.logger.info("request.failed", fields);
+        this.opts.logger.info("request-failed", fields);
     }
 }
 
--- a/api/callers/src/callersApiOptions.ts
+++ b/api/callers/src/callersApiOptions.ts
@@ -5,16 +5,16 @@
 import type { Metrics } from "@knapweedwood/observability.metrics/metrics";
 import type { Tracer } from "@knapweedwood/observability.traces/tracer";
 import type { CallAdmission } from "./callAdmission.js";
+import type { IdempotentCalls } from "./idempotentCalls.js";
 import type { InferenceBackend } from "./inferenceBackend.js";
-import type { KeyedCalls } from "./keyedCalls.js";
 
-/** What the callers' API works with. */
+/** Dependencies and limits of the callers' API. */
 export interface CallersApiOptions {
     configuration: ConfigurationSource;
     backend: InferenceBackend;
     batches: BatchService;
     admission: CallAdmission;
-    keyedCalls: KeyedCalls;
+    idempotentCalls: IdempotentCalls;
     clock: Clock;
     logger: Logger;
     metrics: Metrics;
--- a/api/callers/src/generateRoute.ts
+++ b/api/callers/src/generateRoute.ts
@@ -13,12 +13,12 @@
 import type { CallUsage } from "./callUsage.js";
 import { checkGenerateBody } from "./checkGenerateBody.js";
 import { estimateTokens } from "./estimateTokens.js";
-import { keyedJsonCall } from "./keyedJsonCall.js";
+import { idempotentJsonCall } from "./idempotentJsonCall.js";
 import type { RequestContext } from "./requestContext.js";
 import { ServerSentEvents } from "./serverSentEvents.js";
 import { serviceForModel } from "./serviceForModel.js";
 
-/** `POST /v1/chat/completions` and `POST /v1/completions`. */
+/** Handles `POST /v1/chat/completions` and `POST /v1/completions`. */
 export class GenerateRoute {
     private readonly opts: CallersApiOptions;
 
@@ -26,6 +26,10 @@
         this.opts = opts;
     }
 
+    /**
+     * Sends the completion, as server-sent events if the body has `stream: true`. Rejects only before the response has
+     * begun; a later failure is sent as the last event of the stream.
+     */
     async handle(context: RequestContext, endpoint: GenerateRequest["endpoint"]): Promise<void> {
         const body = await readJson(context.request, this.opts.maxBodyBytes);
         checkGenerateBody(endpoint, body);
@@ -39,10 +43,10 @@
         try {
             const request: GenerateRequest = { endpoint, body };
             if (body["stream"] === true) {
-                await this.answerStream(context, service, request, used);
+                await this.sendEvents(context, service, request, used);
             }
             else {
-                await this.answerWhole(context, service, request, used);
+                await this.sendJson(context, service, request, used);
             }
         }
         finally {
@@ -50,15 +54,19 @@
         }
     }
 
-    private async answerWhole(
+    private async sendJson(
         context: RequestContext,
         service: ServiceDefinition,
         request: GenerateRequest,
         used: CallUsage,
     ): Promise<void> {
         const run = () => this.collect(context, service, request, used);
-        const keyed = keyedJsonCall(context, this.opts.keyedCalls, { service, body: request.body, run });
-        writeJson(context.response, await (keyed ?? run()));
+        const idempotentCall = idempotentJsonCall(context, this.opts.idempotentCalls, {
+            service,
+            body: request.body,
+            run,
+        });
+        writeJson(context.response, await (idempotentCall ?? run()));
     }
 
     private async collect(
@@ -74,7 +82,7 @@
         return assembler.response();
     }
 
-    private async answerStream(
+    private async sendEvents(
         context: RequestContext,
         service: ServiceDefinition,
         request: GenerateRequest,
@@ -111,7 +119,7 @@
         return new CompletionAssembler({ request, answerId: randomUUID(), createdAtMs: this.opts.clock.nowMs() });
     }
 
-    /** Yields the events up to the finish; throws where a stream ends without one. */
+    /** Yields the events up to the finish event. Throws `STREAM_CUT` if the stream ends without one. */
     private async *events(
         context: RequestContext,
         service: ServiceDefinition,
@@ -134,6 +142,6 @@
                 return;
             }
         }
-        throw new KnapweedError("STREAM_CUT", "The upstream's answer ended early", { outcome: "unknown" });
+        throw new KnapweedError("STREAM_CUT", "The upstream's response ended early", { outcome: "unknown" });
     }
 }
--- a/api/callers/src/readUpload.ts
+++ b/api/callers/src/readUpload.ts
@@ -5,9 +5,9 @@
 import type { Readable } from "node:stream";
 
 /**
- * Reads a multipart upload, streamed. Throws `UPLOAD_INVALID` (400) or `BODY_TOO_LARGE` (413).
+ * Streams the file of a multipart upload to `store`. Rejects with `UPLOAD_INVALID` (400) or `BODY_TOO_LARGE` (413).
  *
- * @param store takes the file's content; the form's fields that came before the file are given to it
+ * @param opts.store stores the file's content; `purpose` is read only from a form field that precedes the file
  */
 export function readUpload<Stored>(
     request: IncomingMessage,
@@ -29,19 +29,19 @@
             stored = opts.store({
                 fileName: info.filename ?? "upload",
                 purpose,
-                content: limited(content, opts.maxBytes),
+                content: limitSize(content, opts.maxBytes),
             });
             stored.catch((thrown: unknown) => reject(toKnapweedError(thrown)));
         });
-        parser.on("error", cause => reject(invalid("The form can't be read", cause)));
+        parser.on("error", cause => reject(invalidUpload("The multipart form can't be parsed", cause)));
         parser.on("close", () => {
             if (stored === undefined) {
-                reject(invalid("The form has no file"));
+                reject(invalidUpload("The form has no file"));
                 return;
             }
             stored.then(resolve, reject);
         });
-        request.once("aborted", () => parser.destroy(new Error("The request was cut")));
+        request.once("aborted", () => parser.destroy(new Error("The request was aborted")));
         request.pipe(parser);
     });
 }
@@ -51,11 +51,11 @@
         return busboy({ headers: request.headers, limits: { files: 1, fileSize: maxBytes + 1 } });
     }
     catch (cause) {
-        throw invalid("The request is not a form with a file", cause);
+        throw invalidUpload("The request is not a multipart form with a file", cause);
     }
 }
 
-async function* limited(content: Readable, maxBytes: number): AsyncIterable<Uint8Array> {
+async function* limitSize(content: Readable, maxBytes: number): AsyncIterable<Uint8Array> {
     let sizeBytes = 0;
     for await (const chunk of content as AsyncIterable<Buffer>) {
         sizeBytes += chunk.length;
@@ -69,6 +69,6 @@
     }
 }
 
-function invalid(message: string, cause?: unknown): KnapweedError {
+function invalidUpload(message: string, cause?: unknown): KnapweedError {
     return new KnapweedError("UPLOAD_INVALID", message, { statusCode: 400, outcome: "not-run", cause });
 }
--- a/api/http/src/httpListener.ts
+++ b/api/http/src/httpListener.ts
@@ -9,14 +9,14 @@
 const HEADERS_TIMEOUT_MS = 10_000;
 const REQUEST_TIMEOUT_MS = 600_000;
 const KEEP_ALIVE_TIMEOUT_MS = 75_000;
-const CONNECTIONS_CHECK_MS = 2_000;
+const CONNECTIONS_CHECK_INTERVAL_MS = 2_000;
 
 interface TlsFiles {
     certificateFile: string;
     keyFile: string;
 }
 
-/** An HTTP server, with TLS where certificates are given; a changed certificate is taken up without a restart. */
+/** Serves HTTP, or HTTPS if a certificate is given. A changed certificate is loaded without a restart. */
 export class HttpListener {
     private readonly server: Server | TlsServer;
     private readonly stopWatching: () => void;
@@ -32,7 +32,7 @@
             headersTimeout: HEADERS_TIMEOUT_MS,
             requestTimeout: REQUEST_TIMEOUT_MS,
             keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
-            connectionsCheckingInterval: CONNECTIONS_CHECK_MS,
+            connectionsCheckingInterval: CONNECTIONS_CHECK_INTERVAL_MS,
             noDelay: true,
         };
         if (opts.tls === undefined) {
@@ -40,12 +40,16 @@
             this.stopWatching = () => undefined;
             return;
         }
-        const secure = createTlsServer({ ...timeouts, ...readCertificate(opts.tls) }, listener);
-        this.server = secure;
-        this.stopWatching = reloadOnChange(secure, opts.tls);
+        const tlsServer = createTlsServer({ ...timeouts, ...readCertificate(opts.tls) }, listener);
+        this.server = tlsServer;
+        this.stopWatching = reloadCertificateOnChange(tlsServer, opts.tls);
     }
 
-    /** @returns the port bound */
+    /**
+     * Starts to listen. Rejects with `LISTEN_FAILED` if the address can't be bound.
+     *
+     * @returns the port that is bound, which differs from `port` if that is 0
+     */
     async listen(host: string, port: number): Promise<number> {
         await new Promise<void>((resolve, reject) => {
             this.server.once("error", cause => {
@@ -56,16 +60,19 @@
         return (this.server.address() as AddressInfo).port;
     }
 
-    /** Accepts no new connections, lets requests in progress end, and cuts off what is left after `graceMs`. */
+    /**
+     * Stops accepting connections and waits for requests in progress. Connections that are still open after `graceMs`
+     * milliseconds are closed.
+     */
     async close(graceMs: number): Promise<void> {
         this.stopWatching();
         const closed = new Promise<void>(resolve => this.server.close(() => resolve()));
         this.server.closeIdleConnections();
-        const idleSweep = setInterval(() => this.server.closeIdleConnections(), CONNECTIONS_CHECK_MS / 20);
-        const cutOff = setTimeout(() => this.server.closeAllConnections(), graceMs);
+        const idleTimer = setInterval(() => this.server.closeIdleConnections(), CONNECTIONS_CHECK_INTERVAL_MS / 20);
+        const graceTimer = setTimeout(() => this.server.closeAllConnections(), graceMs);
         await closed;
-        clearInterval(idleSweep);
-        clearTimeout(cutOff);
+        clearInterval(idleTimer);
+        clearTimeout(graceTimer);
     }
 }
 
@@ -73,13 +80,13 @@
     return { cert: readFileSync(tls.certificateFile), key: readFileSync(tls.keyFile) };
 }
 
-function reloadOnChange(server: TlsServer, tls: TlsFiles): () => void {
+function reloadCertificateOnChange(server: TlsServer, tls: TlsFiles): () => void {
     return watchFile(tls.certificateFile, () => {
         try {
             server.setSecureContext(readCertificate(tls));
         }
         catch {
-            // A half-written pair is read again at its next change.
+            // The certificate and key are partly written. They are read again at the next change.
         }
     });
 }
--- a/api/operators/src/changesOfFiles.ts
+++ b/api/operators/src/changesFromFiles.ts
@@ -5,22 +5,25 @@
 import type { ServiceFile } from "@knapweedwood/config.service-files/serviceFile";
 import type { YamlProblem } from "@knapweedwood/config.yaml/yamlProblem";
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
+import { canManageTeam } from "./canManageTeam.js";
 import { forbidden } from "./forbidden.js";
-import { mayTouchTeam } from "./mayTouchTeam.js";
 import type { OperatorCaller } from "./operatorCaller.js";
 
-/** The changes that service files ask for. Throws `SERVICE_FILES_INVALID` with every problem, or `ROLE_FORBIDDEN`. */
-export function changesOfFiles(
+/**
+ * Returns the configuration changes that service files define. Throws `SERVICE_FILES_INVALID` (400) with every problem,
+ * or `ROLE_FORBIDDEN` (403).
+ */
+export function changesFromFiles(
     opts: { files: ServiceFile[]; current: ConfigurationView | undefined; caller: OperatorCaller; },
 ): ConfigurationChange[] {
     const { definitions, problems } = parseServiceFiles(opts.files, { current: opts.current });
     if (problems.length > 0) {
-        throw invalid(problems);
+        throw invalidFiles(problems);
     }
     if (opts.caller.role !== "platform-operator") {
         requireOwnServices(definitions.services, opts);
         if (definitions.teams.length > 0) {
-            throw forbidden("Only operators of the platform publish teams");
+            throw forbidden("Only platform operators may publish teams");
         }
     }
     return [
@@ -32,22 +35,22 @@
     ];
 }
 
-/** A team operator neither gives a service to another team nor takes one from it. */
+/** Throws if a team operator would move a service to another team or change a service of another team. */
 function requireOwnServices(
     services: ServiceDefinition[],
     opts: { current: ConfigurationView | undefined; caller: OperatorCaller; },
 ): void {
-    const foreign = services.find(service => {
+    const foreignService = services.find(service => {
         const before = opts.current?.service(service.name);
-        return !mayTouchTeam(opts.caller, service.team)
-            || (before !== undefined && !mayTouchTeam(opts.caller, before.team));
+        return !canManageTeam(opts.caller, service.team)
+            || (before !== undefined && !canManageTeam(opts.caller, before.team));
     });
-    if (foreign !== undefined) {
-        throw forbidden(`The service "${foreign.name}" is not of team "${opts.caller.teamId}"`);
+    if (foreignService !== undefined) {
+        throw forbidden(`The service "${foreignService.name}" does not belong to team "${opts.caller.teamId}"`);
     }
 }
 
-function invalid(problems: YamlProblem[]): KnapweedError {
+function invalidFiles(problems: YamlProblem[]): KnapweedError {
     const lines = problems.map(problem =>
         `${problem.file}:${String(problem.line)}: ${problem.path}: ${problem.expected}`
     );
--- a/api/operators/src/keyRoutes.ts
+++ b/api/operators/src/keyRoutes.ts
@@ -9,11 +9,11 @@
 import { notFound } from "./notFound.js";
 import type { OperatorsApiOptions } from "./operatorsApiOptions.js";
 import { parseBody } from "./parseBody.js";
-import { publishAnswer } from "./publishAnswer.js";
+import { publishResultObject } from "./publishResultObject.js";
 import { roleSets } from "./roleSets.js";
 import type { Route } from "./route.js";
 
-/** Keys of a team. */
+/** Returns the routes for the keys of a team. */
 export function keyRoutes(opts: OperatorsApiOptions): Route[] {
     return [
         {
@@ -22,7 +22,7 @@
             roles: roleSets.operators,
             handle: async ({ caller, parameter }) => {
                 const editor = new ConfigurationEditor(opts, caller);
-                const team = editor.team(await editor.newest(), parameter("teamId"));
+                const team = editor.team(await editor.latest(), parameter("teamId"));
                 return { keys: team.keys.map(keyObject) };
             },
         },
@@ -32,20 +32,20 @@
             roles: roleSets.operators,
             statusCode: 201,
             handle: async ({ caller, parameter, body }) => {
-                const wanted = parseBody(bodySchemas.createKey, body);
-                if (wanted.role === "platform-operator" && caller.role !== "platform-operator") {
-                    throw forbidden("Only operators of the platform make keys of this role");
+                const requested = parseBody(bodySchemas.createKey, body);
+                if (requested.role === "platform-operator" && caller.role !== "platform-operator") {
+                    throw forbidden("Only platform operators may create keys with this role");
                 }
                 const editor = new ConfigurationEditor(opts, caller);
-                const view = await editor.newest();
+                const view = await editor.latest();
                 const { teamId } = editor.team(view, parameter("teamId"));
                 const { secret, record } = createKey({
-                    name: wanted.name,
-                    role: wanted.role,
+                    name: requested.name,
+                    role: requested.role,
                     createdAtMs: Math.round(opts.clock.nowMs()),
-                    ...(wanted.limits === undefined
+                    ...(requested.limits === undefined
                         ? {}
-                        : { limits: wanted.limits as NonNullable<KeyRecord["limits"]> }),
+                        : { limits: requested.limits as NonNullable<KeyRecord["limits"]> }),
                 });
                 const change = { kind: "put" as const, record: { kind: "key" as const, teamId, key: record } };
                 const result = await editor.publish(view, [change], { message: `create key ${record.keyId}` });
@@ -58,7 +58,7 @@
             roles: roleSets.operators,
             handle: async ({ caller, parameter }) => {
                 const editor = new ConfigurationEditor(opts, caller);
-                const view = await editor.newest();
+                const view = await editor.latest();
                 const { teamId, keys } = editor.team(view, parameter("teamId"));
                 const key = keys.find(candidate => candidate.keyId === parameter("keyId"));
                 if (key === undefined) {
@@ -67,7 +67,7 @@
                 requireAnotherPlatformKey(view, key);
                 const revoked = { ...key, revokedAtMs: key.revokedAtMs ?? Math.round(opts.clock.nowMs()) };
                 const change = { kind: "put" as const, record: { kind: "key" as const, teamId, key: revoked } };
-                return publishAnswer(
+                return publishResultObject(
                     await editor.publish(view, [change], { message: `revoke key ${key.keyId}` }),
                 );
             },
@@ -75,14 +75,14 @@
     ];
 }
 
-/** Keeps operators from locking themselves out. */
+/** Throws `LAST_PLATFORM_KEY` (409) if platform operators would lose their last key and so their access. */
 function requireAnotherPlatformKey(view: ConfigurationView, revoked: KeyRecord): void {
     const others = view.teams()
         .flatMap(team => team.keys)
         .filter(key => key.role === "platform-operator" && key.revokedAtMs === undefined)
         .filter(key => key.keyId !== revoked.keyId);
     if (revoked.role === "platform-operator" && others.length === 0) {
-        throw new KnapweedError("LAST_PLATFORM_KEY", "This is the last key of an operator of the platform", {
+        throw new KnapweedError("LAST_PLATFORM_KEY", "This is the last key of a platform operator", {
             statusCode: 409,
             outcome: "not-run",
             hint: "Create another one first.",
--- a/api/operators/src/publishAnswer.ts
+++ b/api/operators/src/publishResultObject.ts
@@ -2,8 +2,8 @@
 import type { RecordDifference } from "@knapweedwood/config.publishing/recordDifference";
 import { isDeepStrictEqual } from "node:util";
 
-/** A publish result as the API shows it. */
-export function publishAnswer(result: PublishResult): object {
+/** Returns a publish result as the API shows it, without the hashes of keys. */
+export function publishResultObject(result: PublishResult): object {
     return {
         revision: result.revision,
         digest: result.digest,
--- a/api/operators/src/usageRoutes.ts
+++ b/api/operators/src/usageRoutes.ts
@@ -1,5 +1,5 @@
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
-import { mayTouchTeam } from "./mayTouchTeam.js";
+import { canManageTeam } from "./canManageTeam.js";
 import type { OperatorsApiOptions } from "./operatorsApiOptions.js";
 import { roleSets } from "./roleSets.js";
 import type { Route } from "./route.js";
@@ -7,7 +7,7 @@
 const DAY_PATTERN = /^\d{4}-\d{2}-\d{2}$/u;
 const DAY_CHARACTERS = 10;
 
-/** What teams have used in a day. */
+/** Returns the route for the usage of teams in a UTC day. */
 export function usageRoutes(opts: OperatorsApiOptions): Route[] {
     return [
         {
@@ -26,7 +26,7 @@
                 }
                 const totals = await opts.usage?.usageOfDay(day) ?? new Map();
                 const teams = [...totals.entries()]
-                    .filter(([teamId]) => mayTouchTeam(caller, teamId))
+                    .filter(([teamId]) => canManageTeam(caller, teamId))
                     .map(([teamId, used]) => ({ teamId, ...used }));
                 return { day, teams };
             },
--- a/daemons/entry/src/claimedCalls.ts
+++ b/daemons/entry/src/claimedCalls.ts
@@ -1,5 +1,5 @@
-import type { KeyedCalls } from "@knapweedwood/api.callers/keyedCalls";
-import type { RecordedAnswer } from "@knapweedwood/api.callers/recordedAnswer";
+import type { IdempotentCalls } from "@knapweedwood/api.callers/idempotentCalls";
+import type { RecordedResponse } from "@knapweedwood/api.callers/recordedResponse";
 import type { ClaimService } from "@knapweedwood/batch.claims/claimService";
 import type { ClaimToken } from "@knapweedwood/batch.claims/claimToken";
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
@@ -12,14 +12,14 @@
 const RETRY_AFTER_MS = 1000;
 
 /** Runs calls with an idempotency key under a claim, at most once. Records the response for repeated requests. */
-export class ClaimedCalls implements KeyedCalls {
+export class ClaimedCalls implements IdempotentCalls {
     private readonly opts: { claims: ClaimService; logger: Logger; };
 
     constructor(opts: ClaimedCalls["opts"]) {
         this.opts = opts;
     }
 
-    async run(opts: Parameters<KeyedCalls["run"]>[0]): Promise<RecordedAnswer> {
+    async run(opts: Parameters<IdempotentCalls["run"]>[0]): Promise<RecordedResponse> {
         const claim = await this.opts.claims.claim({
             teamId: opts.caller.team.teamId,
             service: opts.service,
@@ -58,7 +58,7 @@
         }
     }
 
-    private async runClaimed(token: ClaimToken, run: () => Promise<RecordedAnswer>): Promise<RecordedAnswer> {
+    private async runClaimed(token: ClaimToken, run: () => Promise<RecordedResponse>): Promise<RecordedResponse> {
         const response = await run().catch(async (thrown: unknown) => {
             const error = toKnapweedError(thrown);
             if (error.outcome === "not-run") {
--- a/daemons/entry/src/createEntryHttpHandler.ts
+++ b/daemons/entry/src/createEntryHttpHandler.ts
@@ -36,7 +36,7 @@
         backend: createDispatcher(components, opts.directory),
         batches,
         admission: opts.teamMeter.admission,
-        keyedCalls: new ClaimedCalls({ claims: opts.roles.claims, logger }),
+        idempotentCalls: new ClaimedCalls({ claims: opts.roles.claims, logger }),
         maxBodyBytes: settings.http.maxBodyBytes,
         maxFileBytes: settings.http.maxFileBytes,
     });
