--- a/adapters/http/src/callJson.ts
+++ b/adapters/http/src/callJson.ts
@@ -1,6 +1,6 @@
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 import { toKnapweedError } from "@knapweedwood/core.errors/toKnapweedError";
-import type { HttpAnswer } from "./httpAnswer.js";
+import type { HttpAnswer } from "./httpResponse.js";
 import type { HttpCall } from "./httpCall.js";
 import type { PlatformHttpClient } from "./platformHttpClient.js";
 
--- a/adapters/http/src/platformHttpClient.ts
+++ b/adapters/http/src/platformHttpClient.ts
@@ -2,8 +2,8 @@
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 import { toKnapweedError } from "@knapweedwood/core.errors/toKnapweedError";
 import { Pool } from "undici";
-import { CallCollector } from "./callCollector.js";
-import type { HttpAnswer } from "./httpAnswer.js";
+import { CallCollector } from "./responseCollector.js";
+import type { HttpAnswer } from "./httpResponse.js";
 import type { HttpCall } from "./httpCall.js";
 
 const CONNECT_TIMEOUT_MS = 1000;
--- a/adapters/http/src/callCollector.ts
+++ b/adapters/http/src/responseCollector.ts
@@ -1,5 +1,5 @@
 import type { Dispatcher } from "undici";
-import type { HttpAnswer } from "./httpAnswer.js";
+import type { HttpAnswer } from "./httpResponse.js";
 
 /** Collects one answer, and notes whether the call had begun to be sent. */
 export class CallCollector implements Dispatcher.DispatchHandler {
--- a/adapters/key-value-etcd/src/etcdKeyValueService.ts
+++ b/adapters/key-value-etcd/src/etcdKeyValueService.ts
@@ -1,4 +1,4 @@
-import type { HttpAnswer } from "@knapweedwood/adapters.http/httpAnswer";
+import type { HttpAnswer } from "@knapweedwood/adapters.http/httpResponse";
 import { PlatformHttpClient } from "@knapweedwood/adapters.http/platformHttpClient";
 import type { Clock } from "@knapweedwood/core.clock/clock";
 import { toKnapweedError } from "@knapweedwood/core.errors/toKnapweedError";
--- a/cli/knapweed/test/summarizeMetrics.test.ts
+++ b/cli/knapweed/test/summarizeMetrics.test.ts
@@ -1,4 +1,4 @@
-import { PageMetrics } from "@knapweedwood/observability.metrics/pageMetrics";
+import { PageMetrics } from "@knapweedwood/observability.metrics/prometheusMetrics";
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { summarizeMetrics } from "../src/summarizeMetrics.js";
--- a/daemons/fleet/src/fleetProcess.ts
+++ b/daemons/fleet/src/fleetProcess.ts
@@ -15,7 +15,7 @@
 import type { ProcessSettings } from "@knapweedwood/fleet.view/processSettings";
 import { WebSocketLinkEndpoint } from "@knapweedwood/links.endpoint/webSocketLinkEndpoint";
 import type { Logger } from "@knapweedwood/observability.logs/logger";
-import { PageMetrics } from "@knapweedwood/observability.metrics/pageMetrics";
+import { PageMetrics } from "@knapweedwood/observability.metrics/prometheusMetrics";
 import { PlatformKeyValueService } from "@knapweedwood/platform.adapter/platformKeyValueService";
 import { randomInt } from "node:crypto";
 import { MetricsServer } from "./metricsServer.js";
--- a/daemons/fleet/src/metricsServer.ts
+++ b/daemons/fleet/src/metricsServer.ts
@@ -1,4 +1,4 @@
-import type { PageMetrics } from "@knapweedwood/observability.metrics/pageMetrics";
+import type { PageMetrics } from "@knapweedwood/observability.metrics/prometheusMetrics";
 import { createServer, type Server } from "node:http";
 import { monitorEventLoopDelay } from "node:perf_hooks";
 
--- a/engines/model-engine/src/httpModelEngine.ts
+++ b/engines/model-engine/src/httpModelEngine.ts
@@ -5,7 +5,7 @@
 import { engineErrorOf } from "./engineErrorOf.js";
 import type { EngineLoad } from "./engineLoad.js";
 import type { EngineOrder } from "./engineOrder.js";
-import { engineRefusalOf } from "./engineRefusalOf.js";
+import { engineRefusalOf } from "./engineResponseErrorOf.js";
 import type { EngineState } from "./engineState.js";
 import type { GenerateEvent } from "./generateEvent.js";
 import type { GenerateRequest } from "./generateRequest.js";
--- a/observability/metrics/test/pageMetrics.test.ts
+++ b/observability/metrics/test/prometheusMetrics.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { PageMetrics } from "../src/pageMetrics.js";
+import { PageMetrics } from "../src/prometheusMetrics.js";
 
 test("counters, gauges and durations stand on the page", async () => {
     const metrics = new PageMetrics();
