--- a/adapters/http/src/callJson.ts
+++ b/adapters/http/src/callJson.ts
@@ -1,7 +1,7 @@
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 import { toKnapweedError } from "@knapweedwood/core.errors/toKnapweedError";
-import type { HttpAnswer } from "./httpResponse.js";
 import type { HttpCall } from "./httpCall.js";
+import type { HttpResponse } from "./httpResponse.js";
 import type { PlatformHttpClient } from "./platformHttpClient.js";
 
 const FIRST_OK_STATUS = 200;
@@ -13,14 +13,14 @@
  * sent or was refused with status 503, `unknown` otherwise.
  */
 export async function callJson<Value>(client: PlatformHttpClient, call: HttpCall, errorCode: string): Promise<Value> {
-    const answer = await send(client, call, errorCode);
-    if (answer.statusCode < FIRST_OK_STATUS || answer.statusCode >= FIRST_REDIRECT_STATUS) {
-        throw new KnapweedError(errorCode, `${call.method} ${call.path}: status ${answer.statusCode}.`, {
-            outcome: answer.statusCode === UNAVAILABLE_STATUS ? "not-run" : "unknown",
+    const response = await send(client, call, errorCode);
+    if (response.statusCode < FIRST_OK_STATUS || response.statusCode >= FIRST_REDIRECT_STATUS) {
+        throw new KnapweedError(errorCode, `${call.method} ${call.path}: status ${response.statusCode}.`, {
+            outcome: response.statusCode === UNAVAILABLE_STATUS ? "not-run" : "unknown",
         });
     }
     try {
-        return JSON.parse(answer.body.toString()) as Value;
+        return JSON.parse(response.body.toString()) as Value;
     }
     catch (cause) {
         throw new KnapweedError(errorCode, `${call.method} ${call.path}: the answer is not JSON.`, {
@@ -30,7 +30,7 @@
     }
 }
 
-async function send(client: PlatformHttpClient, call: HttpCall, errorCode: string): Promise<HttpAnswer> {
+async function send(client: PlatformHttpClient, call: HttpCall, errorCode: string): Promise<HttpResponse> {
     try {
         return await client.call(call);
     }
--- a/adapters/http/src/httpResponse.ts
+++ b/adapters/http/src/httpResponse.ts
@@ -1,5 +1,5 @@
 /** A whole HTTP answer. */
-export interface HttpAnswer {
+export interface HttpResponse {
     statusCode: number;
     body: Buffer;
 }
--- a/adapters/http/src/platformHttpClient.ts
+++ b/adapters/http/src/platformHttpClient.ts
@@ -2,9 +2,9 @@
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 import { toKnapweedError } from "@knapweedwood/core.errors/toKnapweedError";
 import { Pool } from "undici";
-import { CallCollector } from "./responseCollector.js";
-import type { HttpAnswer } from "./httpResponse.js";
 import type { HttpCall } from "./httpCall.js";
+import type { HttpResponse } from "./httpResponse.js";
+import { ResponseCollector } from "./responseCollector.js";
 
 const CONNECT_TIMEOUT_MS = 1000;
 const DEFAULT_MAX_CONNECTIONS = 16;
@@ -28,7 +28,7 @@
         this.pool = this.createPool();
     }
 
-    async call(call: HttpCall): Promise<HttpAnswer> {
+    async call(call: HttpCall): Promise<HttpResponse> {
         try {
             return await this.attempt(call, false);
         }
@@ -45,26 +45,26 @@
     }
 
     /** @param mayHaveRun whether an earlier attempt of the same call may have reached the other end */
-    private async attempt(call: HttpCall, mayHaveRun: boolean): Promise<HttpAnswer> {
-        const collector = new CallCollector();
+    private async attempt(call: HttpCall, mayHaveRun: boolean): Promise<HttpResponse> {
+        const collector = new ResponseCollector();
         const pool = this.pool;
         const timer = this.clock.setTimer(call.timeoutMs, () => {
             collector.abort(new Error(`No answer within ${call.timeoutMs} ms.`));
-            this.replace(pool);
+            this.replacePool(pool);
         });
         try {
             this.dispatch(pool, call, collector);
-            return await collector.answer;
+            return await collector.response;
         }
         catch (error) {
-            throw failedCall(call, collector.begun || mayHaveRun, error);
+            throw callError(call, collector.hasStarted || mayHaveRun, error);
         }
         finally {
             timer.cancel();
         }
     }
 
-    private dispatch(pool: Pool, call: HttpCall, collector: CallCollector): void {
+    private dispatch(pool: Pool, call: HttpCall, collector: ResponseCollector): void {
         const hasBody = call.body !== undefined;
         pool.dispatch({
             method: call.method,
@@ -74,7 +74,7 @@
         }, collector);
     }
 
-    private replace(pool: Pool): void {
+    private replacePool(pool: Pool): void {
         if (this.pool === pool) {
             this.pool = this.createPool();
             pool.close().catch(() => undefined);
@@ -92,7 +92,7 @@
     }
 }
 
-function failedCall(call: HttpCall, mayHaveRun: boolean, cause: unknown): KnapweedError {
+function callError(call: HttpCall, mayHaveRun: boolean, cause: unknown): KnapweedError {
     const reason = cause instanceof Error ? cause.message : String(cause);
     return new KnapweedError("PLATFORM_CALL_FAILED", `${call.method} ${call.path}: ${reason}`, {
         outcome: mayHaveRun ? "unknown" : "not-run",
--- a/adapters/http/src/responseCollector.ts
+++ b/adapters/http/src/responseCollector.ts
@@ -1,26 +1,26 @@
 import type { Dispatcher } from "undici";
-import type { HttpAnswer } from "./httpResponse.js";
+import type { HttpResponse } from "./httpResponse.js";
 
-/** Collects one answer, and notes whether the call had begun to be sent. */
-export class CallCollector implements Dispatcher.DispatchHandler {
+/** Collects one response, and notes whether the call had begun to be sent. */
+export class ResponseCollector implements Dispatcher.DispatchHandler {
     /** Whether any part of the call may have reached the other end. */
-    begun = false;
-    readonly answer: Promise<HttpAnswer>;
+    hasStarted = false;
+    readonly response: Promise<HttpResponse>;
     private controller: Dispatcher.DispatchController | undefined;
     private abortReason: Error | undefined;
     private statusCode = 0;
     private readonly chunks: Buffer[] = [];
-    private resolve: (answer: HttpAnswer) => void = () => undefined;
+    private resolve: (response: HttpResponse) => void = () => undefined;
     private reject: (error: Error) => void = () => undefined;
 
     constructor() {
-        this.answer = new Promise((resolve, reject) => {
+        this.response = new Promise((resolve, reject) => {
             this.resolve = resolve;
             this.reject = reject;
         });
     }
 
-    /** Gives up on the answer and drops the connection that the call was sent on. */
+    /** Gives up on the response and drops the connection that the call was sent on. */
     abort(reason: Error): void {
         this.abortReason = reason;
         this.controller?.abort(reason);
@@ -32,7 +32,7 @@
             controller.abort(this.abortReason);
             return;
         }
-        this.begun = true;
+        this.hasStarted = true;
         this.controller = controller;
     }
 
