--- a/adapters/key-value-etcd/src/etcdCallError.ts
+++ b/adapters/key-value-etcd/src/etcdCallError.ts
@@ -9,23 +9,23 @@
 const UNIMPLEMENTED = 12;
 
 /** Refusals by which etcd says that it did not begin a call. */
-const NOT_BEGUN_MESSAGES = ["etcdserver: no leader", "etcdserver: too many requests"];
+const NOT_STARTED_MESSAGES = ["etcdserver: no leader", "etcdserver: too many requests"];
 
 /** What a refusal of etcd means. `isWrite` says whether the call may have changed anything. */
 export function etcdCallError(error: EtcdError, isWrite: boolean): KnapweedError {
-    const refusal = { outcome: "not-run" } as const;
+    const rejected = { outcome: "not-run" } as const;
     if (error.code === NOT_FOUND) {
-        return new KnapweedError("KEY_VALUE_LEASE_NOT_FOUND", error.message, refusal);
+        return new KnapweedError("KEY_VALUE_LEASE_NOT_FOUND", error.message, rejected);
     }
     if (error.code === INVALID_ARGUMENT && error.message.includes("duplicate key")) {
-        return new KnapweedError("KEY_VALUE_DUPLICATE_KEY", error.message, refusal);
+        return new KnapweedError("KEY_VALUE_DUPLICATE_KEY", error.message, rejected);
     }
     if (error.code === INVALID_ARGUMENT && error.message.includes("too large")) {
-        return new KnapweedError("KEY_VALUE_VALUE_TOO_LARGE", error.message, refusal);
+        return new KnapweedError("KEY_VALUE_VALUE_TOO_LARGE", error.message, rejected);
     }
     if (error.code === INVALID_ARGUMENT || error.code === UNIMPLEMENTED) {
-        return new KnapweedError("KEY_VALUE_INVALID", error.message, refusal);
+        return new KnapweedError("KEY_VALUE_INVALID", error.message, rejected);
     }
-    const hasNotBegun = error.code === RESOURCE_EXHAUSTED || NOT_BEGUN_MESSAGES.includes(error.message);
-    return hasNotBegun || !isWrite ? unavailableError(error.message) : answerLostError(error.message);
+    const hasNotStarted = error.code === RESOURCE_EXHAUSTED || NOT_STARTED_MESSAGES.includes(error.message);
+    return hasNotStarted || !isWrite ? unavailableError(error.message) : answerLostError(error.message);
 }
--- a/adapters/key-value-etcd/src/etcdKeyValueService.ts
+++ b/adapters/key-value-etcd/src/etcdKeyValueService.ts
@@ -1,4 +1,4 @@
-import type { HttpAnswer } from "@knapweedwood/adapters.http/httpResponse";
+import type { HttpResponse } from "@knapweedwood/adapters.http/httpResponse";
 import { PlatformHttpClient } from "@knapweedwood/adapters.http/platformHttpClient";
 import type { Clock } from "@knapweedwood/core.clock/clock";
 import { toKnapweedError } from "@knapweedwood/core.errors/toKnapweedError";
@@ -35,7 +35,7 @@
 
 /**
  * The key-value service over the etcd v3 JSON gateway. Reads and keep-alives are sent once more on a new connection
- * where no answer came; writes never are. Leases live for whole seconds, rounded up.
+ * where no response came; writes never are. Leases live for whole seconds, rounded up.
  */
 export class EtcdKeyValueService implements KeyValueService {
     private readonly clock: Clock;
@@ -124,15 +124,15 @@
     }
 
     private async call<Response>(kind: CallKind, path: string, body: unknown): Promise<Response> {
-        const answer = await this.send(kind, path, body);
+        const response = await this.send(kind, path, body);
         const isWrite = kind === "write";
-        if (answer.statusCode === OK_STATUS) {
-            return parse<Response>(answer.body, isWrite);
+        if (response.statusCode === OK_STATUS) {
+            return parse<Response>(response.body, isWrite);
         }
-        throw etcdCallError(errorOf(answer), isWrite);
+        throw etcdCallError(errorOf(response), isWrite);
     }
 
-    private async send(kind: CallKind, path: string, body: unknown): Promise<HttpAnswer> {
+    private async send(kind: CallKind, path: string, body: unknown): Promise<HttpResponse> {
         const isWrite = kind === "write";
         try {
             return await this.client.call({
@@ -156,17 +156,17 @@
         return JSON.parse(body.toString()) as Response;
     }
     catch (error) {
-        const message = "The answer of the key-value service is not JSON.";
+        const message = "The response of the key-value service is not JSON.";
         throw isWrite ? answerLostError(message, error) : unavailableError(message, error);
     }
 }
 
-function errorOf(answer: HttpAnswer): EtcdError {
+function errorOf(response: HttpResponse): EtcdError {
     try {
-        const error = JSON.parse(answer.body.toString()) as Partial<EtcdError>;
-        return { code: error.code ?? UNAVAILABLE, message: error.message ?? `Status ${answer.statusCode}.` };
+        const error = JSON.parse(response.body.toString()) as Partial<EtcdError>;
+        return { code: error.code ?? UNAVAILABLE, message: error.message ?? `Status ${response.statusCode}.` };
     }
     catch {
-        return { code: UNAVAILABLE, message: `Status ${answer.statusCode}.` };
+        return { code: UNAVAILABLE, message: `Status ${response.statusCode}.` };
     }
 }
--- a/adapters/key-value-etcd/src/etcdWatch.ts
+++ b/adapters/key-value-etcd/src/etcdWatch.ts
@@ -52,15 +52,15 @@
             bodyTimeout: 0,
         });
         const idle = new IdleTimer(this.clock);
-        const end = AbortSignal.any([signal, idle.signal]);
+        const endSignal = AbortSignal.any([signal, idle.signal]);
         try {
             idle.restart(this.connectTimeoutMs);
-            const answer = await client.request(this.requestOf(afterRevision, end));
-            yield* this.read(answer, idle);
+            const response = await client.request(this.requestOf(afterRevision, endSignal));
+            yield* this.read(response, idle);
         }
         catch (error) {
-            if (idle.hasPassed || signal.aborted) {
-                this.refuseUnanswered(idle);
+            if (idle.hasExpired || signal.aborted) {
+                this.throwIfUnconfirmed(idle);
                 return;
             }
             throw watchError(error);
@@ -71,11 +71,11 @@
         }
     }
 
-    private async *read(answer: Dispatcher.ResponseData, idle: IdleTimer): AsyncIterable<WatchBatch> {
-        if (answer.statusCode !== OK_STATUS) {
-            throw unavailableError(`The watch was refused with status ${answer.statusCode}.`);
+    private async *read(response: Dispatcher.ResponseData, idle: IdleTimer): AsyncIterable<WatchBatch> {
+        if (response.statusCode !== OK_STATUS) {
+            throw unavailableError(`The watch was refused with status ${response.statusCode}.`);
         }
-        for await (const line of splitLines(answer.body)) {
+        for await (const line of splitLines(response.body)) {
             idle.restart(this.idleMs);
             yield* batchesOf(line);
             idle.restart(this.idleMs);
@@ -84,8 +84,8 @@
     }
 
     /** A new connection that does not even confirm the watch shows that the service is away. */
-    private refuseUnanswered(idle: IdleTimer): void {
-        if (idle.hasPassed && idle.restarts === 1) {
+    private throwIfUnconfirmed(idle: IdleTimer): void {
+        if (idle.hasExpired && idle.startCount === 1) {
             throw unavailableError("The key-value service did not confirm the watch.");
         }
     }
--- a/adapters/key-value-etcd/src/idleTimer.ts
+++ b/adapters/key-value-etcd/src/idleTimer.ts
@@ -4,7 +4,7 @@
 /** Aborts its signal when it has not been restarted in time. */
 export class IdleTimer {
     /** How often the timer was started. */
-    restarts = 0;
+    startCount = 0;
     private readonly clock: Clock;
     private readonly controller = new AbortController();
     private timer: Timer | undefined;
@@ -17,12 +17,12 @@
         return this.controller.signal;
     }
 
-    get hasPassed(): boolean {
+    get hasExpired(): boolean {
         return this.controller.signal.aborted;
     }
 
     restart(durationMs: number): void {
-        this.restarts += 1;
+        this.startCount += 1;
         this.timer?.cancel();
         this.timer = this.clock.setTimer(durationMs, () => this.controller.abort());
     }
--- a/adapters/key-value-etcd/src/prefixOfRange.ts
+++ b/adapters/key-value-etcd/src/prefixOfRange.ts
@@ -6,17 +6,17 @@
 
 /** The prefix that a range stands for. Throws `ETCD_UNSUPPORTED` for ranges that are not a prefix's. */
 export function prefixOfRange(range: EtcdRangeRequest): KeyPrefix {
-    const prefix = prefixBefore(decodeBytes(range.range_end));
+    const prefix = prefixEndingBefore(decodeBytes(range.range_end));
     const first = decodeBytes(range.key).toString();
-    const isWhole = prefixRange(prefix).key === range.key;
-    const afterKey = isWhole ? undefined : first.replace(/\0$/u, "");
+    const startsAtPrefix = prefixRange(prefix).key === range.key;
+    const afterKey = startsAtPrefix ? undefined : first.replace(/\0$/u, "");
     if (afterKey !== undefined && (!first.endsWith("\0") || !afterKey.startsWith(prefix))) {
         throw new KnapweedError("ETCD_UNSUPPORTED", "Only ranges of one prefix are supported.");
     }
     return { prefix, afterKey };
 }
 
-function prefixBefore(end: Buffer): string {
+function prefixEndingBefore(end: Buffer): string {
     const last = end.at(-1);
     if (last === undefined || last === 0) {
         return "";
