--- a/engines/model-engine/src/completionAssembler.ts
+++ b/engines/model-engine/src/completionAssembler.ts
@@ -121,9 +121,9 @@
     }
 
     private choice(index: number): AssembledChoice {
-        const known = this.choices.get(index);
-        if (known !== undefined) {
-            return known;
+        const existing = this.choices.get(index);
+        if (existing !== undefined) {
+            return existing;
         }
         const choice = { text: "", finishReason: undefined, toolCalls: [], logProbabilities: [] };
         this.choices.set(index, choice);
@@ -161,16 +161,16 @@
     }
     (deltas as JsonObject[]).forEach(({ index, ...delta }) => {
         const position = Number(index ?? 0);
-        const known = toolCalls[position];
-        toolCalls[position] = known === undefined ? delta : appendToolCall(known, delta);
+        const existing = toolCalls[position];
+        toolCalls[position] = existing === undefined ? delta : appendToolCall(existing, delta);
     });
 }
 
-function appendToolCall(known: JsonObject, delta: JsonObject): JsonObject {
-    const knownFunction = (known.function ?? {}) as JsonObject;
+function appendToolCall(existing: JsonObject, delta: JsonObject): JsonObject {
+    const existingFunction = (existing.function ?? {}) as JsonObject;
     const deltaFunction = (delta.function ?? {}) as JsonObject;
-    const argumentText = `${stringOf(knownFunction.arguments) ?? ""}${stringOf(deltaFunction.arguments) ?? ""}`;
-    return { ...known, function: { ...knownFunction, arguments: argumentText } };
+    const argumentText = `${stringOf(existingFunction.arguments) ?? ""}${stringOf(deltaFunction.arguments) ?? ""}`;
+    return { ...existing, function: { ...existingFunction, arguments: argumentText } };
 }
 
 function mergeLogProbabilities(parts: unknown[]): JsonObject | null {
--- a/engines/model-engine/src/completionChunkReader.ts
+++ b/engines/model-engine/src/completionChunkReader.ts
@@ -4,7 +4,7 @@
 import type { Usage } from "./usage.js";
 
 const END_OF_STREAM = "[DONE]";
-const PLAIN_DELTA_FIELDS = ["role", "content"];
+const TEXT_DELTA_FIELDS = ["role", "content"];
 
 interface StreamChoice {
     index?: number;
@@ -54,13 +54,13 @@
     private readChoice(choice: StreamChoice): GenerateEvent[] {
         this.finishReason = choice.finish_reason ?? this.finishReason;
         const text = choice.text ?? choice.delta?.content ?? "";
-        const saysMore = hasMoreThanText(choice);
-        if (text === "" && !saysMore) {
+        const hasMore = hasMoreThanText(choice);
+        if (text === "" && !hasMore) {
             return [];
         }
         this.tokenCount += 1;
         const event: GenerateEvent = { kind: "chunk", text, tokenCount: 1 };
-        return [saysMore ? { ...event, choice: choice as JsonObject } : event];
+        return [hasMore ? { ...event, choice: choice as JsonObject } : event];
     }
 
     private finishEvent(): GenerateEvent {
@@ -95,7 +95,7 @@
 
 function hasMoreThanText(choice: StreamChoice): boolean {
     const hasOtherDelta = Object.entries(choice.delta ?? {})
-        .some(([field, value]) => !PLAIN_DELTA_FIELDS.includes(field) && value !== null && value !== undefined);
+        .some(([field, value]) => !TEXT_DELTA_FIELDS.includes(field) && value !== null && value !== undefined);
     const hasLogProbabilities = choice.logprobs !== undefined && choice.logprobs !== null;
     return hasOtherDelta || hasLogProbabilities || (choice.index ?? 0) > 0;
 }
--- a/engines/model-engine/src/engineErrorOf.ts
+++ b/engines/model-engine/src/engineErrorOf.ts
@@ -1,6 +1,6 @@
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 
-const CODES_BEFORE_SENDING = [
+const CONNECT_ERROR_CODES = [
     "ECONNREFUSED",
     "EHOSTUNREACH",
     "ENETUNREACH",
@@ -18,7 +18,7 @@
         return new KnapweedError("CANCELLED", "The request was cancelled", { outcome: "unknown", cause: thrown });
     }
     const message = thrown instanceof Error ? thrown.message : String(thrown);
-    if (CODES_BEFORE_SENDING.includes(errorCodeOf(thrown))) {
+    if (CONNECT_ERROR_CODES.includes(errorCodeOf(thrown))) {
         return new KnapweedError("ENGINE_UNREACHABLE", `The engine can't be reached: ${message}`, {
             outcome: "not-run",
             statusCode: 503,
--- a/engines/model-engine/src/engineResponseErrorOf.ts
+++ b/engines/model-engine/src/engineResponseErrorOf.ts
@@ -3,26 +3,26 @@
 
 const MS_PER_SECOND = 1000;
 
-interface Refusal {
+interface ErrorResponse {
     statusCode: number;
     retryAfter: string | undefined;
     body: string;
 }
 
 /** The error for an answer of an engine whose status is not 2xx. */
-export function engineRefusalOf(refusal: Refusal): KnapweedError {
-    const message = messageOf(refusal.body) ?? `The engine answered with status ${refusal.statusCode}`;
-    if (refusal.statusCode === 429 || refusal.statusCode === 503) {
+export function engineResponseErrorOf(response: ErrorResponse): KnapweedError {
+    const message = messageOf(response.body) ?? `The engine answered with status ${response.statusCode}`;
+    if (response.statusCode === 429 || response.statusCode === 503) {
         return new KnapweedError("ENGINE_BUSY", message, {
             outcome: "not-run",
-            statusCode: refusal.statusCode,
-            retryAfterMs: retryAfterMsOf(refusal.retryAfter),
+            statusCode: response.statusCode,
+            retryAfterMs: retryAfterMsOf(response.retryAfter),
         });
     }
-    if (refusal.statusCode < 500) {
-        return new KnapweedError("ENGINE_REFUSED", message, { outcome: "answered", statusCode: refusal.statusCode });
+    if (response.statusCode < 500) {
+        return new KnapweedError("ENGINE_REFUSED", message, { outcome: "answered", statusCode: response.statusCode });
     }
-    return new KnapweedError("ENGINE_FAILED", message, { outcome: "unknown", statusCode: refusal.statusCode });
+    return new KnapweedError("ENGINE_FAILED", message, { outcome: "unknown", statusCode: response.statusCode });
 }
 
 function retryAfterMsOf(header: string | undefined): number | undefined {
--- a/engines/model-engine/src/httpModelEngine.ts
+++ b/engines/model-engine/src/httpModelEngine.ts
@@ -5,7 +5,7 @@
 import { engineErrorOf } from "./engineErrorOf.js";
 import type { EngineLoad } from "./engineLoad.js";
 import type { EngineOrder } from "./engineOrder.js";
-import { engineRefusalOf } from "./engineResponseErrorOf.js";
+import { engineResponseErrorOf } from "./engineResponseErrorOf.js";
 import type { EngineState } from "./engineState.js";
 import type { GenerateEvent } from "./generateEvent.js";
 import type { GenerateRequest } from "./generateRequest.js";
@@ -36,7 +36,7 @@
     constructor(opts: {
         /** Such as `http://127.0.0.1:8000`. */
         baseUrl: string;
-        /** Longest wait for the headers of an answer. */
+        /** Longest wait for the headers of an response. */
         headersTimeoutMs?: number;
         /** Longest silence within a stream before its connection counts as lost. */
         chunkGapTimeoutMs?: number;
@@ -52,23 +52,23 @@
     }
 
     async *generate(generateRequest: GenerateRequest, opts: { signal: AbortSignal; }): AsyncGenerator<GenerateEvent> {
-        const answer = await this.send({
+        const response = await this.send({
             method: "POST",
             path: generateRequest.endpoint,
             body: streamingBodyOf(generateRequest),
             headers: generateRequest.requestId === undefined ? {} : { "x-request-id": generateRequest.requestId },
             signal: opts.signal,
         });
-        let isWhole = false;
+        let isComplete = false;
         try {
-            yield* readGeneration(answer.body.iterator({ destroyOnReturn: false }));
-            isWhole = true;
+            yield* readGeneration(response.body.iterator({ destroyOnReturn: false }));
+            isComplete = true;
         }
         catch (thrown) {
             throw engineErrorOf(thrown, opts.signal);
         }
         finally {
-            release(answer.body, isWhole);
+            release(response.body, isComplete);
         }
     }
 
@@ -103,10 +103,10 @@
     }
 
     async *cacheEvents(opts: { signal: AbortSignal; }): AsyncGenerator<CacheEvent> {
-        const answer = await this.send({ method: "GET", path: "/cache/events", signal: opts.signal });
+        const response = await this.send({ method: "GET", path: "/cache/events", signal: opts.signal });
         try {
             const reader = new ServerSentEventReader();
-            for await (const bytes of answer.body as AsyncIterable<Uint8Array>) {
+            for await (const bytes of response.body as AsyncIterable<Uint8Array>) {
                 yield* reader.read(bytes).map(data => JSON.parse(data) as CacheEvent);
             }
         }
@@ -114,16 +114,16 @@
             throw engineErrorOf(thrown, opts.signal);
         }
         finally {
-            answer.body.destroy();
+            response.body.destroy();
         }
     }
 
     async exportCache(engineRequestId: string): Promise<Uint8Array> {
-        const answer = await this.send({
+        const response = await this.send({
             ...controlCall("POST", "/cache/export"),
             body: { requestId: engineRequestId },
         });
-        return new Uint8Array(await answer.body.arrayBuffer());
+        return new Uint8Array(await response.body.arrayBuffer());
     }
 
     async importCache(cache: Uint8Array): Promise<void> {
@@ -135,10 +135,10 @@
         await this.pool.destroy();
     }
 
-    private async sendForJson<Answer>(call: Call): Promise<Answer> {
-        const answer = await this.send(call);
+    private async sendForJson<Result>(call: Call): Promise<Result> {
+        const response = await this.send(call);
         try {
-            return await answer.body.json() as Answer;
+            return await response.body.json() as Result;
         }
         catch (thrown) {
             throw engineErrorOf(thrown, call.signal);
@@ -146,15 +146,15 @@
     }
 
     private async send(call: Call): Promise<Dispatcher.ResponseData> {
-        const answer = await this.exchange(call);
-        if (answer.statusCode < 300) {
-            return answer;
+        const response = await this.exchange(call);
+        if (response.statusCode < 300) {
+            return response;
         }
-        const retryAfter = answer.headers["retry-after"];
-        throw engineRefusalOf({
-            statusCode: answer.statusCode,
+        const retryAfter = response.headers["retry-after"];
+        throw engineResponseErrorOf({
+            statusCode: response.statusCode,
             retryAfter: typeof retryAfter === "string" ? retryAfter : undefined,
-            body: await answer.body.text().catch(() => ""),
+            body: await response.body.text().catch(() => ""),
         });
     }
 
@@ -190,9 +190,9 @@
         : { ...body, knapweed_resume: { text: resume.text, tokenCount: resume.tokenCount } };
 }
 
-/** Keeps the connection of an answer that was read to its end mark; drops that of any other. */
-function release(body: Dispatcher.ResponseData["body"], isWhole: boolean): void {
-    if (isWhole) {
+/** Keeps the connection of an response that was read to its end mark; drops that of any other. */
+function release(body: Dispatcher.ResponseData["body"], isComplete: boolean): void {
+    if (isComplete) {
         body.dump().catch(() => undefined);
         return;
     }
--- a/engines/model-engine/test/completionAssembler.test.ts
+++ b/engines/model-engine/test/completionAssembler.test.ts
@@ -13,21 +13,21 @@
 
 (["/v1/chat/completions", "/v1/completions"] as const).forEach(endpoint => {
     test(`${endpoint}: plain text makes the same chunks and answer as the engine's whole choice objects`, () => {
-        const short = assembler(endpoint);
-        const long = assembler(endpoint);
+        const textOnly = assembler(endpoint);
+        const fullChoices = assembler(endpoint);
         ["one", " two"].forEach(text => {
             const choice: JsonObject = { index: 0, delta: { content: text }, finish_reason: null };
             assert.deepEqual(
-                short.add({ kind: "chunk", text, tokenCount: 1 }),
-                long.add({ kind: "chunk", text, tokenCount: 1, choice }),
+                textOnly.add({ kind: "chunk", text, tokenCount: 1 }),
+                fullChoices.add({ kind: "chunk", text, tokenCount: 1, choice }),
             );
         });
         assert.deepEqual(
-            short.add({ kind: "finish", finishReason: "stop", usage }),
-            long.add({ kind: "finish", finishReason: "stop", usage }),
+            textOnly.add({ kind: "finish", finishReason: "stop", usage }),
+            fullChoices.add({ kind: "finish", finishReason: "stop", usage }),
         );
-        assert.deepEqual(short.response(), long.response());
-        assert.deepEqual(short.produced, { text: "one two", tokenCount: 2 });
+        assert.deepEqual(textOnly.response(), fullChoices.response());
+        assert.deepEqual(textOnly.produced, { text: "one two", tokenCount: 2 });
     });
 });
 
