--- a/cli/knapweed/test/summarizeMetrics.test.ts
+++ b/cli/knapweed/test/summarizeMetrics.test.ts
@@ -1,10 +1,10 @@
-import { PageMetrics } from "@knapweedwood/observability.metrics/prometheusMetrics";
+import { PrometheusMetrics } from "@knapweedwood/observability.metrics/prometheusMetrics";
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { summarizeMetrics } from "../src/summarizeMetrics.js";
 
 test("figures are summed over kinds, and absent ones are zero", async () => {
-    const metrics = new PageMetrics();
+    const metrics = new PrometheusMetrics();
     metrics.increment("calls_total", { kind: "stream", outcome: "call-answered" }, 3);
     metrics.increment("calls_total", { kind: "idempotent", outcome: "call-answered" }, 4);
     metrics.increment("calls_total", { kind: "stream", outcome: "call-refused" });
--- a/daemons/fleet/src/fleetProcess.ts
+++ b/daemons/fleet/src/fleetProcess.ts
@@ -15,7 +15,7 @@
 import type { ProcessSettings } from "@knapweedwood/fleet.view/processSettings";
 import { WebSocketLinkEndpoint } from "@knapweedwood/links.endpoint/webSocketLinkEndpoint";
 import type { Logger } from "@knapweedwood/observability.logs/logger";
-import { PageMetrics } from "@knapweedwood/observability.metrics/prometheusMetrics";
+import { PrometheusMetrics } from "@knapweedwood/observability.metrics/prometheusMetrics";
 import { PlatformKeyValueService } from "@knapweedwood/platform.adapter/platformKeyValueService";
 import { randomInt } from "node:crypto";
 import { MetricsServer } from "./metricsServer.js";
@@ -52,7 +52,7 @@
 export class FleetProcess {
     readonly clock = new SystemClock();
     readonly random = new SeededRandom(randomInt(MAX_SEED));
-    readonly metrics = new PageMetrics();
+    readonly metrics = new PrometheusMetrics();
     readonly connections = new UpstreamConnections();
     readonly board = new LoadTracker();
     readonly health = new UpstreamHealth();
--- a/daemons/fleet/src/metricsServer.ts
+++ b/daemons/fleet/src/metricsServer.ts
@@ -1,4 +1,4 @@
-import type { PageMetrics } from "@knapweedwood/observability.metrics/prometheusMetrics";
+import type { PrometheusMetrics } from "@knapweedwood/observability.metrics/prometheusMetrics";
 import { createServer, type Server } from "node:http";
 import { monitorEventLoopDelay } from "node:perf_hooks";
 
@@ -10,12 +10,12 @@
 
 /** Serves the metrics of this process as text. */
 export class MetricsServer {
-    private readonly metrics: PageMetrics;
+    private readonly metrics: PrometheusMetrics;
     private readonly host: string;
     private readonly server: Server;
     private readonly eventLoopDelay = monitorEventLoopDelay({ resolution: EVENT_LOOP_RESOLUTION_MS });
 
-    constructor(opts: { metrics: PageMetrics; host: string; }) {
+    constructor(opts: { metrics: PrometheusMetrics; host: string; }) {
         this.metrics = opts.metrics;
         this.host = opts.host;
         this.server = createServer((request, response) => {
--- a/observability/metrics/src/prometheusMetrics.ts
+++ b/observability/metrics/src/prometheusMetrics.ts
@@ -3,12 +3,12 @@
 import type { MetricTags } from "./metricTags.js";
 
 const PREFIX = "knapweed_";
-const NOT_OF_A_NAME = /[^a-zA-Z0-9_]/gu;
+const INVALID_NAME_CHARACTERS = /[^a-zA-Z0-9_]/gu;
 /** Upper ends of the buckets of durations, in milliseconds. */
 const DURATION_BUCKETS_MS = [1, 2, 5, 10, 20, 50, 100, 200, 300, 500, 1000, 2000, 5000, 10_000];
 
 /** Metrics that are read as a page of text. The tags with which a name comes first are those that it keeps. */
-export class PageMetrics implements Metrics {
+export class PrometheusMetrics implements Metrics {
     private readonly registry = new Registry();
     private readonly tagNames = new Map<string, string[]>();
     private readonly counters = new Map<string, Counter>();
@@ -18,20 +18,20 @@
     increment(name: string, tags: MetricTags = {}, count = 1): void {
         const counter = this.counters.get(name) ?? new Counter(this.define(name, tags));
         this.counters.set(name, counter);
-        counter.inc(this.knownTags(name, tags), count);
+        counter.inc(this.registeredTags(name, tags), count);
     }
 
     gauge(name: string, value: number, tags: MetricTags = {}): void {
         const gauge = this.gauges.get(name) ?? new Gauge(this.define(name, tags));
         this.gauges.set(name, gauge);
-        gauge.set(this.knownTags(name, tags), value);
+        gauge.set(this.registeredTags(name, tags), value);
     }
 
     timing(name: string, durationMs: number, tags: MetricTags = {}): void {
         const histogram = this.histograms.get(name)
             ?? new Histogram({ ...this.define(name, tags), buckets: DURATION_BUCKETS_MS });
         this.histograms.set(name, histogram);
-        histogram.observe(this.knownTags(name, tags), durationMs);
+        histogram.observe(this.registeredTags(name, tags), durationMs);
     }
 
     /** All metrics in the text format of Prometheus. */
@@ -43,13 +43,13 @@
         const labelNames = Object.keys(tags);
         this.tagNames.set(name, labelNames);
         // The text format takes no dots, which separate words in StatsD.
-        const pageName = `${PREFIX}${name.replaceAll(NOT_OF_A_NAME, "_")}`;
-        return { name: pageName, help: pageName.replaceAll("_", " "), labelNames, registers: [this.registry] };
+        const exportedName = `${PREFIX}${name.replaceAll(INVALID_NAME_CHARACTERS, "_")}`;
+        return { name: exportedName, help: exportedName.replaceAll("_", " "), labelNames, registers: [this.registry] };
     }
 
     /** A tag that the name did not come with first would be refused. */
-    private knownTags(name: string, tags: MetricTags): MetricTags {
-        const known = this.tagNames.get(name) ?? [];
-        return Object.fromEntries(Object.entries(tags).filter(([tag]) => known.includes(tag)));
+    private registeredTags(name: string, tags: MetricTags): MetricTags {
+        const registered = this.tagNames.get(name) ?? [];
+        return Object.fromEntries(Object.entries(tags).filter(([tag]) => registered.includes(tag)));
     }
 }
--- a/observability/metrics/test/prometheusMetrics.test.ts
+++ b/observability/metrics/test/prometheusMetrics.test.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { PageMetrics } from "../src/prometheusMetrics.js";
+import { PrometheusMetrics } from "../src/prometheusMetrics.js";
 
 test("counters, gauges and durations stand on the page", async () => {
-    const metrics = new PageMetrics();
+    const metrics = new PrometheusMetrics();
     metrics.increment("calls_total", { outcome: "answered" });
     metrics.increment("calls_total", { outcome: "answered" }, 2);
     metrics.gauge("memory_bytes", 5);
@@ -16,7 +16,7 @@
 });
 
 test("names of the StatsD kind and changing tags are taken", async () => {
-    const metrics = new PageMetrics();
+    const metrics = new PrometheusMetrics();
     metrics.increment("link.opened", { zone: "a" });
     metrics.increment("link.opened", { zone: "a", other: "b" });
     metrics.increment("link.opened");
