--- a/cli/knapweed/src/commands/explain.ts
+++ b/cli/knapweed/src/commands/explain.ts
@@ -22,8 +22,8 @@
         const { argv, args } = await this.parse(Explain);
         const files = argv.slice(1) as string[];
         const timeline = new Timeline(args.id);
-        await readLines(files, line => timeline.addStory(line));
-        await readLines(files, line => timeline.addBelief(line));
+        await readLines(files, line => timeline.addMatch(line));
+        await readLines(files, line => timeline.addContext(line));
         const entries = timeline.entries();
         if (entries.length === 0) {
             throw new KnapweedError("ID_NOT_IN_LOGS", `No line of ${files.length} files has the id ${args.id}`, {
--- a/observability/explain/src/timeline.ts
+++ b/observability/explain/src/timeline.ts
@@ -19,10 +19,10 @@
     "jobs-loaded": "leadership",
 };
 /** Time around the story in which what is told of its upstreams matters, in milliseconds. */
-const AROUND_MS = 5000;
+const UPSTREAM_MARGIN_MS = 5000;
 
 /** What a story is about, for the choice of the beliefs that matter to it. */
-interface StoryScope {
+interface MatchScope {
     startMs: number;
     endMs: number;
     instances: Set<string>;
@@ -35,80 +35,81 @@
  */
 export class Timeline {
     private readonly id: string;
-    private readonly story: LogLine[] = [];
-    private readonly beliefs: LogLine[] = [];
-    /** Taken once, when the whole story is known. */
-    private scope: StoryScope | undefined;
-    private readonly newestBefore = new Map<string, LogLine>();
+    private readonly matches: LogLine[] = [];
+    private readonly contextLines: LogLine[] = [];
+    /** Taken once, when the whole story is earlier. */
+    private scope: MatchScope | undefined;
+    private readonly latestStates = new Map<string, LogLine>();
 
     constructor(id: string) {
         this.id = id;
     }
 
-    addStory(line: LogLine): void {
-        if (this.isStory(line)) {
-            this.story.push(line);
+    addMatch(line: LogLine): void {
+        if (this.isMatch(line)) {
+            this.matches.push(line);
         }
     }
 
-    addBelief(line: LogLine): void {
-        if (this.story.length === 0 || this.isStory(line)) {
+    addContext(line: LogLine): void {
+        if (this.matches.length === 0 || this.isMatch(line)) {
             return;
         }
-        this.scope ??= scopeOf(this.story);
+        this.scope ??= scopeOf(this.matches);
         const state = STATE_EVENTS[line.event];
         if (state !== undefined && this.scope.instances.has(line.instance)) {
             this.addState(line, state, this.scope);
         }
         else if (
-            this.scope.upstreams.has(line.fields.upstream) && isAround(this.scope, line, AROUND_MS) && isVerdict(line)
+            this.scope.upstreams.has(line.fields.upstream) && isWithin(this.scope, line, UPSTREAM_MARGIN_MS)
+            && isUpstreamStatus(line)
         ) {
-            this.beliefs.push(line);
+            this.contextLines.push(line);
         }
     }
 
     /** The whole timeline in order of time, shape [lines]. */
     entries(): TimelineEntry[] {
-        const beliefs = [...this.newestBefore.values(), ...this.beliefs].map(line => ({
+        const context = [...this.latestStates.values(), ...this.contextLines].map(line => ({
             line,
             kind: "belief" as const,
         }));
-        const story = this.story.map(line => ({ line, kind: "story" as const }));
-        return [...beliefs, ...story].sort((left, right) => left.line.timeMs - right.line.timeMs);
+        const matches = this.matches.map(line => ({ line, kind: "story" as const }));
+        return [...context, ...matches].sort((left, right) => left.line.timeMs - right.line.timeMs);
     }
 
-    private isStory(line: LogLine): boolean {
+    private isMatch(line: LogLine): boolean {
         return ID_FIELDS.some(field => line.fields[field] === this.id);
     }
 
-    private addState(line: LogLine, state: string, scope: StoryScope): void {
-        if (isAround(scope, line, 0)) {
-            this.beliefs.push(line);
+    private addState(line: LogLine, state: string, scope: MatchScope): void {
+        if (isWithin(scope, line, 0)) {
+            this.contextLines.push(line);
             return;
         }
         const key = `${line.instance} ${state}`;
-        const known = this.newestBefore.get(key);
-        if (line.timeMs < scope.startMs && line.timeMs >= (known?.timeMs ?? 0)) {
-            this.newestBefore.set(key, line);
+        const earlier = this.latestStates.get(key);
+        if (line.timeMs < scope.startMs && line.timeMs >= (earlier?.timeMs ?? 0)) {
+            this.latestStates.set(key, line);
         }
     }
 }
 
-function scopeOf(story: readonly LogLine[]): StoryScope {
-    const times = story.map(line => line.timeMs);
+function scopeOf(matches: readonly LogLine[]): MatchScope {
+    const times = matches.map(line => line.timeMs);
     return {
         startMs: Math.min(...times),
         endMs: Math.max(...times),
-        instances: new Set(story.map(line => line.instance)),
-        upstreams: new Set(story.flatMap(line => line.fields.upstream ?? [])),
+        instances: new Set(matches.map(line => line.instance)),
+        upstreams: new Set(matches.flatMap(line => line.fields.upstream ?? [])),
     };
 }
 
-function isAround(scope: StoryScope, line: LogLine, marginMs: number): boolean {
+function isWithin(scope: MatchScope, line: LogLine, marginMs: number): boolean {
     return line.timeMs >= scope.startMs - marginMs && line.timeMs <= scope.endMs + marginMs;
 }
 
 /** Lines on an upstream that are not just another request there. */
-function isVerdict(line: LogLine): boolean {
+function isUpstreamStatus(line: LogLine): boolean {
     return line.event === "upstream-changed" || line.fields.isEjected === true;
 }
--- a/observability/explain/test/timeline.test.ts
+++ b/observability/explain/test/timeline.test.ts
@@ -13,8 +13,8 @@
 function explain(id: string, texts: string[]): string[] {
     const lines = texts.map(parseLogLine).filter((line): line is LogLine => line !== undefined);
     const timeline = new Timeline(id);
-    lines.forEach(line => timeline.addStory(line));
-    lines.forEach(line => timeline.addBelief(line));
+    lines.forEach(line => timeline.addMatch(line));
+    lines.forEach(line => timeline.addContext(line));
     return formatTimeline(timeline.entries());
 }
 
