--- a/core/clock/src/manualClock.ts
+++ b/core/clock/src/manualClock.ts
@@ -32,16 +32,16 @@
     /** Moves time forward, firing due timers in order and letting promises settle between them. */
     async advance(durationMs: number): Promise<void> {
         const endMs = this.currentMs + durationMs;
-        await settle();
-        for (let next = this.takeNext(endMs); next !== undefined; next = this.takeNext(endMs)) {
+        await settlePromises();
+        for (let next = this.removeNextDue(endMs); next !== undefined; next = this.removeNextDue(endMs)) {
             this.currentMs = Math.max(this.currentMs, next.dueMs);
             next.action();
-            await settle();
+            await settlePromises();
         }
         this.currentMs = endMs;
     }
 
-    private takeNext(endMs: number): PendingTimer | undefined {
+    private removeNextDue(endMs: number): PendingTimer | undefined {
         const next = this.pending
             .filter(timer => timer.dueMs <= endMs)
             .reduce<PendingTimer | undefined>(
@@ -53,6 +53,6 @@
     }
 }
 
-function settle(): Promise<void> {
+function settlePromises(): Promise<void> {
     return new Promise(resolve => setImmediate(resolve));
 }
--- a/core/key-value/src/settleTransaction.ts
+++ b/core/key-value/src/settleTransaction.ts
@@ -16,7 +16,7 @@
  * Throws the service's error where no attempt had any effect.
  */
 export async function settleTransaction(opts: SettleTransactionOptions): Promise<SettledTransaction> {
-    const isWitness = witnessTest(opts);
+    const isWitness = createWitnessTest(opts);
     let mayHaveRun = false;
     for (let retry = 0; retry <= (opts.maxRetries ?? DEFAULT_MAX_RETRIES); retry += 1) {
         try {
@@ -27,7 +27,7 @@
             return settledFailure(result.current, mayHaveRun, isWitness);
         }
         catch (error) {
-            if (!isUnknown(error) && !mayHaveRun) {
+            if (!hasUnknownOutcome(error) && !mayHaveRun) {
                 throw error;
             }
             mayHaveRun = true;
@@ -50,7 +50,7 @@
 }
 
 /** Tells whether an entry is what the transaction itself wrote. */
-function witnessTest(opts: SettleTransactionOptions): (entry: KeyValueEntry) => boolean {
+function createWitnessTest(opts: SettleTransactionOptions): (entry: KeyValueEntry) => boolean {
     const compare = opts.compares.find(candidate => candidate.key === opts.witnessKey);
     const operation = opts.operations.find(candidate => candidate.key === opts.witnessKey);
     if (compare === undefined || operation?.kind !== "put") {
@@ -61,6 +61,6 @@
         entry.key === opts.witnessKey && entry.modRevision !== compare.modRevision && value.equals(entry.value);
 }
 
-function isUnknown(error: unknown): boolean {
+function hasUnknownOutcome(error: unknown): boolean {
     return !(error instanceof KnapweedError) || error.outcome !== "not-run";
 }
--- a/observability/logs/src/openBoundedOutput.ts
+++ b/observability/logs/src/openBoundedOutput.ts
@@ -3,12 +3,12 @@
 
 const STANDARD_OUTPUT = 1;
 /** Output that waits for a slow reader; lines beyond it are dropped and counted. */
-const MAX_WAITING_BYTES = 1024 * 1024;
+const MAX_BUFFERED_BYTES = 1024 * 1024;
 /** Lines are gathered into writes of about this size. */
 const MIN_WRITE_BYTES = 4096;
 const FLUSH_INTERVAL_MS = 250;
 /** How long the end of a process waits for its last lines to be read. */
-const MAX_FLUSH_MS = 200;
+const FLUSH_TIMEOUT_MS = 200;
 
 /**
  * A log target on standard output that never blocks: a reader that stops reading costs lines, not time.
@@ -22,21 +22,21 @@
         fd: STANDARD_OUTPUT,
         sync: false,
         minLength: MIN_WRITE_BYTES,
-        maxLength: MAX_WAITING_BYTES,
+        maxLength: MAX_BUFFERED_BYTES,
         periodicFlush: FLUSH_INTERVAL_MS,
     });
-    let dropped = 0;
+    let droppedCount = 0;
     output.on("drop", () => {
-        dropped += 1;
+        droppedCount += 1;
     });
     output.on("error", () => {
-        dropped += 1;
+        droppedCount += 1;
     });
     const target = loglevel.getLogger(Symbol("knapweedwood-output"));
     target.methodFactory = () => line => {
-        if (dropped > 0) {
-            const count = dropped;
-            dropped = 0;
+        if (droppedCount > 0) {
+            const count = droppedCount;
+            droppedCount = 0;
             output.write(`${JSON.stringify({ level: "warn", event: "log-lines-dropped", count })}\n`);
         }
         output.write(`${String(line)}\n`);
@@ -44,7 +44,7 @@
     target.setLevel(level, false);
     const flush = () =>
         new Promise<boolean>(resolve => {
-            setTimeout(() => resolve(false), MAX_FLUSH_MS);
+            setTimeout(() => resolve(false), FLUSH_TIMEOUT_MS);
             output.flush(() => resolve(true));
         });
     return { target, flush };
--- a/observability/logs/test/boundedOutput.test.ts
+++ b/observability/logs/test/boundedOutput.test.ts
@@ -20,12 +20,12 @@
 `;
 const MAX_END_MS = 5000;
 
-function start() {
+function startProgram() {
     return spawn(process.execPath, ["--input-type=module", "-e", PROGRAM], { stdio: ["ignore", "pipe", "pipe"] });
 }
 
 test("a process whose reader has stopped ends all the same, soon", async () => {
-    const child = start();
+    const child = startProgram();
     await once(child.stderr, "data");
     const startedAtMs = Date.now();
     const timer = setTimeout(() => child.kill("SIGTERM"), MAX_END_MS);
@@ -36,7 +36,7 @@
 });
 
 test("a reader that reads gets the last lines", async () => {
-    const child = start();
+    const child = startProgram();
     let last = "";
     child.stdout.on("data", (chunk: Buffer) => {
         last = (last + chunk.toString("utf8")).slice(-400);
--- a/observability/traces/src/fileSpanExporter.ts
+++ b/observability/traces/src/fileSpanExporter.ts
@@ -15,7 +15,7 @@
     }
 
     export(spans: ReadableSpan[], done: ExportCallback): void {
-        const lines = spans.map(span => `${JSON.stringify(toLine(span))}\n`).join("");
+        const lines = spans.map(span => `${JSON.stringify(toRecord(span))}\n`).join("");
         appendFile(this.file, lines, error => done(error ? { code: 1, error } : { code: 0 }));
     }
 
@@ -24,7 +24,7 @@
     }
 }
 
-function toLine(span: ReadableSpan): object {
+function toRecord(span: ReadableSpan): object {
     return {
         traceId: span.spanContext().traceId,
         spanId: span.spanContext().spanId,
