--- a/adapters/http/src/callJson.ts
+++ b/adapters/http/src/callJson.ts
@@ -9,13 +9,13 @@
 const UNAVAILABLE_STATUS = 503;
 
 /**
- * Makes a call whose answer is JSON. Throws an error with `errorCode`: with outcome `not-run` where the call was not
- * sent or was refused with status 503, `unknown` otherwise.
+ * Makes a call and parses the JSON body of its response. Rejects with a KnapweedError with code `errorCode`. Its
+ * outcome is `not-run` if the call was not sent or the status is 503, `unknown` otherwise.
  */
 export async function callJson<Value>(client: PlatformHttpClient, call: HttpCall, errorCode: string): Promise<Value> {
     const response = await send(client, call, errorCode);
     if (response.statusCode < FIRST_OK_STATUS || response.statusCode >= FIRST_REDIRECT_STATUS) {
-        throw new KnapweedError(errorCode, `${call.method} ${call.path}: status ${response.statusCode}.`, {
+        throw new KnapweedError(errorCode, `${call.method} ${call.path} failed with status ${response.statusCode}.`, {
             outcome: response.statusCode === UNAVAILABLE_STATUS ? "not-run" : "unknown",
         });
     }
@@ -23,7 +23,7 @@
         return JSON.parse(response.body.toString()) as Value;
     }
     catch (cause) {
-        throw new KnapweedError(errorCode, `${call.method} ${call.path}: the answer is not JSON.`, {
+        throw new KnapweedError(errorCode, `${call.method} ${call.path}: the response body is not valid JSON.`, {
             outcome: "unknown",
             cause,
         });
--- a/adapters/http/src/httpCall.ts
+++ b/adapters/http/src/httpCall.ts
@@ -1,10 +1,10 @@
-/** One HTTP call to a service of the platform. */
+/** One HTTP call to a platform service. */
 export interface HttpCall {
     method: "GET" | "PUT" | "POST" | "DELETE";
     path: string;
     /** Sent as JSON. */
     body?: unknown;
     timeoutMs: number;
-    /** Whether the call may be sent again on a new connection where no answer came. */
+    /** Whether the call may be sent once more, on a new connection, if no response arrives. */
     repeatable: boolean;
 }
--- a/adapters/http/src/httpResponse.ts
+++ b/adapters/http/src/httpResponse.ts
@@ -1,4 +1,4 @@
-/** A whole HTTP answer. */
+/** A complete HTTP response. */
 export interface HttpResponse {
     statusCode: number;
     body: Buffer;
--- a/adapters/http/src/platformHttpClient.ts
+++ b/adapters/http/src/platformHttpClient.ts
@@ -10,10 +10,10 @@
 const DEFAULT_MAX_CONNECTIONS = 16;
 
 /**
- * Calls one service of the platform over HTTP.
+ * HTTP client for one platform service.
  *
- * `call` throws `PLATFORM_CALL_FAILED`: with outcome `not-run` where the call never began to be sent, `unknown`
- * otherwise. After a time-out all connections are replaced, because others may have gone silent as well.
+ * `call` rejects with `PLATFORM_CALL_FAILED`. Its outcome is `not-run` if sending never started, `unknown` otherwise.
+ * A timeout replaces the whole connection pool, because the other connections may have stopped responding as well.
  */
 export class PlatformHttpClient {
     private readonly clock: Clock;
@@ -44,12 +44,12 @@
         await this.pool.destroy();
     }
 
-    /** @param mayHaveRun whether an earlier attempt of the same call may have reached the other end */
+    /** @param mayHaveRun whether an earlier attempt of the same call may have reached the server */
     private async attempt(call: HttpCall, mayHaveRun: boolean): Promise<HttpResponse> {
         const collector = new ResponseCollector();
         const pool = this.pool;
         const timer = this.clock.setTimer(call.timeoutMs, () => {
-            collector.abort(new Error(`No answer within ${call.timeoutMs} ms.`));
+            collector.abort(new Error(`No response within ${call.timeoutMs} ms.`));
             this.replacePool(pool);
         });
         try {
--- a/adapters/http/src/responseCollector.ts
+++ b/adapters/http/src/responseCollector.ts
@@ -1,9 +1,9 @@
 import type { Dispatcher } from "undici";
 import type { HttpResponse } from "./httpResponse.js";
 
-/** Collects one response, and notes whether the call had begun to be sent. */
+/** Collects the response to one call, and records whether sending of the call has started. */
 export class ResponseCollector implements Dispatcher.DispatchHandler {
-    /** Whether any part of the call may have reached the other end. */
+    /** Whether any part of the call may have reached the server. */
     hasStarted = false;
     readonly response: Promise<HttpResponse>;
     private controller: Dispatcher.DispatchController | undefined;
@@ -20,7 +20,7 @@
         });
     }
 
-    /** Gives up on the response and drops the connection that the call was sent on. */
+    /** Rejects `response` with `reason` and closes the connection that the call was sent on. */
     abort(reason: Error): void {
         this.abortReason = reason;
         this.controller?.abort(reason);
