--- a/adapters/key-value-etcd/src/decodeBytes.ts
+++ b/adapters/key-value-etcd/src/decodeBytes.ts
@@ -1,4 +1,4 @@
-/** Bytes from the base64 of the JSON gateway, which leaves empty values out. */
+/** Decodes a base64 value of the JSON gateway. The gateway omits empty values, so `undefined` gives an empty buffer. */
 export function decodeBytes(text: string | undefined): Buffer {
     return Buffer.from(text ?? "", "base64");
 }
--- a/adapters/key-value-etcd/src/etcdCallError.ts
+++ b/adapters/key-value-etcd/src/etcdCallError.ts
@@ -8,10 +8,14 @@
 const RESOURCE_EXHAUSTED = 8;
 const UNIMPLEMENTED = 12;
 
-/** Refusals by which etcd says that it did not begin a call. */
+/** Error messages that guarantee that etcd did not start the call. */
 const NOT_STARTED_MESSAGES = ["etcdserver: no leader", "etcdserver: too many requests"];
 
-/** What a refusal of etcd means. `isWrite` says whether the call may have changed anything. */
+/**
+ * Converts an etcd error to a KnapweedError.
+ *
+ * @param isWrite whether the call may have changed data; if so, the outcome is `unknown` unless the error rules it out
+ */
 export function etcdCallError(error: EtcdError, isWrite: boolean): KnapweedError {
     const rejected = { outcome: "not-run" } as const;
     if (error.code === NOT_FOUND) {
--- a/adapters/key-value-etcd/src/etcdCompare.ts
+++ b/adapters/key-value-etcd/src/etcdCompare.ts
@@ -1,9 +1,9 @@
-/** A condition of a transaction, as etcd takes it. */
+/** A condition of a transaction, in etcd's format. */
 export interface EtcdCompare {
     /** Base64. */
     key: string;
     target: "MOD";
     result: "EQUAL";
-    /** An int64 as a string; 0 where the key must be absent. */
+    /** An int64 as a string; 0 requires that the key is absent. */
     mod_revision: string;
 }
--- a/adapters/key-value-etcd/src/etcdDeleteRangeRequest.ts
+++ b/adapters/key-value-etcd/src/etcdDeleteRangeRequest.ts
@@ -1,7 +1,7 @@
-/** Body of `/v3/kv/deleterange`. */
+/** Request body of `/v3/kv/deleterange`. */
 export interface EtcdDeleteRangeRequest {
     /** Base64. */
     key: string;
-    /** Base64; left out for a single key. */
+    /** Base64; omitted for a single key. */
     range_end?: string;
 }
--- a/adapters/key-value-etcd/src/etcdError.ts
+++ b/adapters/key-value-etcd/src/etcdError.ts
@@ -1,6 +1,6 @@
-/** Body of a failed call. */
+/** Response body of a failed call. */
 export interface EtcdError {
-    /** Status code of gRPC. */
+    /** gRPC status code. */
     code: number;
     message: string;
 }
--- a/adapters/key-value-etcd/src/etcdEvent.ts
+++ b/adapters/key-value-etcd/src/etcdEvent.ts
@@ -1,8 +1,8 @@
 import type { EtcdKeyValue } from "./etcdKeyValue.js";
 
-/** One change that a watch reports. */
+/** One change reported by a watch. */
 export interface EtcdEvent {
-    /** Left out for a put. */
+    /** Omitted for a put. */
     type?: "PUT" | "DELETE";
     kv: EtcdKeyValue;
 }
--- a/adapters/key-value-etcd/src/etcdHeader.ts
+++ b/adapters/key-value-etcd/src/etcdHeader.ts
@@ -1,4 +1,4 @@
-/** Header of each answer of etcd. */
+/** Header of every etcd response. */
 export interface EtcdHeader {
     /** An int64 as a string. */
     revision: string;
--- a/adapters/key-value-etcd/src/etcdKeyValue.ts
+++ b/adapters/key-value-etcd/src/etcdKeyValue.ts
@@ -1,11 +1,11 @@
-/** A key with its value, as etcd sends it. */
+/** A key and its value, in etcd's format. */
 export interface EtcdKeyValue {
     /** Base64. */
     key: string;
-    /** Base64; left out where empty. */
+    /** Base64; omitted if empty. */
     value?: string;
     /** An int64 as a string. */
     mod_revision?: string;
-    /** An int64 as a string; left out where there is no lease. */
+    /** An int64 as a string; omitted without a lease. */
     lease?: string;
 }
--- a/adapters/key-value-etcd/src/etcdKeyValueService.ts
+++ b/adapters/key-value-etcd/src/etcdKeyValueService.ts
@@ -30,12 +30,12 @@
 const OK_STATUS = 200;
 const UNAVAILABLE = 14;
 
-/** Whether a call changes something, and so must not be sent twice. */
+/** Kind of a call. Only a `write` must not be sent twice. */
 type CallKind = "read" | "keep-alive" | "write";
 
 /**
- * The key-value service over the etcd v3 JSON gateway. Reads and keep-alives are sent once more on a new connection
- * where no response came; writes never are. Leases live for whole seconds, rounded up.
+ * Key-value service client for the etcd v3 JSON gateway. Reads and keep-alives are sent once more on a new connection
+ * if no response arrives; writes are sent once. The time to live of a lease is rounded up to whole seconds.
  */
 export class EtcdKeyValueService implements KeyValueService {
     private readonly clock: Clock;
@@ -45,7 +45,7 @@
     private readonly writeTimeoutMs: number;
     private readonly watchIdleMs: number;
 
-    /** @param opts.watchIdleMs a watch that reports nothing for this long is begun anew on a new connection */
+    /** @param opts.watchIdleMs a watch without messages for this long is restarted on a new connection */
     constructor(opts: {
         clock: Clock;
         baseUrl: string;
@@ -113,7 +113,7 @@
         return watch.batches(opts);
     }
 
-    /** Drops all connections but those of watches, which end by their signal. */
+    /** Closes all connections except those of watches, which their signal ends. */
     close(): Promise<void> {
         return this.client.close();
     }
@@ -156,7 +156,7 @@
         return JSON.parse(body.toString()) as Response;
     }
     catch (error) {
-        const message = "The response of the key-value service is not JSON.";
+        const message = "The response body of the key-value service is not valid JSON.";
         throw isWrite ? answerLostError(message, error) : unavailableError(message, error);
     }
 }
--- a/adapters/key-value-etcd/src/etcdLeaseResponse.ts
+++ b/adapters/key-value-etcd/src/etcdLeaseResponse.ts
@@ -1,7 +1,7 @@
-/** Answer of `/v3/lease/grant`, and the result of `/v3/lease/keepalive`. */
+/** Response body of `/v3/lease/grant`, and the result of `/v3/lease/keepalive`. */
 export interface EtcdLeaseResponse {
     /** An int64 as a string. */
     ID: string;
-    /** Seconds, an int64 as a string; left out where 0. */
+    /** Seconds, an int64 as a string; omitted if 0. */
     TTL?: string;
 }
--- a/adapters/key-value-etcd/src/etcdPutRequest.ts
+++ b/adapters/key-value-etcd/src/etcdPutRequest.ts
@@ -1,4 +1,4 @@
-/** Body of `/v3/kv/put`. */
+/** Request body of `/v3/kv/put`. */
 export interface EtcdPutRequest {
     /** Base64. */
     key: string;
--- a/adapters/key-value-etcd/src/etcdRangeRequest.ts
+++ b/adapters/key-value-etcd/src/etcdRangeRequest.ts
@@ -1,9 +1,9 @@
-/** Body of `/v3/kv/range`. */
+/** Request body of `/v3/kv/range`. */
 export interface EtcdRangeRequest {
     /** Base64. */
     key: string;
-    /** Base64; left out for a single key. */
+    /** Base64; omitted for a single key. */
     range_end?: string;
-    /** An int64 as a string; left out for no limit. */
+    /** An int64 as a string; omitted for no limit. */
     limit?: string;
 }
--- a/adapters/key-value-etcd/src/etcdRangeResponse.ts
+++ b/adapters/key-value-etcd/src/etcdRangeResponse.ts
@@ -1,7 +1,7 @@
 import type { EtcdHeader } from "./etcdHeader.js";
 import type { EtcdKeyValue } from "./etcdKeyValue.js";
 
-/** Answer of `/v3/kv/range`. */
+/** Response body of `/v3/kv/range`. */
 export interface EtcdRangeResponse {
     header: EtcdHeader;
     kvs?: EtcdKeyValue[];
--- a/adapters/key-value-etcd/src/etcdTransactionRequest.ts
+++ b/adapters/key-value-etcd/src/etcdTransactionRequest.ts
@@ -1,7 +1,7 @@
 import type { EtcdCompare } from "./etcdCompare.js";
 import type { EtcdRequestOperation } from "./etcdRequestOperation.js";
 
-/** Body of `/v3/kv/txn`. */
+/** Request body of `/v3/kv/txn`. */
 export interface EtcdTransactionRequest {
     compare?: EtcdCompare[];
     success?: EtcdRequestOperation[];
--- a/adapters/key-value-etcd/src/etcdTransactionResponse.ts
+++ b/adapters/key-value-etcd/src/etcdTransactionResponse.ts
@@ -1,10 +1,10 @@
 import type { EtcdHeader } from "./etcdHeader.js";
 import type { EtcdRangeResponse } from "./etcdRangeResponse.js";
 
-/** Answer of `/v3/kv/txn`. */
+/** Response body of `/v3/kv/txn`. */
 export interface EtcdTransactionResponse {
     header: EtcdHeader;
-    /** Left out where false. */
+    /** Omitted if false. */
     succeeded?: boolean;
     responses?: { response_range?: EtcdRangeResponse; }[];
 }
--- a/adapters/key-value-etcd/src/etcdWatch.ts
+++ b/adapters/key-value-etcd/src/etcdWatch.ts
@@ -15,8 +15,8 @@
 const OK_STATUS = 200;
 
 /**
- * One watch. Each stream has a connection of its own, which is replaced when it has been idle: a silent
- * connection can't be told from a quiet one.
+ * One watch on a key prefix. Each stream uses its own connection. An idle connection is replaced, because a broken
+ * connection can't be distinguished from one without changes.
  */
 export class EtcdWatch {
     private readonly clock: Clock;
@@ -33,7 +33,10 @@
         this.connectTimeoutMs = opts.connectTimeoutMs;
     }
 
-    /** Changes after `afterRevision`, until aborted. Throws `KEY_VALUE_UNAVAILABLE` when the service is away. */
+    /**
+     * Yields the changes after `afterRevision` until aborted. Throws `KEY_VALUE_UNAVAILABLE` when the service is
+     * unavailable, and `KEY_VALUE_COMPACTED` when these changes are no longer stored.
+     */
     async *batches(opts: { afterRevision: number; signal: AbortSignal; }): AsyncIterable<WatchBatch> {
         let afterRevision = opts.afterRevision;
         while (!opts.signal.aborted) {
@@ -44,7 +47,7 @@
         }
     }
 
-    /** One connection's part of the watch; ends when idle or aborted. */
+    /** Yields the changes that one connection receives; ends when the connection is idle or the watch is aborted. */
     private async *stream(afterRevision: number, signal: AbortSignal): AsyncIterable<WatchBatch> {
         const client = new Client(this.baseUrl, {
             connect: { timeout: this.connectTimeoutMs },
@@ -73,17 +76,17 @@
 
     private async *read(response: Dispatcher.ResponseData, idle: IdleTimer): AsyncIterable<WatchBatch> {
         if (response.statusCode !== OK_STATUS) {
-            throw unavailableError(`The watch was refused with status ${response.statusCode}.`);
+            throw unavailableError(`The key-value service rejected the watch with status ${response.statusCode}.`);
         }
         for await (const line of splitLines(response.body)) {
             idle.restart(this.idleMs);
             yield* batchesOf(line);
             idle.restart(this.idleMs);
         }
-        throw unavailableError("The watch was ended by the key-value service.");
+        throw unavailableError("The key-value service ended the watch.");
     }
 
-    /** A new connection that does not even confirm the watch shows that the service is away. */
+    /** Throws if a new connection did not confirm the watch, which shows that the service is unavailable. */
     private throwIfUnconfirmed(idle: IdleTimer): void {
         if (idle.hasExpired && idle.startCount === 1) {
             throw unavailableError("The key-value service did not confirm the watch.");
@@ -110,12 +113,12 @@
         throw etcdCallError(message.error, false);
     }
     if (message.result?.compact_revision !== undefined) {
-        throw new KnapweedError("KEY_VALUE_COMPACTED", "The changes asked for are no longer kept.", {
-            hint: "List the keys and watch from the revision of the newest.",
+        throw new KnapweedError("KEY_VALUE_COMPACTED", "The requested changes are no longer stored.", {
+            hint: "List the keys again and watch from the highest revision among them.",
         });
     }
     if (message.result?.canceled === true) {
-        throw unavailableError("The watch was cancelled by the key-value service.");
+        throw unavailableError("The key-value service cancelled the watch.");
     }
     return toWatchBatches(message.result?.events ?? []);
 }
--- a/adapters/key-value-etcd/src/etcdWatchResponse.ts
+++ b/adapters/key-value-etcd/src/etcdWatchResponse.ts
@@ -1,12 +1,12 @@
 import type { EtcdEvent } from "./etcdEvent.js";
 import type { EtcdHeader } from "./etcdHeader.js";
 
-/** One message of a watch. */
+/** One message of a watch stream. */
 export interface EtcdWatchResponse {
     header: EtcdHeader;
     created?: boolean;
     canceled?: boolean;
-    /** Set where the watch was refused because changes are no longer kept; an int64 as a string. */
+    /** Set if the watch was rejected because the requested changes were compacted; an int64 as a string. */
     compact_revision?: string;
     events?: EtcdEvent[];
 }
--- a/adapters/key-value-etcd/src/idleTimer.ts
+++ b/adapters/key-value-etcd/src/idleTimer.ts
@@ -1,9 +1,9 @@
 import type { Clock } from "@knapweedwood/core.clock/clock";
 import type { Timer } from "@knapweedwood/core.clock/timer";
 
-/** Aborts its signal when it has not been restarted in time. */
+/** Aborts `signal` unless it is restarted or stopped in time. */
 export class IdleTimer {
-    /** How often the timer was started. */
+    /** Number of times that the timer was started. */
     startCount = 0;
     private readonly clock: Clock;
     private readonly controller = new AbortController();
--- a/adapters/key-value-etcd/src/keyPrefix.ts
+++ b/adapters/key-value-etcd/src/keyPrefix.ts
@@ -1,4 +1,4 @@
-/** The keys that start with `prefix` and come after `afterKey`. */
+/** Selects the keys that start with `prefix` and sort after `afterKey`. */
 export interface KeyPrefix {
     prefix: string;
     afterKey: string | undefined;
--- a/adapters/key-value-etcd/src/prefixRange.ts
+++ b/adapters/key-value-etcd/src/prefixRange.ts
@@ -3,13 +3,13 @@
 
 const MAX_BYTE = 0xff;
 
-/** The range of all keys that start with `prefix` and come after `afterKey`. */
+/** Returns the range of all keys that start with `prefix` and sort after `afterKey`. */
 export function prefixRange(prefix: string, afterKey?: string): EtcdRangeRequest {
     const first = afterKey !== undefined && afterKey >= prefix ? `${afterKey}\0` : prefix;
     return { key: encodeBytes(first === "" ? "\0" : first), range_end: encodeBytes(endOf(Buffer.from(prefix))) };
 }
 
-/** The first key after all that start with `prefix`; a zero byte stands for the end of all keys. */
+/** Returns the first key after all keys that start with `prefix`, or a zero byte, which etcd reads as "no end". */
 function endOf(prefix: Buffer): Uint8Array {
     const index = prefix.findLastIndex(byte => byte < MAX_BYTE);
     if (index < 0) {
--- a/adapters/key-value-etcd/src/splitLines.ts
+++ b/adapters/key-value-etcd/src/splitLines.ts
@@ -1,4 +1,4 @@
-/** The lines of a stream of UTF-8 text, without empty ones. */
+/** Yields the complete lines of a UTF-8 stream, without empty lines. */
 export async function* splitLines(stream: AsyncIterable<Uint8Array>): AsyncIterable<string> {
     const decoder = new TextDecoder();
     let rest = "";
--- a/adapters/key-value-etcd/src/toEntry.ts
+++ b/adapters/key-value-etcd/src/toEntry.ts
@@ -4,7 +4,7 @@
 
 const NO_LEASE = "0";
 
-/** An entry as etcd sent it. */
+/** Converts a key and its value from etcd's format. */
 export function toEntry(keyValue: EtcdKeyValue): KeyValueEntry {
     const lease = keyValue.lease ?? NO_LEASE;
     return {
--- a/adapters/key-value-etcd/src/toTransactionRequest.ts
+++ b/adapters/key-value-etcd/src/toTransactionRequest.ts
@@ -4,7 +4,7 @@
 import type { EtcdRequestOperation } from "./etcdRequestOperation.js";
 import type { EtcdTransactionRequest } from "./etcdTransactionRequest.js";
 
-/** A transaction that answers with the compared keys where a comparison fails. */
+/** Builds the request of a transaction. If a comparison fails, the transaction returns the compared keys instead. */
 export function toTransactionRequest(
     compares: KeyValueCompare[],
     operations: KeyValueOperation[],
--- a/adapters/key-value-etcd/src/toWatchBatches.ts
+++ b/adapters/key-value-etcd/src/toWatchBatches.ts
@@ -4,9 +4,9 @@
 import { toEntry } from "./toEntry.js";
 
 /**
- * Groups the events of one message by their revision.
+ * Groups the events of one message by revision.
  *
- * @returns the batches in order of their revision, shape [batches]
+ * @returns the batches in ascending order of revision, shape [batches]
  */
 export function toWatchBatches(events: EtcdEvent[]): WatchBatch[] {
     const byRevision = new Map<number, WatchBatch>();
