--- a/engines/model-engine/src/cacheEvent.ts
+++ b/engines/model-engine/src/cacheEvent.ts
@@ -1,7 +1,7 @@
-/** A change of an engine's prefix cache. Published late and with gaps in `sequenceNumber`. */
+/** A change of an engine's prefix cache. Events arrive late, and `sequenceNumber` can have gaps. */
 export interface CacheEvent {
     sequenceNumber: number;
     kind: "stored" | "evicted";
-    /** Hashes of the prompt blocks concerned, shape [blocks]. */
+    /** Hashes of the affected prompt blocks, shape [blocks]. */
     blockHashes: string[];
 }
--- a/engines/model-engine/src/completionAssembler.ts
+++ b/engines/model-engine/src/completionAssembler.ts
@@ -12,7 +12,7 @@
     logProbabilities: unknown[];
 }
 
-/** Makes OpenAI-compatible chunk objects and response objects from {@link GenerateEvent}s. */
+/** Builds OpenAI-compatible chunk objects and response objects from {@link GenerateEvent}s. */
 export class CompletionAssembler {
     private readonly isChat: boolean;
     private readonly base: { id: string; created: number; model: string; };
@@ -22,7 +22,7 @@
 
     constructor(opts: {
         request: GenerateRequest;
-        /** Identifies the answer, without the prefix that the endpoint gives it. */
+        /** Id of the response, without the endpoint's prefix such as `chatcmpl-`. */
         answerId: string;
         createdAtMs: number;
     }) {
@@ -36,7 +36,7 @@
         this.choice(0).text = opts.request.resumeFrom?.text ?? "";
     }
 
-    /** What has been produced so far, what was resumed from included. */
+    /** Text and token count generated so far, including those of `resumeFrom`. */
     get produced(): { text: string; tokenCount: number; } {
         return { text: this.choice(0).text, tokenCount: this.tokenCount };
     }
@@ -46,12 +46,12 @@
         return this.usage !== undefined;
     }
 
-    /** Adds an event and returns its chunk objects, as a stream sends them, shape [0..2]. */
+    /** Adds an event and returns the chunk objects that a stream sends for it, shape [chunks]. */
     add(event: GenerateEvent): JsonObject[] {
         return event.kind === "chunk" ? [this.addChunk(event)] : this.addFinish(event);
     }
 
-    /** The response object of a call that is not streamed. */
+    /** Returns the response object of a call without streaming. */
     response(): JsonObject {
         const choices = [...this.choices.entries()]
             .sort(([left], [right]) => left - right)
@@ -60,7 +60,7 @@
         return { ...this.base, object, choices, usage: usageObjectOf(this.usage) };
     }
 
-    /** The chunk that ends a stream whose caller asked for `stream_options.include_usage`. */
+    /** Returns the last chunk of a stream whose caller set `stream_options.include_usage`. */
     usageChunk(): JsonObject {
         return { ...this.base, object: this.chunkObject, choices: [], usage: usageObjectOf(this.usage) };
     }
@@ -73,7 +73,7 @@
         return event.choice === undefined ? this.addText(event.text, event.tokenCount) : this.addChoice(event);
     }
 
-    /** The common case: text of the first choice, and nothing else. */
+    /** Handles the common case: text of the first choice only. */
     private addText(text: string, tokenCount: number): JsonObject {
         const choice = this.choice(0);
         const isFirst = choice.text === "" && choice.toolCalls.length === 0;
--- a/engines/model-engine/src/completionChunkReader.ts
+++ b/engines/model-engine/src/completionChunkReader.ts
@@ -26,19 +26,24 @@
     error?: { message?: string; code?: number | string; };
 }
 
-/** Turns the chunk objects of an OpenAI-compatible stream into {@link GenerateEvent}s. */
+/** Converts the chunk objects of an OpenAI-compatible stream to {@link GenerateEvent}s. */
 export class CompletionChunkReader {
     private usage: Usage | undefined;
     private finishReason: string | undefined;
     private tokenCount = 0;
     private ended = false;
 
-    /** Whether the stream ended as it should. */
+    /** Whether the end marker of the stream was read. */
     get isEnded(): boolean {
         return this.ended;
     }
 
-    /** @returns the events of one chunk, shape [0..choices] */
+    /**
+     * Reads the data of one server-sent event. Throws `ENGINE_FAILED` for an error that the engine reports, and
+     * `ENGINE_STREAM_MALFORMED` for data that is not JSON.
+     *
+     * @returns the events of the chunk, shape [0..choices]; one finish event for the end marker
+     */
     read(data: string): GenerateEvent[] {
         if (data === END_OF_STREAM) {
             this.ended = true;
@@ -72,7 +77,7 @@
 function parseChunk(data: string): StreamChunk {
     const chunk = parseJson(data);
     if (chunk.error !== undefined) {
-        throw new KnapweedError("ENGINE_FAILED", chunk.error.message ?? "The engine failed in mid-stream", {
+        throw new KnapweedError("ENGINE_FAILED", chunk.error.message ?? "The engine failed during the stream", {
             outcome: "unknown",
             statusCode: 502,
         });
@@ -85,7 +90,7 @@
         return JSON.parse(data) as StreamChunk;
     }
     catch (cause) {
-        throw new KnapweedError("ENGINE_STREAM_MALFORMED", "The engine sent a chunk that is not JSON", {
+        throw new KnapweedError("ENGINE_STREAM_MALFORMED", "The engine sent a chunk that is not valid JSON", {
             outcome: "unknown",
             statusCode: 502,
             cause,
--- a/engines/model-engine/src/engineErrorOf.ts
+++ b/engines/model-engine/src/engineErrorOf.ts
@@ -1,5 +1,6 @@
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 
+/** Codes of errors that occur before a request is sent. */
 const CONNECT_ERROR_CODES = [
     "ECONNREFUSED",
     "EHOSTUNREACH",
@@ -9,7 +10,10 @@
     "UND_ERR_CONNECT_TIMEOUT",
 ];
 
-/** The error for an exchange with an engine that `thrown` ended. */
+/**
+ * Converts an error thrown during a call of an engine to a KnapweedError; a KnapweedError is returned unchanged. The
+ * outcome is `not-run` if the request was not sent, `unknown` otherwise.
+ */
 export function engineErrorOf(thrown: unknown, signal: AbortSignal | undefined): KnapweedError {
     if (thrown instanceof KnapweedError) {
         return thrown;
--- a/engines/model-engine/src/engineLoad.ts
+++ b/engines/model-engine/src/engineLoad.ts
@@ -1,12 +1,12 @@
-/** Load as the engine reports it, with a lag. */
+/** Load that the engine reports. The figures are slightly out of date. */
 export interface EngineLoad {
     runningSequences: number;
     waitingSequences: number;
     kvTokensUsed: number;
     kvTokensLimit: number;
     maxSequences: number;
-    /** Duration of the last step. */
+    /** Duration of the last step, in milliseconds. */
     lastStepMs: number;
-    /** Prompt tokens that one step processes at most, where the engine tells. */
+    /** Maximum number of prompt tokens per step; undefined if the engine doesn't report it. */
     maxPrefillTokensPerStep?: number;
 }
--- a/engines/model-engine/src/engineOrder.ts
+++ b/engines/model-engine/src/engineOrder.ts
@@ -3,7 +3,7 @@
 import type { ModelName } from "@knapweedwood/core.ids/modelName";
 import type { ModelVersion } from "@knapweedwood/core.ids/modelVersion";
 
-/** An order to an engine. */
+/** A command to an engine to change its models, adapters or role. */
 export interface EngineOrder {
     fencingNumber: FencingNumber;
     action:
--- a/engines/model-engine/src/engineResponseErrorOf.ts
+++ b/engines/model-engine/src/engineResponseErrorOf.ts
@@ -9,9 +9,9 @@
     body: string;
 }
 
-/** The error for an answer of an engine whose status is not 2xx. */
+/** Returns the error for an engine's response with a status other than 2xx. */
 export function engineResponseErrorOf(response: ErrorResponse): KnapweedError {
-    const message = messageOf(response.body) ?? `The engine answered with status ${response.statusCode}`;
+    const message = messageOf(response.body) ?? `The engine responded with status ${response.statusCode}`;
     if (response.statusCode === 429 || response.statusCode === 503) {
         return new KnapweedError("ENGINE_BUSY", message, {
             outcome: "not-run",
--- a/engines/model-engine/src/generateEvent.ts
+++ b/engines/model-engine/src/generateEvent.ts
@@ -7,7 +7,7 @@
         kind: "chunk";
         text: string;
         tokenCount: number;
-        /** The engine's choice object, where it says more than text (tool calls, log probabilities). */
+        /** The engine's choice object, if it contains more than text, such as tool calls or log probabilities. */
         choice?: JsonObject;
     }
     | { kind: "finish"; finishReason: string; usage: Usage; };
--- a/engines/model-engine/src/generateRequest.ts
+++ b/engines/model-engine/src/generateRequest.ts
@@ -5,10 +5,10 @@
 /** A request to generate text. */
 export interface GenerateRequest {
     endpoint: "/v1/chat/completions" | "/v1/completions";
-    /** The body as the caller sent it. */
+    /** The caller's request body, unchanged. */
     body: JsonObject;
-    /** What an earlier stream of the same request had produced. */
+    /** Output of an earlier stream of the same request, at which generation resumes. */
     resumeFrom?: ResumePoint;
-    /** Name of the request at the engine, for the export of its KV cache. */
+    /** Id of the request at the engine, under which its KV cache can be exported. */
     requestId?: RequestId;
 }
--- a/engines/model-engine/src/httpModelEngine.ts
+++ b/engines/model-engine/src/httpModelEngine.ts
@@ -28,7 +28,7 @@
     signal?: AbortSignal;
 }
 
-/** A model engine reached over its OpenAI-compatible HTTP interface. */
+/** Client of a model engine with an OpenAI-compatible HTTP interface. */
 export class HttpModelEngine implements ModelEngine {
     private readonly pathPrefix: string;
     private readonly pool: Pool;
@@ -36,9 +36,9 @@
     constructor(opts: {
         /** Such as `http://127.0.0.1:8000`. */
         baseUrl: string;
-        /** Longest wait for the headers of an response. */
+        /** Timeout for the headers of a response. */
         headersTimeoutMs?: number;
-        /** Longest silence within a stream before its connection counts as lost. */
+        /** Longest gap between chunks of a stream; after that the connection counts as lost. */
         chunkGapTimeoutMs?: number;
     }) {
         const { origin, pathname } = new URL(opts.baseUrl);
@@ -76,7 +76,7 @@
         return this.sendForJson<JsonObject>({ method: "POST", path: "/v1/embeddings", body, signal: opts.signal });
     }
 
-    /** The names of the models that the engine offers, shape [models]. */
+    /** Returns the names of the models that the engine serves, shape [models]. */
     async listModels(): Promise<string[]> {
         const list = await this.sendForJson<{ data: { id: string; }[]; }>(controlCall("GET", "/v1/models"));
         return list.data.map(model => model.id);
@@ -130,7 +130,7 @@
         await this.sendForJson({ ...controlCall("POST", "/cache/import"), body: cache });
     }
 
-    /** Ends all connections. */
+    /** Closes all connections. */
     async close(): Promise<void> {
         await this.pool.destroy();
     }
@@ -190,7 +190,7 @@
         : { ...body, knapweed_resume: { text: resume.text, tokenCount: resume.tokenCount } };
 }
 
-/** Keeps the connection of an response that was read to its end mark; drops that of any other. */
+/** Keeps the connection if the response was read to its end marker; otherwise closes it. */
 function release(body: Dispatcher.ResponseData["body"], isComplete: boolean): void {
     if (isComplete) {
         body.dump().catch(() => undefined);
@@ -212,7 +212,7 @@
             }
         }
     }
-    throw new KnapweedError("ENGINE_STREAM_CUT", "The engine's stream ended before its end mark", {
+    throw new KnapweedError("ENGINE_STREAM_CUT", "The engine's stream ended before its end marker", {
         outcome: "unknown",
         statusCode: 502,
     });
--- a/engines/model-engine/src/jsonObject.ts
+++ b/engines/model-engine/src/jsonObject.ts
@@ -1,2 +1,2 @@
-/** A JSON object whose fields are checked where they are used. */
+/** A JSON object with unchecked fields; code that uses a field checks its type. */
 export type JsonObject = { [field: string]: unknown; };
--- a/engines/model-engine/src/modelEngine.ts
+++ b/engines/model-engine/src/modelEngine.ts
@@ -7,21 +7,21 @@
 import type { JsonObject } from "./jsonObject.js";
 
 /**
- * A model engine. Errors are KnapweedErrors: outcome `not-run` where the engine provably did not begin
- * (connection refused, or a refusal by status 429 or 503), `unknown` otherwise; `ENGINE_REFUSED` with the engine's status code for
- * requests that it rejects.
+ * A model engine. Methods reject with KnapweedErrors. The outcome is `not-run` if the engine certainly did not start
+ * the request (the connection failed, or the status is 429 or 503), `unknown` otherwise. Requests that the engine
+ * rejects with another status below 500 fail with `ENGINE_REFUSED`, the engine's status code and outcome `answered`.
  */
 export interface ModelEngine {
-    /** Generates until finished; aborting the signal cancels the work at the engine. */
+    /** Generates until the engine finishes; aborting the signal cancels the request at the engine. */
     generate(request: GenerateRequest, opts: { signal: AbortSignal; }): AsyncIterable<GenerateEvent>;
-    /** Embeddings, as the OpenAI-compatible endpoint answers. */
+    /** Returns the response body of the OpenAI-compatible embeddings endpoint. */
     embed(body: JsonObject, opts: { signal: AbortSignal; }): Promise<JsonObject>;
     load(): Promise<EngineLoad>;
     state(): Promise<EngineState>;
-    /** Throws `ENGINE_ORDER_STALE` where the engine checks fencing numbers and has seen a higher one. */
+    /** Rejects with `ENGINE_ORDER_STALE` if the engine checks fencing numbers and has received a higher one. */
     order(order: EngineOrder): Promise<void>;
     cacheEvents(opts: { signal: AbortSignal; }): AsyncIterable<CacheEvent>;
-    /** Exports the KV cache of a running or just cancelled request, named by the engine's request id. */
+    /** Exports the KV cache of a running or just cancelled request, selected by its `requestId` at the engine. */
     exportCache(engineRequestId: string): Promise<Uint8Array>;
     importCache(cache: Uint8Array): Promise<void>;
 }
--- a/engines/model-engine/src/promptTextOf.ts
+++ b/engines/model-engine/src/promptTextOf.ts
@@ -1,6 +1,6 @@
 import type { JsonObject } from "./jsonObject.js";
 
-/** The whole prompt of a request as one text. */
+/** Returns the whole prompt of a request as one string. Each chat message becomes one line with its role. */
 export function promptTextOf(body: JsonObject): string {
     if (Array.isArray(body.messages)) {
         return (body.messages as JsonObject[])
--- a/engines/model-engine/src/resumePoint.ts
+++ b/engines/model-engine/src/resumePoint.ts
@@ -1,7 +1,7 @@
-/** Where a generation goes on. */
+/** The point at which a generation resumes. */
 export interface ResumePoint {
-    /** Text produced so far. */
+    /** Text generated so far. */
     text: string;
-    /** Tokens produced so far. */
+    /** Number of tokens generated so far. */
     tokenCount: number;
 }
--- a/engines/model-engine/src/serverSentEventReader.ts
+++ b/engines/model-engine/src/serverSentEventReader.ts
@@ -1,11 +1,11 @@
 const DATA_PREFIX = "data:";
 
-/** Splits a stream of server-sent events into their data. */
+/** Extracts the data fields from a stream of server-sent events. */
 export class ServerSentEventReader {
     private readonly decoder = new TextDecoder();
     private rest = "";
 
-    /** @returns the data of the events that end in these bytes, in order, shape [events] */
+    /** @returns the data of the events that these bytes complete, in order, shape [events] */
     read(bytes: Uint8Array): string[] {
         const lines = (this.rest + this.decoder.decode(bytes, { stream: true })).split("\n");
         this.rest = lines.pop() ?? "";
--- a/engines/model-engine/test/completionAssembler.test.ts
+++ b/engines/model-engine/test/completionAssembler.test.ts
@@ -12,7 +12,7 @@
 const usage = { promptTokens: 3, completionTokens: 2, cachedTokens: 0 };
 
 (["/v1/chat/completions", "/v1/completions"] as const).forEach(endpoint => {
-    test(`${endpoint}: plain text makes the same chunks and answer as the engine's whole choice objects`, () => {
+    test(`${endpoint}: plain text gives the same chunks and response as the engine's full choice objects`, () => {
         const textOnly = assembler(endpoint);
         const fullChoices = assembler(endpoint);
         ["one", " two"].forEach(text => {
@@ -31,7 +31,7 @@
     });
 });
 
-test("the first chunk of a chat carries the role, later ones do not", () => {
+test("only the first chunk of a chat contains the role", () => {
     const chat = assembler("/v1/chat/completions");
     const deltas = ["a", "b"].map(text => {
         const [chunk] = chat.add({ kind: "chunk", text, tokenCount: 1 });
