--- a/observability/explain/src/formatTimeline.ts
+++ b/observability/explain/src/formatTimeline.ts
@@ -2,7 +2,7 @@
 
 const EVENT_WIDTH = 24;
 
-/** Writes a timeline as text, a line each; what was believed is indented. */
+/** Formats a timeline as text, one line per entry, shape [entries]. Context lines are marked with a dot. */
 export function formatTimeline(entries: readonly TimelineEntry[]): string[] {
     const instanceWidth = Math.max(0, ...entries.map(entry => entry.line.instance.length));
     return entries.map(({ line, kind }) => {
--- a/observability/explain/src/logLine.ts
+++ b/observability/explain/src/logLine.ts
@@ -1,4 +1,4 @@
-/** One structured log line. */
+/** A parsed log line. */
 export interface LogLine {
     timeMs: number;
     level: string;
--- a/observability/explain/src/parseLogLine.ts
+++ b/observability/explain/src/parseLogLine.ts
@@ -1,6 +1,6 @@
 import type { LogLine } from "./logLine.js";
 
-/** Reads a log line; what stands before the JSON is skipped. @returns undefined where the text is no such line */
+/** Parses a log line and skips text before the JSON. @returns undefined if the text is not a log line */
 export function parseLogLine(text: string): LogLine | undefined {
     const start = text.indexOf("{");
     if (start < 0) {
@@ -16,7 +16,7 @@
             : { timeMs, level: String(level), event: String(event), instance: String(instance), fields };
     }
     catch {
-        // A line that was cut, or is not ours, tells nothing.
+        // The line was cut off or comes from another program.
         return undefined;
     }
 }
--- a/observability/explain/src/timeline.ts
+++ b/observability/explain/src/timeline.ts
@@ -3,11 +3,14 @@
 
 /** Fields that hold ids of requests, jobs and items. */
 const ID_FIELDS = ["requestId", "jobId", "itemId"];
-/** Events that tell what a process is or knows; the newest of each kind before the story counts too. */
+/**
+ * Events that change the state of a process, with the kind of state. The latest of each kind before the first match
+ * is context too.
+ */
 const STATE_EVENTS: { [event: string]: string; } = {
-    "started": "life",
-    "stopping": "life",
-    "stopped": "life",
+    "started": "lifecycle",
+    "stopping": "lifecycle",
+    "stopped": "lifecycle",
     "configuration-in-force": "configuration",
     "settings-reloaded": "settings",
     "key-value-lost": "key-value",
@@ -18,10 +21,10 @@
     "leadership-lost": "leadership",
     "jobs-loaded": "leadership",
 };
-/** Time around the story in which what is told of its upstreams matters, in milliseconds. */
+/** Status lines of an upstream count as context this long before the first match and after the last one. */
 const UPSTREAM_MARGIN_MS = 5000;
 
-/** What a story is about, for the choice of the beliefs that matter to it. */
+/** Period, instances and upstreams of the matching lines; they decide which other lines are context. */
 interface MatchScope {
     startMs: number;
     endMs: number;
@@ -30,14 +33,15 @@
 }
 
 /**
- * Gathers the story of one id from the lines of many processes, then what these processes believed meanwhile. Lines are
- * given twice, first all to `addStory`, then all to `addBelief`, so that logs need not fit into memory.
+ * Collects the log lines of one id from many processes, and as context the state of these processes at the time. The
+ * caller passes every line twice, first all to `addMatch`, then all to `addContext`, so that the logs need not fit
+ * into memory.
  */
 export class Timeline {
     private readonly id: string;
     private readonly matches: LogLine[] = [];
     private readonly contextLines: LogLine[] = [];
-    /** Taken once, when the whole story is earlier. */
+    /** Computed once, after all matches have been added. */
     private scope: MatchScope | undefined;
     private readonly latestStates = new Map<string, LogLine>();
 
@@ -45,12 +49,14 @@
         this.id = id;
     }
 
+    /** Adds the line if it contains the id. */
     addMatch(line: LogLine): void {
         if (this.isMatch(line)) {
             this.matches.push(line);
         }
     }
 
+    /** Adds the line if it describes the state of a process or an upstream that the matches concern. */
     addContext(line: LogLine): void {
         if (this.matches.length === 0 || this.isMatch(line)) {
             return;
@@ -68,7 +74,7 @@
         }
     }
 
-    /** The whole timeline in order of time, shape [lines]. */
+    /** Returns the timeline in order of time, shape [lines]. */
     entries(): TimelineEntry[] {
         const context = [...this.latestStates.values(), ...this.contextLines].map(line => ({
             line,
@@ -109,7 +115,7 @@
     return line.timeMs >= scope.startMs - marginMs && line.timeMs <= scope.endMs + marginMs;
 }
 
-/** Lines on an upstream that are not just another request there. */
+/** Returns whether a line with an upstream reports the upstream's status rather than another request. */
 function isUpstreamStatus(line: LogLine): boolean {
     return line.event === "upstream-changed" || line.fields.isEjected === true;
 }
--- a/observability/explain/src/timelineEntry.ts
+++ b/observability/explain/src/timelineEntry.ts
@@ -1,8 +1,8 @@
 import type { LogLine } from "./logLine.js";
 
-/** A line of a timeline. */
+/** One line of a timeline. */
 export interface TimelineEntry {
     line: LogLine;
-    /** Whether it tells of the request itself, or of what a process believed then. */
+    /** "story": the line contains the id. "belief": context, the state of a process or an upstream at the time. */
     kind: "story" | "belief";
 }
--- a/observability/explain/test/timeline.test.ts
+++ b/observability/explain/test/timeline.test.ts
@@ -18,7 +18,7 @@
     return formatTimeline(timeline.entries());
 }
 
-test("a request's lines come in order of time, with what its process believed and what befell its upstream", () => {
+test("a request's lines are in order of time, with the state of its process and of its upstream as context", () => {
     const texts = [
         lineOf(1, "g-1", "configuration-in-force", { version: 1 }),
         lineOf(2, "g-1", "configuration-in-force", { version: 2 }),
@@ -42,7 +42,7 @@
     ]);
 });
 
-test("an item is found by its id, a job by its own, and an unknown id has no lines", () => {
+test("items and jobs are found by their ids, and an unknown id has no lines", () => {
     const texts = [
         lineOf(1, "g", "job-submitted", { jobId: "j", kind: "accepted" }),
         lineOf(2, "r", "item-started", { jobId: "j", itemId: "i", upstream: "u" }),
