--- a/observability/logs/src/jsonLogger.ts
+++ b/observability/logs/src/jsonLogger.ts
@@ -5,7 +5,7 @@
 
 type Level = "debug" | "info" | "warn" | "error";
 
-/** Writes each event as one JSON line on standard error. */
+/** Writes each event as one JSON line, to standard error unless a target is given. */
 export class JsonLogger implements Logger {
     private readonly clock: Clock;
     private readonly fields: LogFields;
--- a/observability/logs/src/logFields.ts
+++ b/observability/logs/src/logFields.ts
@@ -1,2 +1,2 @@
-/** Fields of a log line. */
+/** Structured fields of a log line. */
 export type LogFields = { [field: string]: unknown; };
--- a/observability/logs/src/openBoundedOutput.ts
+++ b/observability/logs/src/openBoundedOutput.ts
@@ -2,18 +2,19 @@
 import sonicBoom from "sonic-boom";
 
 const STANDARD_OUTPUT = 1;
-/** Output that waits for a slow reader; lines beyond it are dropped and counted. */
+/** Limit of output buffered for a slow reader; further lines are dropped and counted. */
 const MAX_BUFFERED_BYTES = 1024 * 1024;
-/** Lines are gathered into writes of about this size. */
+/** Lines are buffered into writes of about this size. */
 const MIN_WRITE_BYTES = 4096;
 const FLUSH_INTERVAL_MS = 250;
-/** How long the end of a process waits for its last lines to be read. */
+/** Time that a stopping process waits until its last lines are read. */
 const FLUSH_TIMEOUT_MS = 200;
 
 /**
- * A log target on standard output that never blocks: a reader that stops reading costs lines, not time.
+ * Opens a log target on standard output that never blocks. If the reader stops reading, lines are dropped.
  *
- * @returns the target, and a function that writes out what waits and tells whether the reader took it within a moment
+ * @returns the target, and a function that flushes the buffer and resolves to whether the reader accepted it within
+ *     `FLUSH_TIMEOUT_MS`
  */
 export function openBoundedOutput(
     level: loglevel.LogLevelDesc,
--- a/observability/logs/src/silentLogger.ts
+++ b/observability/logs/src/silentLogger.ts
@@ -1,6 +1,6 @@
 import type { Logger } from "./logger.js";
 
-/** A logger that writes nothing. */
+/** A logger that discards all events. */
 export const silentLogger: Logger = {
     debug: () => undefined,
     info: () => undefined,
--- a/observability/logs/test/boundedOutput.test.ts
+++ b/observability/logs/test/boundedOutput.test.ts
@@ -5,7 +5,7 @@
 
 const OUTPUT = new URL("../src/openBoundedOutput.js", import.meta.url).href;
 const LINES = 20_000;
-/** A process that writes more than the pipe and the output hold, then ends. */
+/** A program that writes more than the pipe and the output buffer can hold, then exits. */
 const PROGRAM = `
 import { openBoundedOutput } from ${JSON.stringify(OUTPUT)};
 const output = openBoundedOutput("info");
@@ -24,18 +24,18 @@
     return spawn(process.execPath, ["--input-type=module", "-e", PROGRAM], { stdio: ["ignore", "pipe", "pipe"] });
 }
 
-test("a process whose reader has stopped ends all the same, soon", async () => {
+test("a process whose reader has stopped still exits in time", async () => {
     const child = startProgram();
     await once(child.stderr, "data");
     const startedAtMs = Date.now();
     const timer = setTimeout(() => child.kill("SIGTERM"), MAX_END_MS);
     const [, signal] = await once(child, "exit") as [number | null, string | null];
     clearTimeout(timer);
-    assert.equal(signal, "SIGKILL", "it ended by itself");
+    assert.equal(signal, "SIGKILL", "the process must end itself");
     assert.ok(Date.now() - startedAtMs < MAX_END_MS);
 });
 
-test("a reader that reads gets the last lines", async () => {
+test("an active reader receives the last lines", async () => {
     const child = startProgram();
     let last = "";
     child.stdout.on("data", (chunk: Buffer) => {
