--- a/observability/metrics/src/metricTags.ts
+++ b/observability/metrics/src/metricTags.ts
@@ -1,2 +1,2 @@
-/** Tags of a metric. Values are from small sets. */
+/** Tags of a metric. Each tag has few distinct values. */
 export type MetricTags = { [tag: string]: string; };
--- a/observability/metrics/src/prometheusMetrics.ts
+++ b/observability/metrics/src/prometheusMetrics.ts
@@ -4,10 +4,13 @@
 
 const PREFIX = "knapweed_";
 const INVALID_NAME_CHARACTERS = /[^a-zA-Z0-9_]/gu;
-/** Upper ends of the buckets of durations, in milliseconds. */
+/** Upper bounds of the histogram buckets for durations, in milliseconds. */
 const DURATION_BUCKETS_MS = [1, 2, 5, 10, 20, 50, 100, 200, 300, 500, 1000, 2000, 5000, 10_000];
 
-/** Metrics that are read as a page of text. The tags with which a name comes first are those that it keeps. */
+/**
+ * Metrics for a Prometheus endpoint. The tag names in the first call for a metric are the ones that it keeps; later
+ * calls drop other tags.
+ */
 export class PrometheusMetrics implements Metrics {
     private readonly registry = new Registry();
     private readonly tagNames = new Map<string, string[]>();
@@ -34,7 +37,7 @@
         histogram.observe(this.registeredTags(name, tags), durationMs);
     }
 
-    /** All metrics in the text format of Prometheus. */
+    /** Returns all metrics in the Prometheus text format. */
     render(): Promise<string> {
         return this.registry.metrics();
     }
@@ -42,12 +45,12 @@
     private define(name: string, tags: MetricTags) {
         const labelNames = Object.keys(tags);
         this.tagNames.set(name, labelNames);
-        // The text format takes no dots, which separate words in StatsD.
+        // The text format doesn't allow dots, which separate words in StatsD names.
         const exportedName = `${PREFIX}${name.replaceAll(INVALID_NAME_CHARACTERS, "_")}`;
         return { name: exportedName, help: exportedName.replaceAll("_", " "), labelNames, registers: [this.registry] };
     }
 
-    /** A tag that the name did not come with first would be refused. */
+    /** Drops the tags that the metric was not registered with, because prom-client rejects them. */
     private registeredTags(name: string, tags: MetricTags): MetricTags {
         const registered = this.tagNames.get(name) ?? [];
         return Object.fromEntries(Object.entries(tags).filter(([tag]) => registered.includes(tag)));
--- a/observability/metrics/src/silentMetrics.ts
+++ b/observability/metrics/src/silentMetrics.ts
@@ -1,6 +1,6 @@
 import type { Metrics } from "./metrics.js";
 
-/** Metrics that go nowhere. */
+/** Metrics that discard all values. */
 export const silentMetrics: Metrics = {
     increment: () => undefined,
     gauge: () => undefined,
--- a/observability/metrics/test/prometheusMetrics.test.ts
+++ b/observability/metrics/test/prometheusMetrics.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { PrometheusMetrics } from "../src/prometheusMetrics.js";
 
-test("counters, gauges and durations stand on the page", async () => {
+test("counters, gauges and durations are rendered", async () => {
     const metrics = new PrometheusMetrics();
     metrics.increment("calls_total", { outcome: "answered" });
     metrics.increment("calls_total", { outcome: "answered" }, 2);
@@ -15,7 +15,7 @@
     assert.match(page, /knapweed_wait_ms_bucket\{le="50"\} 0/u);
 });
 
-test("names of the StatsD kind and changing tags are taken", async () => {
+test("StatsD names with dots and changing tags are accepted", async () => {
     const metrics = new PrometheusMetrics();
     metrics.increment("link.opened", { zone: "a" });
     metrics.increment("link.opened", { zone: "a", other: "b" });
