--- a/observability/traces/src/fileSpanExporter.ts
+++ b/observability/traces/src/fileSpanExporter.ts
@@ -6,7 +6,7 @@
 const NANOSECONDS_PER_MS = 1e6;
 const MS_PER_SECOND = 1000;
 
-/** Appends each span as a JSON line to a file. */
+/** Exports spans by appending one JSON line per span to a file. */
 export class FileSpanExporter implements SpanExporter {
     private readonly file: string;
 
--- a/observability/traces/src/openTelemetryTracer.ts
+++ b/observability/traces/src/openTelemetryTracer.ts
@@ -14,7 +14,7 @@
 
 const TRACE_PARENT_PATTERN = /^00-([0-9a-f]{32})-([0-9a-f]{16})-([0-9a-f]{2})$/u;
 
-/** Records spans with OpenTelemetry, to an OTLP collector, a file, or both. */
+/** Records spans with OpenTelemetry and exports them to an OTLP collector, a file, or both. */
 export class OpenTelemetryTracer implements Tracer {
     private readonly provider: BasicTracerProvider;
 
--- a/observability/traces/src/silentTracer.ts
+++ b/observability/traces/src/silentTracer.ts
@@ -3,7 +3,7 @@
 
 const SPAN_ID_LENGTH = 16;
 
-/** Records nothing; keeps the trace context of the caller, so that ids in logs agree between processes. */
+/** Records no spans, but passes on the caller's trace context, so that ids in logs match between processes. */
 export const silentTracer: Tracer = {
     startSpan: (_name, opts) => ({
         traceParent: opts?.parent ?? newTraceParent(),
@@ -18,7 +18,7 @@
     return `00-${randomHex()}-${spanId}-00`;
 }
 
-/** 32 hexadecimal digits. A UUID is drawn from bytes that Node.js fetches in bulk, which random bytes are not. */
+/** Returns 32 hexadecimal digits. Takes them from a UUID, for which Node.js fetches random bytes in bulk. */
 function randomHex(): string {
     return randomUUID().replaceAll("-", "");
 }
--- a/observability/traces/src/traceSpan.ts
+++ b/observability/traces/src/traceSpan.ts
@@ -1,8 +1,8 @@
 /** One hop of a request. */
 export interface TraceSpan {
-    /** W3C trace context to hand to the next hop. */
+    /** W3C trace context for the next hop. */
     readonly traceParent: string;
     setAttribute(name: string, value: string | number | boolean): void;
-    /** Ends the span; with an error it is marked as failed. */
+    /** Ends the span and, if an error is given, marks it as failed. */
     end(error?: Error): void;
 }
--- a/observability/traces/src/tracer.ts
+++ b/observability/traces/src/tracer.ts
@@ -1,12 +1,12 @@
 import type { TraceSpan } from "./traceSpan.js";
 
-/** Starts spans. */
+/** Creates trace spans. */
 export interface Tracer {
-    /** @param opts.parent W3C trace context of the caller; a new trace begins where there is none */
+    /** @param opts.parent W3C trace context of the caller; without one, a new trace starts */
     startSpan(
         name: string,
         opts?: { parent?: string; attributes?: { [name: string]: string | number | boolean; }; },
     ): TraceSpan;
-    /** Sends what is still buffered. */
+    /** Exports the buffered spans and shuts the tracer down. */
     close(): Promise<void>;
 }
