--- a/core/charts/src/chart.ts
+++ b/core/charts/src/chart.ts
@@ -2,7 +2,7 @@
 import { type AnyStateMachine, createMachine, transition } from "xstate";
 import type { ChartDefinition } from "./chartDefinition.js";
 
-/** A flat state chart, interpreted from its definition in a JSON file. */
+/** A flat state chart that is interpreted from a definition in a JSON file. */
 export class Chart<State extends string, Event extends string> {
     private readonly machine: AnyStateMachine;
     private readonly definition: ChartDefinition;
@@ -16,12 +16,12 @@
         return this.definition.initial as State;
     }
 
-    /** All states, shape [states]. */
+    /** Returns all states, shape [states]. */
     states(): State[] {
         return Object.keys(this.definition.states) as State[];
     }
 
-    /** Events that the state accepts, shape [events]. */
+    /** Returns the events that the state accepts, shape [events]. */
     events(state: State): Event[] {
         return Object.keys(this.stateDefinition(state).on ?? {}) as Event[];
     }
@@ -34,10 +34,13 @@
         return this.stateDefinition(state).type === "final";
     }
 
-    /** The state after `event`. Throws `CHART_EVENT_REFUSED` where the state does not accept it. */
+    /** Returns the state after `event`. Throws `CHART_EVENT_REFUSED` if the state doesn't accept the event. */
     next(state: State, event: Event): State {
         if (!this.accepts(state, event)) {
-            throw new KnapweedError("CHART_EVENT_REFUSED", `${this.definition.id}: ${event} in state ${state}`);
+            throw new KnapweedError(
+                "CHART_EVENT_REFUSED",
+                `State chart ${this.definition.id} doesn't accept the event ${event} in state ${state}`,
+            );
         }
         const [snapshot] = transition(this.machine, this.machine.resolveState({ value: state, context: {} }), {
             type: event,
@@ -48,7 +51,7 @@
     private stateDefinition(state: State): ChartDefinition["states"][string] {
         const found = this.definition.states[state];
         if (found === undefined) {
-            throw new KnapweedError("CHART_STATE_UNKNOWN", `${this.definition.id}: no state ${state}`);
+            throw new KnapweedError("CHART_STATE_UNKNOWN", `State chart ${this.definition.id} has no state ${state}`);
         }
         return found;
     }
--- a/core/charts/src/chartDefinition.ts
+++ b/core/charts/src/chartDefinition.ts
@@ -3,7 +3,7 @@
     id: string;
     initial: string;
     states: {
-        /** `type` is "final" where the chart ends in the state. */
+        /** `type` is "final" for a state in which the chart ends. */
         [state: string]: { type?: string; on?: { [event: string]: { target: string; }; }; };
     };
 }
--- a/core/charts/test/chart.test.ts
+++ b/core/charts/test/chart.test.ts
@@ -12,13 +12,13 @@
     },
 });
 
-test("a chart moves by its events", () => {
+test("an event changes the state", () => {
     assert.equal(door.initial, "shut");
     assert.equal(door.next("shut", "open"), "open");
     assert.equal(door.isFinal(door.next("shut", "remove")), true);
     assert.deepEqual(door.events("shut"), ["open", "remove"]);
 });
 
-test("an event that the state does not accept is refused", () => {
+test("an event that the state doesn't accept is rejected", () => {
     assert.throws(() => door.next("open", "remove"), { code: "ERR_KNAPWEED_CHART_EVENT_REFUSED" });
 });
