--- a/core/clock/src/clock.ts
+++ b/core/clock/src/clock.ts
@@ -5,6 +5,6 @@
     /** Milliseconds since the Unix epoch. Never goes backwards within a process. */
     nowMs(): number;
 
-    /** Calls `action` once, `delayMs` milliseconds from now. */
+    /** Calls `action` once after `delayMs` milliseconds. */
     setTimer(delayMs: number, action: () => void): Timer;
 }
--- a/core/clock/src/manualClock.ts
+++ b/core/clock/src/manualClock.ts
@@ -6,7 +6,7 @@
     action: () => void;
 }
 
-/** A clock that moves only when told to. For tests and simulations. */
+/** A clock for tests and simulations whose time changes only through `advance`. */
 export class ManualClock implements Clock {
     private currentMs: number;
     private pending: PendingTimer[] = [];
@@ -29,7 +29,7 @@
         };
     }
 
-    /** Moves time forward, firing due timers in order and letting promises settle between them. */
+    /** Advances the time by `durationMs`, fires due timers in order, and lets promises settle after each. */
     async advance(durationMs: number): Promise<void> {
         const endMs = this.currentMs + durationMs;
         await settlePromises();
--- a/core/clock/src/sleep.ts
+++ b/core/clock/src/sleep.ts
@@ -1,6 +1,6 @@
 import type { Clock } from "./clock.js";
 
-/** Resolves after `delayMs` milliseconds, or at once when `signal` is aborted. */
+/** Resolves after `delayMs` milliseconds, or as soon as `signal` is aborted. */
 export function sleep(clock: Clock, delayMs: number, signal?: AbortSignal): Promise<void> {
     return new Promise(resolve => {
         if (signal?.aborted === true) {
--- a/core/clock/src/systemClock.ts
+++ b/core/clock/src/systemClock.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "./clock.js";
 import type { Timer } from "./timer.js";
 
-/** The clock of the operating system, steady against changes of the wall clock. */
+/** The system clock. Changes of the wall clock after the start of the process don't affect it. */
 export class SystemClock implements Clock {
     nowMs(): number {
         return performance.timeOrigin + performance.now();
