--- a/core/errors/src/knapweedError.ts
+++ b/core/errors/src/knapweedError.ts
@@ -3,7 +3,7 @@
 
 const CODE_PREFIX = "ERR_KNAPWEED_";
 
-/** The one error class. `code` is stable across releases. */
+/** The project's error class. `code` is stable across releases. */
 export class KnapweedError extends Error {
     readonly code: string;
     readonly hint: string | undefined;
--- a/core/errors/src/knapweedErrorOptions.ts
+++ b/core/errors/src/knapweedErrorOptions.ts
@@ -2,15 +2,15 @@
 
 /** Optional parts of a {@link KnapweedError}. */
 export interface KnapweedErrorOptions {
-    /** What the reader may do about the error. */
+    /** What the reader can do about the error. */
     hint?: string;
-    /** What became of the request, where the error answers one. */
+    /** Outcome of the request, if the error is the response to one. */
     outcome?: Outcome;
-    /** Status of the HTTP answer that carries this error. */
+    /** Status of the HTTP response that contains this error. */
     statusCode?: number;
-    /** When to come back, in milliseconds. */
+    /** Delay before a retry, in milliseconds. */
     retryAfterMs?: number;
-    /** The settings path, the parameter or the field that is wrong. */
+    /** Name of the invalid parameter or field, or path of the invalid setting. */
     parameter?: string;
     cause?: unknown;
 }
--- a/core/errors/src/outcome.ts
+++ b/core/errors/src/outcome.ts
@@ -1,5 +1,5 @@
 /**
- * What a caller may conclude about its request.
- * `not-run` is only ever said when no upstream has begun the request.
+ * What a caller can conclude about its request.
+ * `not-run` is used only if no upstream has started the request.
  */
 export type Outcome = "answered" | "not-run" | "unknown";
--- a/core/errors/src/toKnapweedError.ts
+++ b/core/errors/src/toKnapweedError.ts
@@ -1,6 +1,6 @@
 import { KnapweedError } from "./knapweedError.js";
 
-/** Wraps anything thrown in a {@link KnapweedError}; a KnapweedError is returned as it is. */
+/** Wraps a thrown value in a {@link KnapweedError} with `code`; returns a KnapweedError unchanged. */
 export function toKnapweedError(thrown: unknown, code = "INTERNAL"): KnapweedError {
     if (thrown instanceof KnapweedError) {
         return thrown;
