--- a/core/hashing/src/rendezvousRank.ts
+++ b/core/hashing/src/rendezvousRank.ts
@@ -1,8 +1,8 @@
 import { createHash } from "node:crypto";
 
 /**
- * Orders `candidates` by their rendezvous score for `key`, highest first: removing a candidate
- * moves only the keys that it held (Thaler and Ravishankar, 1998).
+ * Orders `candidates` by their rendezvous score for `key`, highest first. Removing a candidate
+ * moves only the keys that were assigned to it (Thaler and Ravishankar, 1998).
  *
  * @returns the candidates, shape [candidates.length]
  */
