--- a/core/http-headers/src/forwardableHeaders.ts
+++ b/core/http-headers/src/forwardableHeaders.ts
@@ -4,11 +4,11 @@
 const PAIR_LENGTH = 2;
 
 /**
- * End-to-end header fields of an HTTP message (RFC 9110, section 7.6.1): hop-by-hop fields and those that
- * `Connection` names are dropped.
+ * Returns the end-to-end header fields of an HTTP message (RFC 9110, section 7.6.1). Drops hop-by-hop fields, fields
+ * that `Connection` lists, and those in `opts.drop`.
  *
- * @param rawHeaders names and values in turn, shape [2 * fields]
- * @returns the fields kept, shape [fields]
+ * @param rawHeaders alternating names and values, shape [2 * fields]
+ * @returns the remaining fields, shape [fields]
  */
 export function forwardableHeaders(rawHeaders: readonly string[], opts: { drop?: string[]; } = {}): HeaderField[] {
     const fields = Array.from(
--- a/core/http-headers/src/hopByHopHeaders.ts
+++ b/core/http-headers/src/hopByHopHeaders.ts
@@ -1,4 +1,4 @@
-/** Headers that concern one connection and are not passed on, in lower case. */
+/** Names of headers that apply to one connection only and are not forwarded, in lower case. */
 export const hopByHopHeaders: ReadonlySet<string> = new Set([
     "connection",
     "keep-alive",
--- a/core/http-headers/test/forwardableHeaders.test.ts
+++ b/core/http-headers/test/forwardableHeaders.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { forwardableHeaders } from "../src/forwardableHeaders.js";
 
-test("hop-by-hop fields and those named by Connection are dropped", () => {
+test("hop-by-hop fields and fields listed by Connection are dropped", () => {
     const raw = [
         "Host",
         "a",
