--- a/core/ids/src/brand.ts
+++ b/core/ids/src/brand.ts
@@ -1,4 +1,4 @@
 declare const brand: unique symbol;
 
-/** A primitive that the compiler keeps apart from others of the same shape. Made by a cast at the boundary. */
+/** A primitive type that the compiler distinguishes from others of the same kind. Values enter the type by a cast. */
 export type Brand<Primitive, Name extends string> = Primitive & { readonly [brand]: Name; };
--- a/core/ids/src/instanceName.ts
+++ b/core/ids/src/instanceName.ts
@@ -1,4 +1,4 @@
 import type { Brand } from "./brand.js";
 
-/** Name of an instance that runs a process of the fleet; stays the same over restarts. */
+/** Name of an instance that runs a process of the fleet; stays the same across restarts. */
 export type InstanceName = Brand<string, "InstanceName">;
--- a/core/ids/src/zoneName.ts
+++ b/core/ids/src/zoneName.ts
@@ -1,3 +1,4 @@
 import type { Brand } from "./brand.js";
 
+/** Name of an availability zone. */
 export type ZoneName = Brand<string, "ZoneName">;
