--- a/core/key-value/src/countingKeyValueService.ts
+++ b/core/key-value/src/countingKeyValueService.ts
@@ -6,7 +6,7 @@
 import type { TransactionResult } from "./transactionResult.js";
 import type { WatchBatch } from "./watchBatch.js";
 
-/** Counts the calls that one process makes to its key-value service. */
+/** A key-value service that counts a process's calls to `service`, to which it passes them on. */
 export class CountingKeyValueService implements KeyValueService {
     readonly counters: KeyValueCounters = { reads: 0, writes: 0, keepAlives: 0, watches: 0, activeWatches: 0 };
     private readonly service: KeyValueService;
--- a/core/key-value/src/keyValueCompare.ts
+++ b/core/key-value/src/keyValueCompare.ts
@@ -1,6 +1,6 @@
-/** A condition of a transaction: the key's last change is the one expected. */
+/** A condition of a transaction: the revision of the key's last change must equal `modRevision`. */
 export interface KeyValueCompare {
     key: string;
-    /** 0 where the key must be absent. */
+    /** 0 requires that the key is absent. */
     modRevision: number;
 }
--- a/core/key-value/src/keyValueCounters.ts
+++ b/core/key-value/src/keyValueCounters.ts
@@ -1,13 +1,13 @@
-/** Calls to a key-value service, by kind. */
+/** Numbers of calls to a key-value service, by kind. */
 export interface KeyValueCounters {
     /** Calls of `get` and `list`. */
     reads: number;
-    /** Calls of `transact`, `grantLease` and `revokeLease`, whether or not they changed anything. */
+    /** Calls of `transact`, `grantLease` and `revokeLease`, including those that changed nothing. */
     writes: number;
     /** Calls of `keepLeaseAlive`. */
     keepAlives: number;
-    /** Watches begun. */
+    /** Watches started. */
     watches: number;
-    /** Watches that wait now. */
+    /** Watches currently open. */
     activeWatches: number;
 }
--- a/core/key-value/src/keyValueService.ts
+++ b/core/key-value/src/keyValueService.ts
@@ -5,25 +5,25 @@
 import type { WatchBatch } from "./watchBatch.js";
 
 /**
- * The platform's key-value service. Each method is one call that the service counts.
+ * The platform's key-value service. Each method makes one call, which the service counts.
  *
- * Methods throw a KnapweedError: `KEY_VALUE_UNAVAILABLE` with outcome `not-run` where the call provably had no
- * effect, `KEY_VALUE_ANSWER_LOST` with outcome `unknown` where a write may have taken effect.
+ * Methods reject with a KnapweedError: `KEY_VALUE_UNAVAILABLE` with outcome `not-run` if the call certainly had no
+ * effect, `KEY_VALUE_ANSWER_LOST` with outcome `unknown` if a write may have taken effect.
  */
 export interface KeyValueService {
     get(key: string): Promise<KeyValueEntry | undefined>;
-    /** Entries whose key starts with `prefix`, in key order, shape [entries]. */
+    /** Returns the entries whose key starts with `prefix`, in key order, shape [entries]. */
     list(prefix: string, opts?: { limit?: number; afterKey?: string; }): Promise<KeyValueEntry[]>;
-    /** Applies all operations, or none where a comparison fails. Values of up to 1 MB. */
+    /** Applies all operations, or none if a comparison fails. Values can have up to 1 MB. */
     transact(compares: KeyValueCompare[], operations: KeyValueOperation[]): Promise<TransactionResult>;
     grantLease(ttlMs: number): Promise<string>;
-    /** @returns the time to live left in milliseconds; 0 where the lease has lapsed */
+    /** @returns the remaining time to live in milliseconds; 0 if the lease has expired */
     keepLeaseAlive(leaseId: string): Promise<number>;
     revokeLease(leaseId: string): Promise<void>;
     /**
-     * Reports changes under `prefix` after `afterRevision`, until aborted. Throws when the watch is lost.
+     * Yields changes under `prefix` after `afterRevision` until aborted. Throws when the watch is lost.
      *
-     * @param opts.waitMs how long one call may wait for a change where the service is asked by calls
+     * @param opts.waitMs how long one call may wait for a change, for services that are polled with calls
      */
     watch(
         prefix: string,
--- a/core/key-value/src/keyValueSnapshot.ts
+++ b/core/key-value/src/keyValueSnapshot.ts
@@ -1,6 +1,6 @@
 import type { KeyValueEntry } from "./keyValueEntry.js";
 
-/** The entries under a prefix with the revision from which a watch misses nothing. */
+/** The entries under a prefix, and the revision from which a watch misses no change. */
 export interface KeyValueSnapshot {
     entries: KeyValueEntry[];
     revision: number;
--- a/core/key-value/src/maxValueSizeBytes.ts
+++ b/core/key-value/src/maxValueSizeBytes.ts
@@ -1,2 +1,2 @@
-/** Largest value that the key-value service holds. */
+/** Maximum size of a value in the key-value service. */
 export const MAX_VALUE_SIZE_BYTES = 1_000_000;
--- a/core/key-value/src/settleTransaction.ts
+++ b/core/key-value/src/settleTransaction.ts
@@ -8,12 +8,12 @@
 const DEFAULT_RETRY_DELAY_MS = 100;
 
 /**
- * Makes a transaction and, where its answer is lost, settles what became of it.
+ * Runs a transaction and, if its response is lost, determines whether it took effect.
  *
- * The transaction is sent again as it is: because it compares the witness, at most one attempt takes effect, even
- * where an earlier one arrives late; and the failure of a later one shows the witness as the earlier one wrote it.
+ * The same transaction is sent again. It compares the witness key, so at most one attempt takes effect, even if an
+ * earlier one arrives late. If a later attempt fails, its result contains the witness value that the earlier one wrote.
  *
- * Throws the service's error where no attempt had any effect.
+ * Rejects with the service's error if no attempt had any effect.
  */
 export async function settleTransaction(opts: SettleTransactionOptions): Promise<SettledTransaction> {
     const isWitness = createWitnessTest(opts);
@@ -49,12 +49,14 @@
     return mayHaveRun ? { kind: "unknown" } : { kind: "failed", current };
 }
 
-/** Tells whether an entry is what the transaction itself wrote. */
+/** Returns a test of whether the transaction itself wrote an entry. */
 function createWitnessTest(opts: SettleTransactionOptions): (entry: KeyValueEntry) => boolean {
     const compare = opts.compares.find(candidate => candidate.key === opts.witnessKey);
     const operation = opts.operations.find(candidate => candidate.key === opts.witnessKey);
     if (compare === undefined || operation?.kind !== "put") {
-        throw new KnapweedError("KEY_VALUE_INVALID", "The witness must be compared and put.", { outcome: "not-run" });
+        throw new KnapweedError("KEY_VALUE_INVALID", "The transaction must compare and put the witness key.", {
+            outcome: "not-run",
+        });
     }
     const value = Buffer.from(operation.value);
     return entry =>
--- a/core/key-value/src/settleTransactionOptions.ts
+++ b/core/key-value/src/settleTransactionOptions.ts
@@ -3,15 +3,15 @@
 import type { KeyValueOperation } from "./keyValueOperation.js";
 import type { KeyValueService } from "./keyValueService.js";
 
-/** A transaction to settle. */
+/** Options of {@link settleTransaction}. */
 export interface SettleTransactionOptions {
     service: KeyValueService;
     clock: Clock;
     compares: KeyValueCompare[];
     operations: KeyValueOperation[];
-    /** A key that is compared and put; its value is one that nobody else writes. */
+    /** A key that the transaction compares and puts. No other writer puts the same value. */
     witnessKey: string;
-    /** How often to try again after the first attempt. */
+    /** Number of retries after the first attempt. */
     maxRetries?: number;
     retryDelayMs?: number;
 }
--- a/core/key-value/src/snapshotKeyValueService.ts
+++ b/core/key-value/src/snapshotKeyValueService.ts
@@ -1,8 +1,8 @@
 import type { KeyValueService } from "./keyValueService.js";
 import type { KeyValueSnapshot } from "./keyValueSnapshot.js";
 
-/** A key-value service that tells at which revision it listed keys. */
+/** A key-value service that can list keys together with their revision. */
 export interface SnapshotKeyValueService extends KeyValueService {
-    /** All entries under `prefix`, read in pages, and a revision that is no newer than the first page. */
+    /** Returns all entries under `prefix`, read in pages, and a revision that is not newer than the first page. */
     snapshot(prefix: string): Promise<KeyValueSnapshot>;
 }
--- a/core/key-value/src/transactionResult.ts
+++ b/core/key-value/src/transactionResult.ts
@@ -3,8 +3,8 @@
 /** Outcome of a transaction. */
 export interface TransactionResult {
     succeeded: boolean;
-    /** Revision of the service after the transaction; the modRevision of each key put, where it succeeded. */
+    /** Revision of the service after the transaction; if it succeeded, the `modRevision` of each key that it put. */
     revision: number;
-    /** Where it did not succeed: the compared keys as they are, absent ones left out. */
+    /** If the transaction did not succeed, the current entries of the compared keys, without absent ones. */
     current: KeyValueEntry[];
 }
--- a/core/key-value/src/watchBatch.ts
+++ b/core/key-value/src/watchBatch.ts
@@ -1,6 +1,6 @@
 import type { KeyValueEntry } from "./keyValueEntry.js";
 
-/** Changes that a watch reports together. */
+/** A group of changes that a watch reports together. */
 export interface WatchBatch {
     revision: number;
     puts: KeyValueEntry[];
