--- a/core/random/src/random.ts
+++ b/core/random/src/random.ts
@@ -1,7 +1,7 @@
-/** Source of random numbers, passed into decisions. */
+/** Source of random numbers, passed to the code that makes random decisions. */
 export interface Random {
-    /** A number in [0, 1). */
+    /** Returns a number in [0, 1). */
     next(): number;
-    /** An integer in [0, limit). */
+    /** Returns an integer in [0, limit). */
     nextInteger(limit: number): number;
 }
--- a/core/random/src/seededRandom.ts
+++ b/core/random/src/seededRandom.ts
@@ -3,7 +3,7 @@
 
 const UNSIGNED_RANGE = 0x1_0000_0000;
 
-/** Random numbers that are the same for the same seed. */
+/** A pseudorandom number generator that gives the same sequence for the same seed. */
 export class SeededRandom implements Random {
     private readonly generator;
 
