--- a/observability/traces/src/silentTracer.ts
+++ b/observability/traces/src/silentTracer.ts
@@ -18,7 +18,7 @@
     return `00-${randomHex()}-${spanId}-00`;
 }
 
-/** Returns 32 hexadecimal digits. Takes them from a UUID, for which Node.js fetches random bytes in bulk. */
+/** Returns 32 hexadecimal digits of a UUID, whose bytes Node.js fetches in bulk, unlike those of `randomBytes`. */
 function randomHex(): string {
     return randomUUID().replaceAll("-", "");
 }
