--- a/adapters/http/src/httpAnswer.ts
+++ /dev/null
@@ -1,5 +0,0 @@
-/** A whole HTTP answer. */
-export interface HttpAnswer {
-    statusCode: number;
-    body: Buffer;
-}
--- /dev/null
+++ b/adapters/http/src/httpResponse.ts
@@ -0,0 +1,5 @@
+/** A complete HTTP response. */
+export interface HttpResponse {
+    statusCode: number;
+    body: Buffer;
+}
--- a/adapters/http/src/platformHttpClient.ts
+++ b/adapters/http/src/platformHttpClient.ts
@@ -2,18 +2,18 @@
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 import { toKnapweedError } from "@knapweedwood/core.errors/toKnapweedError";
 import { Pool } from "undici";
-import { CallCollector } from "./callCollector.js";
-import type { HttpAnswer } from "./httpAnswer.js";
 import type { HttpCall } from "./httpCall.js";
+import type { HttpResponse } from "./httpResponse.js";
+import { ResponseCollector } from "./responseCollector.js";
 
 const CONNECT_TIMEOUT_MS = 1000;
 const DEFAULT_MAX_CONNECTIONS = 16;
 
 /**
- * Calls one service of the platform over HTTP.
+ * HTTP client for one platform service.
  *
- * `call` throws `PLATFORM_CALL_FAILED`: with outcome `not-run` where the call never began to be sent, `unknown`
- * otherwise. After a time-out all connections are replaced, because others may have gone silent as well.
+ * `call` rejects with `PLATFORM_CALL_FAILED`. Its outcome is `not-run` if sending never started, `unknown` otherwise.
+ * A timeout replaces the whole connection pool, because the other connections may have stopped responding as well.
  */
 export class PlatformHttpClient {
     private readonly clock: Clock;
@@ -28,7 +28,7 @@
         this.pool = this.createPool();
     }
 
-    async call(call: HttpCall): Promise<HttpAnswer> {
+    async call(call: HttpCall): Promise<HttpResponse> {
         try {
             return await this.attempt(call, false);
         }
@@ -44,27 +44,27 @@
         await this.pool.destroy();
     }
 
-    /** @param mayHaveRun whether an earlier attempt of the same call may have reached the other end */
-    private async attempt(call: HttpCall, mayHaveRun: boolean): Promise<HttpAnswer> {
-        const collector = new CallCollector();
+    /** @param mayHaveRun whether an earlier attempt of the same call may have reached the server */
+    private async attempt(call: HttpCall, mayHaveRun: boolean): Promise<HttpResponse> {
+        const collector = new ResponseCollector();
         const pool = this.pool;
         const timer = this.clock.setTimer(call.timeoutMs, () => {
-            collector.abort(new Error(`No answer within ${call.timeoutMs} ms.`));
-            this.replace(pool);
+            collector.abort(new Error(`No response within ${call.timeoutMs} ms.`));
+            this.replacePool(pool);
         });
         try {
             this.dispatch(pool, call, collector);
-            return await collector.answer;
+            return await collector.response;
         }
         catch (error) {
-            throw failedCall(call, collector.begun || mayHaveRun, error);
+            throw callError(call, collector.hasStarted || mayHaveRun, error);
         }
         finally {
             timer.cancel();
         }
     }
 
-    private dispatch(pool: Pool, call: HttpCall, collector: CallCollector): void {
+    private dispatch(pool: Pool, call: HttpCall, collector: ResponseCollector): void {
         const hasBody = call.body !== undefined;
         pool.dispatch({
             method: call.method,
@@ -74,7 +74,7 @@
         }, collector);
     }
 
-    private replace(pool: Pool): void {
+    private replacePool(pool: Pool): void {
         if (this.pool === pool) {
             this.pool = this.createPool();
             pool.close().catch(() => undefined);
@@ -92,7 +92,7 @@
     }
 }
 
-function failedCall(call: HttpCall, mayHaveRun: boolean, cause: unknown): KnapweedError {
+function callError(call: HttpCall, mayHaveRun: boolean, cause: unknown): KnapweedError {
     const reason = cause instanceof Error ? cause.message : String(cause);
     return new KnapweedError("PLATFORM_CALL_FAILED", `${call.method} ${call.path}: ${reason}`, {
         outcome: mayHaveRun ? "unknown" : "not-run",
--- a/adapters/key-value-etcd/src/etcdKeyValueService.ts
+++ b/adapters/key-value-etcd/src/etcdKeyValueService.ts
@@ -1,4 +1,4 @@
-import type { HttpAnswer } from "@knapweedwood/adapters.http/httpAnswer";
+import type { HttpResponse } from "@knapweedwood/adapters.http/httpResponse";
 import { PlatformHttpClient } from "@knapweedwood/adapters.http/platformHttpClient";
 import type { Clock } from "@knapweedwood/core.clock/clock";
 import { toKnapweedError } from "@knapweedwood/core.errors/toKnapweedError";
@@ -30,12 +30,12 @@
 const OK_STATUS = 200;
 const UNAVAILABLE = 14;
 
-/** Whether a call changes something, and so must not be sent twice. */
+/** Kind of a call. Only a `write` must not be sent twice. */
 type CallKind = "read" | "keep-alive" | "write";
 
 /**
- * The key-value service over the etcd v3 JSON gateway. Reads and keep-alives are sent once more on a new connection
- * where no answer came; writes never are. Leases live for whole seconds, rounded up.
+ * Key-value service client for the etcd v3 JSON gateway. Reads and keep-alives are sent once more on a new connection
+ * if no response arrives; writes are sent once. The time to live of a lease is rounded up to whole seconds.
  */
 export class EtcdKeyValueService implements KeyValueService {
     private readonly clock: Clock;
@@ -45,7 +45,7 @@
     private readonly writeTimeoutMs: number;
     private readonly watchIdleMs: number;
 
-    /** @param opts.watchIdleMs a watch that reports nothing for this long is begun anew on a new connection */
+    /** @param opts.watchIdleMs a watch without messages for this long is restarted on a new connection */
     constructor(opts: {
         clock: Clock;
         baseUrl: string;
@@ -113,7 +113,7 @@
         return watch.batches(opts);
     }
 
-    /** Drops all connections but those of watches, which end by their signal. */
+    /** Closes all connections except those of watches, which their signal ends. */
     close(): Promise<void> {
         return this.client.close();
     }
@@ -124,15 +124,15 @@
     }
 
     private async call<Response>(kind: CallKind, path: string, body: unknown): Promise<Response> {
-        const answer = await this.send(kind, path, body);
+        const response = await this.send(kind, path, body);
         const isWrite = kind === "write";
-        if (answer.statusCode === OK_STATUS) {
-            return parse<Response>(answer.body, isWrite);
+        if (response.statusCode === OK_STATUS) {
+            return parse<Response>(response.body, isWrite);
         }
-        throw etcdCallError(errorOf(answer), isWrite);
+        throw etcdCallError(errorOf(response), isWrite);
     }
 
-    private async send(kind: CallKind, path: string, body: unknown): Promise<HttpAnswer> {
+    private async send(kind: CallKind, path: string, body: unknown): Promise<HttpResponse> {
         const isWrite = kind === "write";
         try {
             return await this.client.call({
@@ -156,17 +156,17 @@
         return JSON.parse(body.toString()) as Response;
     }
     catch (error) {
-        const message = "The answer of the key-value service is not JSON.";
+        const message = "The response body of the key-value service is not valid JSON.";
         throw isWrite ? answerLostError(message, error) : unavailableError(message, error);
     }
 }
 
-function errorOf(answer: HttpAnswer): EtcdError {
+function errorOf(response: HttpResponse): EtcdError {
     try {
-        const error = JSON.parse(answer.body.toString()) as Partial<EtcdError>;
-        return { code: error.code ?? UNAVAILABLE, message: error.message ?? `Status ${answer.statusCode}.` };
+        const error = JSON.parse(response.body.toString()) as Partial<EtcdError>;
+        return { code: error.code ?? UNAVAILABLE, message: error.message ?? `Status ${response.statusCode}.` };
     }
     catch {
-        return { code: UNAVAILABLE, message: `Status ${answer.statusCode}.` };
+        return { code: UNAVAILABLE, message: `Status ${response.statusCode}.` };
     }
 }
--- a/engines/model-engine/src/engineErrorOf.ts
+++ b/engines/model-engine/src/engineErrorOf.ts
@@ -1,6 +1,7 @@
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 
-const CODES_BEFORE_SENDING = [
+/** Codes of errors that occur before a request is sent. */
+const CONNECT_ERROR_CODES = [
     "ECONNREFUSED",
     "EHOSTUNREACH",
     "ENETUNREACH",
@@ -9,7 +10,10 @@
     "UND_ERR_CONNECT_TIMEOUT",
 ];
 
-/** The error for an exchange with an engine that `thrown` ended. */
+/**
+ * Converts an error thrown during a call of an engine to a KnapweedError; a KnapweedError is returned unchanged. The
+ * outcome is `not-run` if the request was not sent, `unknown` otherwise.
+ */
 export function engineErrorOf(thrown: unknown, signal: AbortSignal | undefined): KnapweedError {
     if (thrown instanceof KnapweedError) {
         return thrown;
@@ -18,7 +22,7 @@
         return new KnapweedError("CANCELLED", "The request was cancelled", { outcome: "unknown", cause: thrown });
     }
     const message = thrown instanceof Error ? thrown.message : String(thrown);
-    if (CODES_BEFORE_SENDING.includes(errorCodeOf(thrown))) {
+    if (CONNECT_ERROR_CODES.includes(errorCodeOf(thrown))) {
         return new KnapweedError("ENGINE_UNREACHABLE", `The engine can't be reached: ${message}`, {
             outcome: "not-run",
             statusCode: 503,
--- a/engines/model-engine/test/completionAssembler.test.ts
+++ b/engines/model-engine/test/completionAssembler.test.ts
@@ -12,26 +12,26 @@
 const usage = { promptTokens: 3, completionTokens: 2, cachedTokens: 0 };
 
 (["/v1/chat/completions", "/v1/completions"] as const).forEach(endpoint => {
-    test(`${endpoint}: plain text makes the same chunks and answer as the engine's whole choice objects`, () => {
-        const short = assembler(endpoint);
-        const long = assembler(endpoint);
+    test(`${endpoint}: plain text gives the same chunks and response as the engine's full choice objects`, () => {
+        const textOnly = assembler(endpoint);
+        const fullChoices = assembler(endpoint);
         ["one", " two"].forEach(text => {
             const choice: JsonObject = { index: 0, delta: { content: text }, finish_reason: null };
             assert.deepEqual(
-                short.add({ kind: "chunk", text, tokenCount: 1 }),
-                long.add({ kind: "chunk", text, tokenCount: 1, choice }),
+                textOnly.add({ kind: "chunk", text, tokenCount: 1 }),
+                fullChoices.add({ kind: "chunk", text, tokenCount: 1, choice }),
             );
         });
         assert.deepEqual(
-            short.add({ kind: "finish", finishReason: "stop", usage }),
-            long.add({ kind: "finish", finishReason: "stop", usage }),
+            textOnly.add({ kind: "finish", finishReason: "stop", usage }),
+            fullChoices.add({ kind: "finish", finishReason: "stop", usage }),
         );
-        assert.deepEqual(short.response(), long.response());
-        assert.deepEqual(short.produced, { text: "one two", tokenCount: 2 });
+        assert.deepEqual(textOnly.response(), fullChoices.response());
+        assert.deepEqual(textOnly.produced, { text: "one two", tokenCount: 2 });
     });
 });
 
-test("the first chunk of a chat carries the role, later ones do not", () => {
+test("only the first chunk of a chat contains the role", () => {
     const chat = assembler("/v1/chat/completions");
     const deltas = ["a", "b"].map(text => {
         const [chunk] = chat.add({ kind: "chunk", text, tokenCount: 1 });
--- a/observability/explain/test/timeline.test.ts
+++ b/observability/explain/test/timeline.test.ts
@@ -13,12 +13,12 @@
 function explain(id: string, texts: string[]): string[] {
     const lines = texts.map(parseLogLine).filter((line): line is LogLine => line !== undefined);
     const timeline = new Timeline(id);
-    lines.forEach(line => timeline.addStory(line));
-    lines.forEach(line => timeline.addBelief(line));
+    lines.forEach(line => timeline.addMatch(line));
+    lines.forEach(line => timeline.addContext(line));
     return formatTimeline(timeline.entries());
 }
 
-test("a request's lines come in order of time, with what its process believed and what befell its upstream", () => {
+test("a request's lines are in order of time, with the state of its process and of its upstream as context", () => {
     const texts = [
         lineOf(1, "g-1", "configuration-in-force", { version: 1 }),
         lineOf(2, "g-1", "configuration-in-force", { version: 2 }),
@@ -42,7 +42,7 @@
     ]);
 });
 
-test("an item is found by its id, a job by its own, and an unknown id has no lines", () => {
+test("items and jobs are found by their ids, and an unknown id has no lines", () => {
     const texts = [
         lineOf(1, "g", "job-submitted", { jobId: "j", kind: "accepted" }),
         lineOf(2, "r", "item-started", { jobId: "j", itemId: "i", upstream: "u" }),
--- a/observability/traces/src/fileSpanExporter.ts
+++ b/observability/traces/src/fileSpanExporter.ts
@@ -6,7 +6,7 @@
 const NANOSECONDS_PER_MS = 1e6;
 const MS_PER_SECOND = 1000;
 
-/** Appends each span as a JSON line to a file. */
+/** Exports spans by appending one JSON line per span to a file. */
 export class FileSpanExporter implements SpanExporter {
     private readonly file: string;
 
@@ -15,7 +15,7 @@
     }
 
     export(spans: ReadableSpan[], done: ExportCallback): void {
-        const lines = spans.map(span => `${JSON.stringify(toLine(span))}\n`).join("");
+        const lines = spans.map(span => `${JSON.stringify(toRecord(span))}\n`).join("");
         appendFile(this.file, lines, error => done(error ? { code: 1, error } : { code: 0 }));
     }
 
@@ -24,7 +24,7 @@
     }
 }
 
-function toLine(span: ReadableSpan): object {
+function toRecord(span: ReadableSpan): object {
     return {
         traceId: span.spanContext().traceId,
         spanId: span.spanContext().spanId,
