--- a/daemons/fleet/src/operatorsFollower.ts
+++ b/daemons/fleet/src/operatorsFollower.ts
@@ -3,7 +3,7 @@
 import { PrefixMirror } from "@knapweedwood/fleet.sync/prefixMirror";
 import { ActiveConfiguration } from "@knapweedwood/fleet.view/activeConfiguration";
 import { decodeConfiguration } from "@knapweedwood/platform.adapter/decodeConfiguration";
-import { emptyingRequestOf } from "@knapweedwood/platform.adapter/emptyingRequestOf";
+import { parseDrainRequestKey } from "@knapweedwood/platform.adapter/parseDrainRequestKey";
 import { wireKeys } from "@knapweedwood/platform.adapter/wireKeys";
 import type { FollowerTools } from "./followerTools.js";
 
@@ -41,7 +41,7 @@
         if (entry.key === wireKeys.configuration) {
             this.onConfigurationEntry(entry);
         }
-        if (emptyingRequestOf(entry.key) === this.opts.instanceName) {
+        if (parseDrainRequestKey(entry.key) === this.opts.instanceName) {
             this.opts.onEmptyingRequested();
         }
     }
--- a/daemons/fleet/src/runnerProgram.ts
+++ b/daemons/fleet/src/runnerProgram.ts
@@ -11,7 +11,7 @@
 import { JobRunner } from "@knapweedwood/fleet.jobs/jobRunner";
 import { resultsCall } from "@knapweedwood/fleet.jobs/resultsCall";
 import type { Logger } from "@knapweedwood/observability.logs/logger";
-import { emptyingProgressOperation } from "@knapweedwood/platform.adapter/emptyingProgressOperation";
+import { drainProgressOperation } from "@knapweedwood/platform.adapter/drainProgressOperation";
 import { wireHeaders } from "@knapweedwood/platform.adapter/wireHeaders";
 import { FleetProcess } from "./fleetProcess.js";
 import type { SettingsInForce } from "./settingsInForce.js";
@@ -102,7 +102,7 @@
 
     private async reportEmptying(isEmpty: boolean): Promise<void> {
         const { instanceName } = this.settings.current;
-        await this.fleet.store.transact([], [emptyingProgressOperation(instanceName, isEmpty)]);
+        await this.fleet.store.transact([], [drainProgressOperation(instanceName, isEmpty)]);
     }
 
     /** Repeats a step until it succeeds. */
