--- a/fuzz/soak/src/faultInjector.ts
+++ b/fuzz/soak/src/faultInjector.ts
@@ -127,7 +127,7 @@
                     store.delayMs = SLOW_STORE_MS;
                     break;
                 case "lost-answers":
-                    store.answersToLose = LOST_ANSWERS;
+                    store.responsesToLose = LOST_ANSWERS;
                     break;
                 case "compacted":
                     memory.compact();
@@ -138,7 +138,7 @@
             await pause(fault.durationMs);
             store.mode = "normal";
             store.delayMs = 0;
-            store.answersToLose = 0;
+            store.responsesToLose = 0;
         });
     }
 
--- a/fuzz/soak/src/soakFleet.ts
+++ b/fuzz/soak/src/soakFleet.ts
@@ -112,7 +112,7 @@
     heal(): void {
         this.store.mode = "normal";
         this.store.delayMs = 0;
-        this.store.answersToLose = 0;
+        this.store.responsesToLose = 0;
         this.members.forEach(({ process, storeRelay }) => {
             process.signal("SIGCONT");
             storeRelay.silenceNew();
