--- a/daemons/fleet/src/settingsInForce.ts
+++ b/daemons/fleet/src/activeSettings.ts
@@ -11,7 +11,7 @@
 ] satisfies (keyof ProcessSettings)[];
 
 /** The settings of this process, read again when they change. */
-export class SettingsInForce {
+export class ActiveSettings {
     private readonly readText: () => string;
     private text: string;
     private settings: ProcessSettings;
@@ -35,7 +35,7 @@
                 return;
             }
             this.text = text;
-            this.adopt(decodeSettings(text), logger);
+            this.apply(decodeSettings(text), logger);
         }
         catch (thrown) {
             const error = toKnapweedError(thrown);
@@ -43,7 +43,7 @@
         }
     }
 
-    private adopt(settings: ProcessSettings, logger: Logger): void {
+    private apply(settings: ProcessSettings, logger: Logger): void {
         const fields = Object.keys(settings) as (keyof ProcessSettings)[];
         const changed = fields.filter(name => JSON.stringify(settings[name]) !== JSON.stringify(this.settings[name]));
         this.settings = settings;
--- a/daemons/fleet/src/fleetProcess.ts
+++ b/daemons/fleet/src/fleetProcess.ts
@@ -25,9 +25,9 @@
 
 const MAX_SEED = 2 ** 31;
 const HOUSEKEEPING_INTERVAL_MS = 100;
-const INFORMED_POLL_MS = 5;
+const INITIALIZATION_POLL_MS = 5;
 /** Age of the last renewed lease from which the key-value service counts as out of reach, in milliseconds. */
-const IN_TOUCH_MS = 1800;
+const KEY_VALUE_REACHABLE_MS = 1800;
 /** Links are quiet for long stretches here: a less frequent heartbeat costs less. */
 const LINK_LIMITS = { heartbeatIntervalMs: 250, idleHeartbeatIntervalMs: 2000, silentAfterMs: 700 };
 
@@ -43,9 +43,9 @@
     /** Called with the revision up to which another process has written jobs. */
     onJobsWritten(revision: number): void;
     /** Called when the operators want this instance emptied, perhaps more than once. */
-    onEmptyingRequested(): void;
+    onDrainRequested(): void;
     /** Called when this process gains or loses the run of batch jobs; only where it is a runner. */
-    onLead(isLeading: boolean): void;
+    onLeadershipChanged(isLeading: boolean): void;
 }
 
 /** What every process of the fleet has: its view of the fleet, kept in step, and what it tells the others. */
@@ -54,9 +54,9 @@
     readonly random = new SeededRandom(randomInt(MAX_SEED));
     readonly metrics = new PageMetrics();
     readonly connections = new UpstreamConnections();
-    readonly board = new LoadTracker();
+    readonly loadTracker = new LoadTracker();
     readonly health = new UpstreamHealth();
-    readonly store: PlatformKeyValueService;
+    readonly keyValueService: PlatformKeyValueService;
     readonly links: WebSocketLinkEndpoint;
     readonly peers: PeerFollower;
     readonly upstreams: UpstreamFollower;
@@ -73,32 +73,42 @@
     constructor(opts: FleetProcessOptions) {
         this.opts = opts;
         const { settings, logger } = opts;
-        const { clock, random, board, health, connections } = this;
-        this.self = describeSelf(settings, opts.role);
+        const { clock, random, loadTracker, health, connections } = this;
+        this.self = createMemberRecord(settings, opts.role);
         this.metricsServer = new MetricsServer({ metrics: this.metrics, host: settings.host });
-        this.store = new PlatformKeyValueService({ clock, address: settings.keyValueAddress, metrics: this.metrics });
+        this.keyValueService = new PlatformKeyValueService({
+            clock,
+            address: settings.keyValueAddress,
+            metrics: this.metrics,
+        });
         const watchWaitMs = () => computeWatchWaitMs(this.peers.count);
-        const tools = { service: this.store, clock, random, logger, watchWaitMs };
+        const followerContext = { service: this.keyValueService, clock, random, logger, watchWaitMs };
         this.peers = new PeerFollower({
-            ...tools,
+            ...followerContext,
             self: this.self,
             minLeaseMs: settings.minLeaseMs,
-            onLead: opts.onLead,
+            onLeadershipChanged: opts.onLeadershipChanged,
         });
         this.operators = new OperatorsFollower({
-            ...tools,
+            ...followerContext,
             instanceName: settings.instanceName,
             onConfiguration: opts.onConfiguration,
-            onEmptyingRequested: opts.onEmptyingRequested,
+            onDrainRequested: opts.onDrainRequested,
+        });
+        this.upstreams = new UpstreamFollower({
+            ...followerContext,
+            loadTracker,
+            health,
+            connections,
+            onChanged: opts.onLoadChanged,
         });
-        this.upstreams = new UpstreamFollower({ ...tools, board, health, connections, onChanged: opts.onLoadChanged });
         this.exchange = new LoadExchange({
             clock,
             logger,
             host: settings.host,
             port: this.self.loadPort,
             peers: () => this.peers.placingPeers(),
-            distantPeers: () => this.peers.distantPeers(),
+            distantPeers: () => this.peers.nonPlacingPeers(),
             createReport: () => this.createReport(),
             onReport: report => this.onReport(report),
         });
@@ -120,25 +130,25 @@
     }
 
     /** Whether configuration and upstreams are known. */
-    get isInformed(): boolean {
+    get isInitialized(): boolean {
         return this.operators.configuration.current !== undefined && this.upstreams.mirror.revision > 0;
     }
 
     /** Whether the key-value service answers others but not this process: callers are better off elsewhere. */
     get isIsolated(): boolean {
-        return !this.isInTouch && this.board.isKeyValueReachableByPeer();
+        return !this.isKeyValueReachable && this.loadTracker.isKeyValueReachableByPeer();
     }
 
     /** Whether jobs that were held during an outage of the key-value service have been written by now. */
-    get isSettled(): boolean {
+    get areHeldJobsWritten(): boolean {
         return this.clock.nowMs() > this.peers.mirror.reachableSinceMs + HELD_JOBS_WRITE_MS;
     }
 
     /** Resolves once the process is informed, or after `maxMs`. */
-    async whenInformed(maxMs: number): Promise<void> {
-        const giveUpAtMs = this.clock.nowMs() + maxMs;
-        while (!this.isInformed && this.clock.nowMs() < giveUpAtMs) {
-            await sleep(this.clock, INFORMED_POLL_MS);
+    async whenInitialized(maxMs: number): Promise<void> {
+        const timeoutAtMs = this.clock.nowMs() + maxMs;
+        while (!this.isInitialized && this.clock.nowMs() < timeoutAtMs) {
+            await sleep(this.clock, INITIALIZATION_POLL_MS);
         }
     }
 
@@ -173,18 +183,18 @@
         await this.peers.lease.revoke().catch((error: unknown) => {
             this.opts.logger.warn("lease-not-ended", { message: (error as Error).message });
         });
-        await this.store.close();
+        await this.keyValueService.close();
     }
 
-    private get isInTouch(): boolean {
-        return this.peers.lease.wasRenewedWithin(IN_TOUCH_MS);
+    private get isKeyValueReachable(): boolean {
+        return this.peers.lease.wasRenewedWithin(KEY_VALUE_REACHABLE_MS);
     }
 
     private housekeep(): void {
         if (this.closing.signal.aborted) {
             return;
         }
-        this.board.expire(this.clock.nowMs());
+        this.loadTracker.expire(this.clock.nowMs());
         this.upstreams.expire();
         this.clock.setTimer(HOUSEKEEPING_INTERVAL_MS, () => this.housekeep());
     }
@@ -195,8 +205,8 @@
             instanceName: this.self.instanceName,
             startedAtMs: this.self.startedAtMs,
             sequence: this.sequence,
-            isKeyValueReachable: this.isInTouch,
-            counts: this.board.ownCounts(),
+            isKeyValueReachable: this.isKeyValueReachable,
+            counts: this.loadTracker.ownCounts(),
             ejected: this.health.locallyEjectedIds(this.clock.nowMs()),
             waiting: this.opts.waiting(),
             configurationRevision: this.operators.configurationRevision,
@@ -206,20 +216,20 @@
         };
     }
 
-    private noteEjections(report: LoadReport): void {
+    private applyEjections(report: LoadReport): void {
         const nowMs = this.clock.nowMs();
         this.ejections.apply(report).forEach(id => {
-            const isNear = this.peers.zoneOf(report.instanceName) === this.self.zone;
-            this.health.onPeerEjection(id, { isSameZone: isNear, nowMs });
+            const isSameZone = this.peers.zoneOf(report.instanceName) === this.self.zone;
+            this.health.onPeerEjection(id, { isSameZone, nowMs });
         });
     }
 
     private onReport(report: LoadReport): void {
-        if (!this.board.apply(report, this.clock.nowMs())) {
+        if (!this.loadTracker.apply(report, this.clock.nowMs())) {
             return;
         }
-        this.peers.meet(report.instanceName);
-        this.noteEjections(report);
+        this.peers.lookUpIfUnknown(report.instanceName);
+        this.applyEjections(report);
         if (report.leader !== undefined) {
             this.peers.leadership.recordLeader(report.leader);
         }
@@ -232,7 +242,7 @@
     }
 }
 
-function describeSelf(settings: ProcessSettings, role: MemberRecord["role"]): MemberRecord {
+function createMemberRecord(settings: ProcessSettings, role: MemberRecord["role"]): MemberRecord {
     const { instanceName, zone, host, peerPorts } = settings;
     const [loadPort, linkPort] = peerPorts;
     return { instanceName, role, zone, host, loadPort: loadPort!, linkPort: linkPort!, startedAtMs: Date.now() };
--- a/daemons/fleet/src/followerTools.ts
+++ b/daemons/fleet/src/followerContext.ts
@@ -4,7 +4,7 @@
 import type { Logger } from "@knapweedwood/observability.logs/logger";
 
 /** What everything that follows keys of the key-value service works with. */
-export interface FollowerTools {
+export interface FollowerContext {
     service: SnapshotKeyValueService;
     clock: Clock;
     random: Random;
--- a/daemons/fleet/src/gatewayProgram.ts
+++ b/daemons/fleet/src/gatewayProgram.ts
@@ -11,54 +11,54 @@
 import { RequestQueue } from "@knapweedwood/fleet.load/requestQueue";
 import type { Logger } from "@knapweedwood/observability.logs/logger";
 import { PlatformCallerProtocol } from "@knapweedwood/platform.adapter/platformCallerProtocol";
+import type { ActiveSettings } from "./activeSettings.js";
 import { FleetProcess } from "./fleetProcess.js";
 import { LinkJobHolder } from "./linkJobHolder.js";
 import { LinkJobReader } from "./linkJobReader.js";
-import type { SettingsInForce } from "./settingsInForce.js";
 
 /** Time in which the balancer notices that a process isn't ready any more, in milliseconds. */
-const BALANCER_NOTICE_MS = 2500;
+const BALANCER_DETECTION_MS = 2500;
 /** Time left for the end of the process after its requests, in milliseconds. */
 const STOP_MARGIN_MS = 700;
 const STOP_POLL_MS = 50;
 /** How long the first requests wait for the configuration after a start, in milliseconds. */
 const MAX_START_WAIT_MS = 400;
-const WAITING_CHECK_INTERVAL_MS = 20;
+const DISPATCH_INTERVAL_MS = 20;
 
 /** The program that takes callers' requests. */
 export class GatewayProgram {
-    private readonly settings: SettingsInForce;
+    private readonly settings: ActiveSettings;
     private readonly fleet: FleetProcess;
     private readonly server: GatewayServer;
     private readonly readiness: ReadinessServer;
-    private readonly waitingRoom: RequestQueue;
+    private readonly requestQueue: RequestQueue;
     private isStopping = false;
 
-    constructor(settingsInForce: SettingsInForce, logger: Logger) {
-        this.settings = settingsInForce;
-        const settings = settingsInForce.current;
+    constructor(activeSettings: ActiveSettings, logger: Logger) {
+        this.settings = activeSettings;
+        const settings = activeSettings.current;
         const protocol = new PlatformCallerProtocol();
         this.fleet = new FleetProcess({
             settings,
             role: "gateway",
             logger,
-            onLoadChanged: () => this.waitingRoom.dispatch(),
-            waiting: () => this.waitingRoom.waitingCounts(),
+            onLoadChanged: () => this.requestQueue.dispatch(),
+            waiting: () => this.requestQueue.waitingCounts(),
             onConfiguration: () => this.server.applyLimits(this.fleet.operators.configuration.current!.limits),
             onJobsWritten: () => undefined,
-            onEmptyingRequested: () => undefined,
-            onLead: () => undefined,
+            onDrainRequested: () => undefined,
+            onLeadershipChanged: () => undefined,
         });
-        const { clock, random, board, connections, health, metrics } = this.fleet;
+        const { clock, random, loadTracker, connections, health, metrics } = this.fleet;
         const { configuration } = this.fleet.operators;
         const holdTimes = new HoldTimes();
-        this.waitingRoom = new RequestQueue({
+        this.requestQueue = new RequestQueue({
             clock,
             random,
-            loadTracker: board,
+            loadTracker,
             holdTimes,
             placement: new LeastLoadedPlacement({
-                loadTracker: board,
+                loadTracker,
                 random,
                 zone: settings.zone,
                 connectionShare: service => this.connectionShare(service),
@@ -72,42 +72,42 @@
             metrics,
             configuration,
             connections,
-            loadTracker: board,
+            loadTracker,
             health,
             holdTimes,
-            requestQueue: this.waitingRoom,
+            requestQueue: this.requestQueue,
             headers: protocol.headers,
             onLoadChanged: () => this.fleet.markLoadChanged(),
-            whenInitialized: () => this.fleet.whenInformed(MAX_START_WAIT_MS),
+            whenInitialized: () => this.fleet.whenInitialized(MAX_START_WAIT_MS),
             isStopping: () => this.isStopping,
         };
         const jobs = new JobRoutes({
             logger,
             protocol,
             acceptor: new JobAcceptor({
-                service: this.fleet.store,
+                service: this.fleet.keyValueService,
                 clock,
                 logger,
                 holder: new LinkJobHolder({
                     endpoint: this.fleet.links,
                     clock,
                     logger,
-                    leader: () => this.fleet.peers.leadingRunner(),
+                    leader: () => this.fleet.peers.leaderAddress(),
                     runners: () => this.fleet.peers.runners(),
-                    copies: () => settingsInForce.current.tolerableLosses + 1,
+                    copies: () => activeSettings.current.tolerableLosses + 1,
                 }),
-                areHeldJobsWritten: () => this.fleet.isSettled,
+                areHeldJobsWritten: () => this.fleet.areHeldJobsWritten,
             }),
             reader: new LinkJobReader({
                 endpoint: this.fleet.links,
-                leader: () => this.fleet.peers.leadingRunner(),
+                leader: () => this.fleet.peers.leaderAddress(),
             }),
             onAccepted: revision => this.fleet.markJobsWritten(revision),
         });
         this.server = new GatewayServer({ context, protocol, jobs });
         this.readiness = new ReadinessServer({
             path: protocol.readinessPath,
-            isReady: () => this.fleet.isInformed && !this.fleet.isIsolated && !this.isStopping,
+            isReady: () => this.fleet.isInitialized && !this.fleet.isIsolated && !this.isStopping,
         });
     }
 
@@ -116,7 +116,7 @@
         const { callersAddress, readinessAddress } = this.settings.current;
         await this.server.listen(callersAddress!);
         await this.readiness.listen(readinessAddress!);
-        this.watchWaitingRoom();
+        this.dispatchPeriodically();
     }
 
     /** Takes no new callers, answers those it has, and ends. */
@@ -125,7 +125,7 @@
         const { stopGraceMs } = this.settings.current;
         this.isStopping = true;
         const endAtMs = clock.nowMs() + stopGraceMs - STOP_MARGIN_MS;
-        await sleep(clock, Math.min(BALANCER_NOTICE_MS, stopGraceMs / 3));
+        await sleep(clock, Math.min(BALANCER_DETECTION_MS, stopGraceMs / 3));
         this.server.stopAccepting();
         while (this.server.openRequestCount > 0 && clock.nowMs() < endAtMs) {
             await sleep(clock, STOP_POLL_MS);
@@ -142,8 +142,8 @@
         });
     }
 
-    private watchWaitingRoom(): void {
-        this.waitingRoom.dispatch();
-        this.fleet.clock.setTimer(WAITING_CHECK_INTERVAL_MS, () => this.watchWaitingRoom());
+    private dispatchPeriodically(): void {
+        this.requestQueue.dispatch();
+        this.fleet.clock.setTimer(DISPATCH_INTERVAL_MS, () => this.dispatchPeriodically());
     }
 }
--- a/daemons/fleet/src/linkJobHolder.ts
+++ b/daemons/fleet/src/linkJobHolder.ts
@@ -12,7 +12,7 @@
 
 const CALL_TIMEOUT_MS = 1000;
 /** How long the leader has the first word on the limit of waiting tokens, in milliseconds. */
-const LEADER_FIRST_MS = 120;
+const LEADER_HEAD_START_MS = 120;
 
 interface LinkJobHolderOptions {
     endpoint: LinkEndpoint;
@@ -36,35 +36,35 @@
 
     async hold(request: HoldRequest): Promise<HoldOutcome> {
         const leader = this.opts.leader();
-        const atLeader = leader === undefined ? undefined : this.holdAt(leader, request);
-        const first = await Promise.race([atLeader, sleep(this.opts.clock, LEADER_FIRST_MS)]);
+        const leaderOutcome = leader === undefined ? undefined : this.holdAt(leader, request);
+        const first = await Promise.race([leaderOutcome, sleep(this.opts.clock, LEADER_HEAD_START_MS)]);
         if (first === "over-limit") {
             return first;
         }
         const others = this.opts.runners().filter(runner => !isSame(runner, leader));
-        return this.combine([
-            ...atLeader === undefined ? [] : [atLeader],
-            ...others.map(one => this.holdAt(one, request)),
+        return this.combineOutcomes([
+            ...leaderOutcome === undefined ? [] : [leaderOutcome],
+            ...others.map(runner => this.holdAt(runner, request)),
         ]);
     }
 
     /** Resolves as soon as there are enough copies, or when all runners have answered. */
-    private combine(pending: readonly Promise<HoldOutcome>[]): Promise<HoldOutcome> {
+    private combineOutcomes(pending: readonly Promise<HoldOutcome>[]): Promise<HoldOutcome> {
         return new Promise(resolve => {
             const outcomes: HoldOutcome[] = [];
             const add = (outcome: HoldOutcome) => {
                 outcomes.push(outcome);
-                if (outcomes.filter(one => one === "held").length >= this.opts.copies()) {
+                if (outcomes.filter(other => other === "held").length >= this.opts.copies()) {
                     resolve("held");
                 }
                 else if (outcomes.length === pending.length) {
-                    resolve(outcomes.some(one => one === "held" || one === "unknown") ? "unknown" : "not-held");
+                    resolve(outcomes.some(other => other === "held" || other === "unknown") ? "unknown" : "not-held");
                 }
             };
             if (pending.length === 0) {
                 resolve("not-held");
             }
-            pending.forEach(one => void one.then(add));
+            pending.forEach(promise => void promise.then(add));
         });
     }
 
--- a/daemons/fleet/src/operatorsFollower.ts
+++ b/daemons/fleet/src/operatorsFollower.ts
@@ -5,14 +5,14 @@
 import { decodeConfiguration } from "@knapweedwood/platform.adapter/decodeConfiguration";
 import { parseDrainRequestKey } from "@knapweedwood/platform.adapter/parseDrainRequestKey";
 import { wireKeys } from "@knapweedwood/platform.adapter/wireKeys";
-import type { FollowerTools } from "./followerTools.js";
+import type { FollowerContext } from "./followerContext.js";
 
-interface OperatorsFollowerOptions extends FollowerTools {
+interface OperatorsFollowerOptions extends FollowerContext {
     instanceName: InstanceName;
     /** Called when a newer configuration is in force. */
     onConfiguration: () => void;
     /** Called when the operators want this instance emptied, perhaps more than once. */
-    onEmptyingRequested: () => void;
+    onDrainRequested: () => void;
 }
 
 /** Follows what the operators write. */
@@ -42,7 +42,7 @@
             this.onConfigurationEntry(entry);
         }
         if (parseDrainRequestKey(entry.key) === this.opts.instanceName) {
-            this.opts.onEmptyingRequested();
+            this.opts.onDrainRequested();
         }
     }
 
--- a/daemons/fleet/src/peerFollower.ts
+++ b/daemons/fleet/src/peerFollower.ts
@@ -11,19 +11,19 @@
 import { PrefixMirror } from "@knapweedwood/fleet.sync/prefixMirror";
 import { ProcessLease } from "@knapweedwood/fleet.sync/processLease";
 import type { HostPort } from "@knapweedwood/fleet.view/hostPort";
-import type { FollowerTools } from "./followerTools.js";
+import type { FollowerContext } from "./followerContext.js";
 
 const ANNOUNCE_RETRY_MS = 500;
 /** How often the entry of a process that sends reports without one is looked for, in milliseconds. */
-const MEET_INTERVAL_MS = 5000;
+const LOOKUP_INTERVAL_MS = 5000;
 /** How long changes are gathered, since processes start and end in groups, in milliseconds. */
-const GATHER_MS = 100;
+const COALESCE_MS = 100;
 
-interface PeerFollowerOptions extends FollowerTools {
+interface PeerFollowerOptions extends FollowerContext {
     self: MemberRecord;
     minLeaseMs: number;
     /** Called when this process gains or loses the run of batch jobs; only where it is a runner. */
-    onLead: (isLeading: boolean) => void;
+    onLeadershipChanged: (isLeading: boolean) => void;
 }
 
 /** Announces this process under its lease and follows the others, the leader among them. */
@@ -33,7 +33,7 @@
     readonly leadership: Leadership;
     private readonly opts: PeerFollowerOptions;
     private readonly members = new MemberTable();
-    private metAtMs = -Infinity;
+    private lookedUpAtMs = -Infinity;
 
     constructor(opts: PeerFollowerOptions) {
         this.opts = opts;
@@ -44,13 +44,13 @@
             lease: this.lease,
             self: { instanceName, startedAtMs },
             isCandidate: role === "runner",
-            onGained: () => opts.onLead(true),
-            onLost: () => opts.onLead(false),
+            onGained: () => opts.onLeadershipChanged(true),
+            onLost: () => opts.onLeadershipChanged(false),
         });
         this.mirror = new PrefixMirror({
             ...opts,
             prefix: fleetKeys.prefix,
-            coalesceMs: GATHER_MS,
+            coalesceMs: COALESCE_MS,
             onSnapshot: (entries, revision) => this.onSnapshot(entries, revision),
             onChange: batch => this.onChange(batch),
         });
@@ -66,7 +66,7 @@
     }
 
     /** Where the other processes expect reports, shape [processes]. */
-    distantPeers(): HostPort[] {
+    nonPlacingPeers(): HostPort[] {
         return this.others().filter(member => !this.placesByLoad(member)).map(toLoadAddress);
     }
 
@@ -81,10 +81,10 @@
     }
 
     /** Makes sure that a process which sends reports is known: a silent watch may have missed its entry. */
-    meet(instanceName: InstanceName): void {
+    lookUpIfUnknown(instanceName: InstanceName): void {
         const nowMs = this.opts.clock.nowMs();
-        if (nowMs >= this.metAtMs + MEET_INTERVAL_MS && this.members.get(instanceName) === undefined) {
-            this.metAtMs = nowMs;
+        if (nowMs >= this.lookedUpAtMs + LOOKUP_INTERVAL_MS && this.members.get(instanceName) === undefined) {
+            this.lookedUpAtMs = nowMs;
             this.mirror.catchUp(this.mirror.revision + 1);
         }
     }
@@ -95,9 +95,9 @@
     }
 
     /** Where the process that runs jobs accepts links; undefined where none is known. */
-    leadingRunner(): HostPort | undefined {
+    leaderAddress(): HostPort | undefined {
         const leader = this.leadership.leader;
-        const member = this.list().find(one => one.instanceName === leader?.instanceName);
+        const member = this.list().find(candidate => candidate.instanceName === leader?.instanceName);
         return member === undefined ? undefined : toLinkAddress(member);
     }
 
--- a/daemons/fleet/src/runProgram.ts
+++ b/daemons/fleet/src/runProgram.ts
@@ -3,8 +3,8 @@
 import { JsonLogger } from "@knapweedwood/observability.logs/jsonLogger";
 import type { Logger } from "@knapweedwood/observability.logs/logger";
 import { openBoundedOutput } from "@knapweedwood/observability.logs/openBoundedOutput";
+import { ActiveSettings } from "./activeSettings.js";
 import { readSettingsText } from "./readSettingsText.js";
-import { SettingsInForce } from "./settingsInForce.js";
 
 const EXIT_SETTINGS = 2;
 const EXIT_FAILED = 1;
@@ -19,7 +19,7 @@
 /** Runs a program from its settings until SIGTERM, and ends the process with its outcome. */
 export async function runProgram(
     name: string,
-    start: (settings: SettingsInForce, logger: Logger) => Promise<Program>,
+    start: (settings: ActiveSettings, logger: Logger) => Promise<Program>,
 ): Promise<void> {
     const output = openBoundedOutput("info");
     const rootLogger = new JsonLogger({ clock: new SystemClock(), level: "info", target: output.target });
@@ -32,7 +32,7 @@
     };
     let logger: Logger = rootLogger;
     try {
-        const settings = new SettingsInForce(() => readSettingsText(process.env));
+        const settings = new ActiveSettings(() => readSettingsText(process.env));
         const { instanceName, zone } = settings.current;
         logger = rootLogger.child({ program: name, instance: instanceName });
         const program = await start(settings, logger);
--- a/daemons/fleet/src/runnerProgram.ts
+++ b/daemons/fleet/src/runnerProgram.ts
@@ -13,24 +13,24 @@
 import type { Logger } from "@knapweedwood/observability.logs/logger";
 import { drainProgressOperation } from "@knapweedwood/platform.adapter/drainProgressOperation";
 import { wireHeaders } from "@knapweedwood/platform.adapter/wireHeaders";
+import type { ActiveSettings } from "./activeSettings.js";
 import { FleetProcess } from "./fleetProcess.js";
-import type { SettingsInForce } from "./settingsInForce.js";
 
-const EMPTYING_RETRY_MS = 200;
+const RETRY_DELAY_MS = 200;
 
 /** The program that runs batch jobs, on one instance at a time; the others stand by and hold jobs during outages. */
 export class RunnerProgram {
-    private readonly settings: SettingsInForce;
+    private readonly settings: ActiveSettings;
     private readonly logger: Logger;
     private readonly fleet: FleetProcess;
     private readonly runner: JobRunner;
     private readonly held: HeldJobs;
     private readonly closing = new AbortController();
-    private isEmptying = false;
+    private isDraining = false;
 
-    constructor(settingsInForce: SettingsInForce, logger: Logger) {
-        this.settings = settingsInForce;
-        const settings = settingsInForce.current;
+    constructor(activeSettings: ActiveSettings, logger: Logger) {
+        this.settings = activeSettings;
+        const settings = activeSettings.current;
         this.logger = logger;
         if (settings.dataFolder === undefined) {
             throw new KnapweedError("SETTINGS_INVALID", "A runner needs a data folder");
@@ -43,20 +43,20 @@
             waiting: () => [],
             onConfiguration: () => this.runner.dispatch(),
             onJobsWritten: revision => this.runner.catchUp(revision),
-            onEmptyingRequested: () => void this.empty(),
-            onLead: isLeading => isLeading ? this.runner.start() : this.runner.stop(),
+            onDrainRequested: () => void this.drain(),
+            onLeadershipChanged: isLeading => isLeading ? this.runner.start() : this.runner.stop(),
         });
         this.held = new HeldJobs({
-            ...this.fleetTools(),
+            ...this.sharedOptions(),
             logger,
             segments: new FolderSegmentStore({ dataFolder: settings.dataFolder }),
             onHeld: job => this.runner.onHeld(job),
         });
         this.runner = new JobRunner({
-            ...this.fleetTools(),
+            ...this.sharedOptions(),
             logger,
             headers: wireHeaders,
-            resultRetentionMs: () => settingsInForce.current.resultRetentionMs,
+            resultRetentionMs: () => activeSettings.current.resultRetentionMs,
             onLoadChanged: () => this.fleet.markLoadChanged(),
             heldJobs: () => this.held.all(),
         });
@@ -85,28 +85,28 @@
     }
 
     /** Leaves nothing on this instance that is not stored elsewhere, and tells the operators. */
-    private async empty(): Promise<void> {
-        if (this.isEmptying) {
+    private async drain(): Promise<void> {
+        if (this.isDraining) {
             return;
         }
-        this.isEmptying = true;
+        this.isDraining = true;
         this.logger.info("emptying-requested");
-        await this.until(() => this.reportEmptying(false));
-        await this.until(() => this.handOver());
+        await this.retryUntilDone(() => this.reportDrainProgress(false));
+        await this.retryUntilDone(() => this.handOver());
         while (this.held.count > 0) {
-            await sleep(this.fleet.clock, EMPTYING_RETRY_MS);
+            await sleep(this.fleet.clock, RETRY_DELAY_MS);
         }
-        await this.until(() => this.reportEmptying(true));
+        await this.retryUntilDone(() => this.reportDrainProgress(true));
         this.logger.info("emptied");
     }
 
-    private async reportEmptying(isEmpty: boolean): Promise<void> {
+    private async reportDrainProgress(isDrained: boolean): Promise<void> {
         const { instanceName } = this.settings.current;
-        await this.fleet.store.transact([], [drainProgressOperation(instanceName, isEmpty)]);
+        await this.fleet.keyValueService.transact([], [drainProgressOperation(instanceName, isDrained)]);
     }
 
     /** Repeats a step until it succeeds. */
-    private async until(step: () => Promise<void>): Promise<void> {
+    private async retryUntilDone(step: () => Promise<void>): Promise<void> {
         for (let isDone = false; !isDone;) {
             try {
                 await step();
@@ -115,7 +115,7 @@
             catch (thrown) {
                 const error = toKnapweedError(thrown);
                 this.logger.info("emptying-step-failed", { code: error.code, message: error.message });
-                await sleep(this.fleet.clock, EMPTYING_RETRY_MS);
+                await sleep(this.fleet.clock, RETRY_DELAY_MS);
             }
         }
     }
@@ -141,7 +141,7 @@
         const { routeName, jobId } = record;
         const waitingTokens = this.runner.waitingTokens(routeName, jobId)
             ?? storedTokens + this.held.waitingTokens(routeName, jobId);
-        if (this.isEmptying) {
+        if (this.isDraining) {
             return "not-held";
         }
         const isAccepted = this.runner.has(jobId) || this.held.has(jobId);
@@ -153,8 +153,8 @@
         return "held";
     }
 
-    private fleetTools() {
-        const { store: service, clock, random, connections, board: loadTracker, health, metrics } = this.fleet;
+    private sharedOptions() {
+        const { keyValueService: service, clock, random, connections, loadTracker, health, metrics } = this.fleet;
         const { leadership } = this.fleet.peers;
         const { configuration } = this.fleet.operators;
         const { directory } = this.fleet.upstreams;
--- a/daemons/fleet/src/upstreamFollower.ts
+++ b/daemons/fleet/src/upstreamFollower.ts
@@ -11,13 +11,13 @@
 import { UpstreamDirectory } from "@knapweedwood/fleet.view/upstreamDirectory";
 import { decodeUpstream } from "@knapweedwood/platform.adapter/decodeUpstream";
 import { wireKeys } from "@knapweedwood/platform.adapter/wireKeys";
-import type { FollowerTools } from "./followerTools.js";
+import type { FollowerContext } from "./followerContext.js";
 
 /** How long changes are gathered, since many upstreams start, leave or lapse together, in milliseconds. */
-const GATHER_MS = 200;
+const COALESCE_MS = 200;
 
-interface UpstreamFollowerOptions extends FollowerTools {
-    board: LoadTracker;
+interface UpstreamFollowerOptions extends FollowerContext {
+    loadTracker: LoadTracker;
     health: UpstreamHealth;
     connections: UpstreamConnections;
     /** Called when the set of upstreams or a state has changed. */
@@ -36,7 +36,7 @@
         this.mirror = new PrefixMirror({
             ...opts,
             prefix: wireKeys.upstreams,
-            coalesceMs: GATHER_MS,
+            coalesceMs: COALESCE_MS,
             onSnapshot: entries => this.onSnapshot(entries),
             onChange: batch => this.onChange(batch),
             onRecovered: () => this.directory.onKeyValueReconnected(opts.clock.nowMs()),
@@ -53,7 +53,7 @@
         const nowMs = this.opts.clock.nowMs();
         const ready = this.directory.ready(service);
         const usable = ready.filter(({ id }) =>
-            this.opts.health.isUsable(id, nowMs, this.opts.board.ownOnlineCount(id))
+            this.opts.health.isUsable(id, nowMs, this.opts.loadTracker.ownOnlineCount(id))
         );
         // A judgement over most of a service is more likely wrong than right.
         return usable.length * 2 > ready.length ? usable : ready;
@@ -66,16 +66,16 @@
 
     private onSnapshot(entries: readonly KeyValueEntry[]): void {
         const listed = new Set(entries.map(entry => entry.key));
-        const gone = this.directory.ids().filter(id => !listed.has(`${wireKeys.upstreams}${id}`));
-        this.onChanges(this.directory.remove(gone, this.opts.clock.nowMs()));
+        const removed = this.directory.ids().filter(id => !listed.has(`${wireKeys.upstreams}${id}`));
+        this.onChanges(this.directory.remove(removed, this.opts.clock.nowMs()));
         entries.forEach(entry => this.onEntry(entry));
     }
 
     private onChange(batch: WatchBatch): void {
         this.lastChangeRevision = Math.max(this.lastChangeRevision, batch.revision);
         batch.puts.forEach(entry => this.onEntry(entry));
-        const gone = batch.deletedKeys.map(upstreamIdOf);
-        this.onChanges(this.directory.remove(gone, this.opts.clock.nowMs()));
+        const removed = batch.deletedKeys.map(upstreamIdOf);
+        this.onChanges(this.directory.remove(removed, this.opts.clock.nowMs()));
     }
 
     private onEntry(entry: KeyValueEntry): void {
--- a/daemons/fleet/test/settingsInForce.test.ts
+++ b/daemons/fleet/test/activeSettings.test.ts
@@ -2,7 +2,7 @@
 import { silentLogger } from "@knapweedwood/observability.logs/silentLogger";
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { SettingsInForce } from "../src/settingsInForce.js";
+import { ActiveSettings } from "../src/activeSettings.js";
 
 function textOf(opts: { graceS: number; zone?: string; }): string {
     return `
@@ -37,7 +37,7 @@
 
 test("changed settings are in force after a reload, and a line says which wait for the next start", () => {
     let text = textOf({ graceS: 8 });
-    const settings = new SettingsInForce(() => text);
+    const settings = new ActiveSettings(() => text);
     const { logger, lines } = recordingLogger();
     settings.reload(logger);
     assert.deepEqual(lines, [], "nothing has changed");
@@ -50,7 +50,7 @@
 
 test("a file that can't be used, or read, changes nothing and says so", () => {
     let text = textOf({ graceS: 8 });
-    const settings = new SettingsInForce(() => {
+    const settings = new ActiveSettings(() => {
         if (text === "gone") {
             throw new Error("gone");
         }
--- a/daemons/fleet/test/linkJobHolder.test.ts
+++ b/daemons/fleet/test/linkJobHolder.test.ts
@@ -10,29 +10,29 @@
 
 const request = { job: { record: { jobId: "j" } } as unknown as HeldJob, storedTokens: 0 };
 
-/** What a runner answers; a silent one never does, a dark one is out of reach. */
-type RunnerAnswer = HoldOutcome | "silent" | "dark";
+/** What a runner responses; a silent one never does, a dark one is out of reach. */
+type RunnerResponse = HoldOutcome | "silent" | "unreachable";
 
-function start(answers: { [host: string]: RunnerAnswer; }) {
+function start(responses: { [host: string]: RunnerResponse; }) {
     const clock = new ManualClock();
-    const asked: string[] = [];
+    const called: string[] = [];
     const endpoint = {
         connect: (address: string) => ({
             call: async function*() {
                 const host = address.split(":")[0]!;
-                asked.push(host);
-                const answer = answers[host]!;
-                if (answer === "silent") {
+                called.push(host);
+                const response = responses[host]!;
+                if (response === "silent") {
                     await new Promise(() => undefined);
                 }
-                if (answer === "dark") {
+                if (response === "unreachable") {
                     throw new KnapweedError("LINK_CLOSED", "out of reach", { outcome: "not-run" });
                 }
-                yield { outcome: answer };
+                yield { outcome: response };
             },
         }),
     } as unknown as LinkEndpoint;
-    const hosts = Object.keys(answers);
+    const hosts = Object.keys(responses);
     const holder = new LinkJobHolder({
         endpoint,
         clock,
@@ -41,30 +41,30 @@
         leader: () => ({ host: hosts[0]!, port: 1 }),
         copies: () => 2,
     });
-    return { clock, asked, holder };
+    return { clock, called, holder };
 }
 
-async function outcomeOf(answers: { [host: string]: RunnerAnswer; }) {
-    const { clock, asked, holder } = start(answers);
+async function outcomeOf(responses: { [host: string]: RunnerResponse; }) {
+    const { clock, called, holder } = start(responses);
     const pending = holder.hold(request);
     await clock.advance(2000);
-    return { outcome: await pending, asked };
+    return { outcome: await pending, called };
 }
 
 test("a job over the limit is held by nobody, since the leader has the first word", async () => {
     assert.deepEqual(await outcomeOf({ a: "over-limit", b: "held", c: "held" }), {
         outcome: "over-limit",
-        asked: ["a"],
+        called: ["a"],
     });
 });
 
 test("a leader that doesn't answer holds nothing up", async () => {
     assert.equal((await outcomeOf({ a: "silent", b: "held", c: "held" })).outcome, "held");
-    assert.equal((await outcomeOf({ a: "dark", b: "held", c: "held" })).outcome, "held");
+    assert.equal((await outcomeOf({ a: "unreachable", b: "held", c: "held" })).outcome, "held");
 });
 
 test("a job counts as held with enough copies, and as not held only where there can be none", async () => {
-    assert.equal((await outcomeOf({ a: "held", b: "held", c: "dark" })).outcome, "held");
-    assert.equal((await outcomeOf({ a: "held", b: "dark", c: "dark" })).outcome, "unknown");
-    assert.equal((await outcomeOf({ a: "dark", b: "not-held", c: "dark" })).outcome, "not-held");
+    assert.equal((await outcomeOf({ a: "held", b: "held", c: "unreachable" })).outcome, "held");
+    assert.equal((await outcomeOf({ a: "held", b: "unreachable", c: "unreachable" })).outcome, "unknown");
+    assert.equal((await outcomeOf({ a: "unreachable", b: "not-held", c: "unreachable" })).outcome, "not-held");
 });
--- a/daemons/fleet/test/peerFollower.test.ts
+++ b/daemons/fleet/test/peerFollower.test.ts
@@ -31,7 +31,7 @@
         watchWaitMs: () => 4000,
         self: opts.self,
         minLeaseMs: 1000,
-        onLead: () => undefined,
+        onLeadershipChanged: () => undefined,
     });
     void follower.mirror.run(opts.signal);
     void follower.lease.run(opts.signal);
@@ -52,6 +52,6 @@
     await service.transact([], [{ kind: "delete", key: fleetKeys.member("runner" as InstanceName) }]);
     await clock.advance(15_000);
     assert.deepEqual(gateway.runners(), [{ host: "runner", port: 2 }]);
-    assert.deepEqual(gateway.leadingRunner(), { host: "runner", port: 2 });
+    assert.deepEqual(gateway.leaderAddress(), { host: "runner", port: 2 });
     controller.abort();
 });
