--- a/daemons/fleet/src/activeSettings.ts
+++ b/daemons/fleet/src/activeSettings.ts
@@ -3,20 +3,23 @@
 import type { Logger } from "@knapweedwood/observability.logs/logger";
 import { decodeSettings } from "@knapweedwood/platform.adapter/decodeSettings";
 
-/** Fields that take effect while the process runs; a change of any other waits for the next start. */
+/** Fields whose changes take effect without a restart. */
 const LIVE_FIELDS: readonly string[] = [
     "tolerableLosses",
     "stopGraceMs",
     "resultRetentionMs",
 ] satisfies (keyof ProcessSettings)[];
 
-/** The settings of this process, read again when they change. */
+/** The settings of this process. They can be reloaded while it runs. */
 export class ActiveSettings {
     private readonly readText: () => string;
     private text: string;
     private settings: ProcessSettings;
 
-    /** Throws `SETTINGS_MISSING` or `SETTINGS_INVALID`. */
+    /**
+     * Loads the settings with `readText`. Throws `SETTINGS_INVALID`, or the error of `readText`, such as
+     * `SETTINGS_MISSING`.
+     */
     constructor(readText: () => string) {
         this.readText = readText;
         this.text = readText();
@@ -27,7 +30,7 @@
         return this.settings;
     }
 
-    /** Takes in the file as it is now; one that can't be used changes nothing. */
+    /** Reloads the settings file if it has changed. Keeps the current settings if the file is missing or invalid. */
     reload(logger: Logger): void {
         try {
             const text = this.readText();
--- a/daemons/fleet/src/fleetProcess.ts
+++ b/daemons/fleet/src/fleetProcess.ts
@@ -26,29 +26,33 @@
 const MAX_SEED = 2 ** 31;
 const HOUSEKEEPING_INTERVAL_MS = 100;
 const INITIALIZATION_POLL_MS = 5;
-/** Age of the last renewed lease from which the key-value service counts as out of reach, in milliseconds. */
+/** Age of the last lease renewal from which on the key-value service counts as unreachable, in milliseconds. */
 const KEY_VALUE_REACHABLE_MS = 1800;
-/** Links are quiet for long stretches here: a less frequent heartbeat costs less. */
+/** Links of the fleet are idle most of the time, so idle links send fewer heartbeats. */
 const LINK_LIMITS = { heartbeatIntervalMs: 250, idleHeartbeatIntervalMs: 2000, silentAfterMs: 700 };
 
 interface FleetProcessOptions {
     settings: ProcessSettings;
     role: MemberRecord["role"];
     logger: Logger;
-    /** Called when the load of other processes or the set of upstreams has changed. */
+    /** Called when the load at other processes or the set of upstreams has changed. */
     onLoadChanged(): void;
-    /** Online requests that wait here. */
+    /** Returns the number of online requests queued in this process, shape [services]. */
     waiting(): LoadReport["waiting"];
+    /** Called when a newer configuration has become active. */
     onConfiguration(): void;
-    /** Called with the revision up to which another process has written jobs. */
+    /** Called with the revision at which another process last wrote a job. */
     onJobsWritten(revision: number): void;
-    /** Called when the operators want this instance emptied, perhaps more than once. */
+    /** Called when the operators request to drain this instance. May be called more than once. */
     onDrainRequested(): void;
-    /** Called when this process gains or loses the run of batch jobs; only where it is a runner. */
+    /** Called when this process becomes or is no longer the leader, which runs batch jobs. Only called on runners. */
     onLeadershipChanged(isLeading: boolean): void;
 }
 
-/** What every process of the fleet has: its view of the fleet, kept in step, and what it tells the others. */
+/**
+ * The parts that all processes of the fleet share: the synchronized view of the fleet, the load reports to peers, links
+ * and metrics.
+ */
 export class FleetProcess {
     readonly clock = new SystemClock();
     readonly random = new SeededRandom(randomInt(MAX_SEED));
@@ -129,22 +133,22 @@
         });
     }
 
-    /** Whether configuration and upstreams are known. */
+    /** Whether the configuration and the upstreams are loaded. */
     get isInitialized(): boolean {
         return this.operators.configuration.current !== undefined && this.upstreams.mirror.revision > 0;
     }
 
-    /** Whether the key-value service answers others but not this process: callers are better off elsewhere. */
+    /** Whether a peer can reach the key-value service but this process can't, so that peers serve callers better. */
     get isIsolated(): boolean {
         return !this.isKeyValueReachable && this.loadTracker.isKeyValueReachableByPeer();
     }
 
-    /** Whether jobs that were held during an outage of the key-value service have been written by now. */
+    /** Whether enough time has passed since an outage of the key-value service for all held jobs to be written. */
     get areHeldJobsWritten(): boolean {
         return this.clock.nowMs() > this.peers.mirror.reachableSinceMs + HELD_JOBS_WRITE_MS;
     }
 
-    /** Resolves once the process is informed, or after `maxMs`. */
+    /** Resolves once the configuration and the upstreams are loaded, or after `maxMs` milliseconds. */
     async whenInitialized(maxMs: number): Promise<void> {
         const timeoutAtMs = this.clock.nowMs() + maxMs;
         while (!this.isInitialized && this.clock.nowMs() < timeoutAtMs) {
@@ -152,6 +156,7 @@
         }
     }
 
+    /** Opens the ports and starts to follow the fleet. Rejects if a port can't be opened. */
     async start(): Promise<void> {
         await this.exchange.listen();
         await this.metricsServer.listen();
@@ -164,17 +169,18 @@
         this.housekeep();
     }
 
-    /** Tells the others that the load of this process has changed. */
+    /** Notifies the peers that the load of this process has changed. */
     markLoadChanged(): void {
         this.exchange.markChanged();
     }
 
-    /** Tells the others up to which revision this process has written jobs. */
+    /** Notifies the peers of the revision at which this process last wrote a job. */
     markJobsWritten(revision: number): void {
         this.jobsRevision = Math.max(this.jobsRevision, revision);
         this.exchange.markChanged();
     }
 
+    /** Revokes the lease of this process and closes its ports and connections. Does not close its links. */
     async stop(): Promise<void> {
         this.closing.abort();
         this.exchange.close();
--- a/daemons/fleet/src/followerContext.ts
+++ b/daemons/fleet/src/followerContext.ts
@@ -3,12 +3,12 @@
 import type { Random } from "@knapweedwood/core.random/random";
 import type { Logger } from "@knapweedwood/observability.logs/logger";
 
-/** What everything that follows keys of the key-value service works with. */
+/** Services and settings shared by all followers of keys in the key-value service. */
 export interface FollowerContext {
     service: SnapshotKeyValueService;
     clock: Clock;
     random: Random;
     logger: Logger;
-    /** How long one watch call may wait for a change. */
+    /** Returns the time for which one watch call may wait for a change, in milliseconds. */
     watchWaitMs: () => number;
 }
--- a/daemons/fleet/src/gatewayProgram.ts
+++ b/daemons/fleet/src/gatewayProgram.ts
@@ -16,16 +16,16 @@
 import { LinkJobHolder } from "./linkJobHolder.js";
 import { LinkJobReader } from "./linkJobReader.js";
 
-/** Time in which the balancer notices that a process isn't ready any more, in milliseconds. */
+/** Time in which the load balancer detects that a process is no longer ready, in milliseconds. */
 const BALANCER_DETECTION_MS = 2500;
-/** Time left for the end of the process after its requests, in milliseconds. */
+/** Part of the stop grace reserved for shutdown after the last request, in milliseconds. */
 const STOP_MARGIN_MS = 700;
 const STOP_POLL_MS = 50;
-/** How long the first requests wait for the configuration after a start, in milliseconds. */
+/** Maximum time that requests wait for the configuration and the upstreams after a start, in milliseconds. */
 const MAX_START_WAIT_MS = 400;
 const DISPATCH_INTERVAL_MS = 20;
 
-/** The program that takes callers' requests. */
+/** The gateway: serves callers' requests. */
 export class GatewayProgram {
     private readonly settings: ActiveSettings;
     private readonly fleet: FleetProcess;
@@ -111,6 +111,7 @@
         });
     }
 
+    /** Starts to serve callers and the readiness check. Rejects if a port can't be opened. */
     async start(): Promise<void> {
         await this.fleet.start();
         const { callersAddress, readinessAddress } = this.settings.current;
@@ -119,7 +120,7 @@
         this.dispatchPeriodically();
     }
 
-    /** Takes no new callers, answers those it has, and ends. */
+    /** Stops accepting connections, completes open requests within the stop grace, and closes. */
     async stop(): Promise<void> {
         const { clock } = this.fleet;
         const { stopGraceMs } = this.settings.current;
--- a/daemons/fleet/src/linkJobHolder.ts
+++ b/daemons/fleet/src/linkJobHolder.ts
@@ -11,22 +11,22 @@
 import type { Logger } from "@knapweedwood/observability.logs/logger";
 
 const CALL_TIMEOUT_MS = 1000;
-/** How long the leader has the first word on the limit of waiting tokens, in milliseconds. */
+/** Time for which the leader may reject a job over the limit before other runners are called, in milliseconds. */
 const LEADER_HEAD_START_MS = 120;
 
 interface LinkJobHolderOptions {
     endpoint: LinkEndpoint;
     clock: Clock;
     logger: Logger;
-    /** Where runners accept links. */
+    /** Returns the addresses on which runners accept links, shape [runners]. */
     runners: () => HostPort[];
-    /** Where the runner that leads accepts links; it knows how many tokens wait. */
+    /** Returns the leader's address for links. Only the leader tracks the number of waiting tokens. */
     leader: () => HostPort | undefined;
-    /** Copies that have to be synced. */
+    /** Returns the number of copies that must be synced to disk. */
     copies: () => number;
 }
 
-/** Keeps jobs on the disks of the runners, over links. */
+/** Holds jobs on the disks of the runners, over links. */
 export class LinkJobHolder implements JobHolder {
     private readonly opts: LinkJobHolderOptions;
 
@@ -48,7 +48,7 @@
         ]);
     }
 
-    /** Resolves as soon as there are enough copies, or when all runners have answered. */
+    /** Resolves once there are enough copies or all runners have responded. */
     private combineOutcomes(pending: readonly Promise<HoldOutcome>[]): Promise<HoldOutcome> {
         return new Promise(resolve => {
             const outcomes: HoldOutcome[] = [];
--- a/daemons/fleet/src/linkJobReader.ts
+++ b/daemons/fleet/src/linkJobReader.ts
@@ -10,12 +10,12 @@
 import type { LinkEndpoint } from "@knapweedwood/links.calls/linkEndpoint";
 import { singleFrame } from "@knapweedwood/links.calls/singleFrame";
 
-/** Time for a call beyond its wait, in milliseconds. */
+/** Time added to the wait of a call before it times out, in milliseconds. */
 const CALL_SLACK_MS = 700;
-/** Longest wait for a result; callers leave somewhat later. */
+/** Maximum wait for a result, in milliseconds. Shorter than the timeout of callers. */
 const MAX_WAIT_MS = 900;
 
-/** Reads jobs from the process that runs them, over a link. */
+/** Reads jobs from the leader, over a link. Rejects with `JOBS_NOT_LED` if there is no known leader. */
 export class LinkJobReader implements JobReader {
     private readonly endpoint: LinkEndpoint;
     private readonly leader: () => HostPort | undefined;
@@ -40,7 +40,7 @@
     private link(): Link {
         const leader = this.leader();
         if (leader === undefined) {
-            throw new KnapweedError("JOBS_NOT_LED", "No process runs jobs now", { outcome: "not-run" });
+            throw new KnapweedError("JOBS_NOT_LED", "No runner is known to be the leader", { outcome: "not-run" });
         }
         return this.endpoint.connect(`${leader.host}:${leader.port}`);
     }
--- a/daemons/fleet/src/metricsServer.ts
+++ b/daemons/fleet/src/metricsServer.ts
@@ -2,13 +2,13 @@
 import { createServer, type Server } from "node:http";
 import { monitorEventLoopDelay } from "node:perf_hooks";
 
-/** Port and path, as the deploy file names them. */
+/** Port and path must match the deployment file. */
 const PORT = 9464;
 const PATH = "/metrics";
 const EVENT_LOOP_RESOLUTION_MS = 20;
 const NS_PER_MS = 1e6;
 
-/** Serves the metrics of this process as text. */
+/** Serves the metrics of this process over HTTP in the text format 0.0.4. */
 export class MetricsServer {
     private readonly metrics: PageMetrics;
     private readonly host: string;
@@ -30,6 +30,7 @@
         });
     }
 
+    /** Starts to serve metrics. Rejects if the port can't be opened. */
     async listen(): Promise<void> {
         this.eventLoopDelay.enable();
         await new Promise<void>((resolve, reject) => {
--- a/daemons/fleet/src/operatorsFollower.ts
+++ b/daemons/fleet/src/operatorsFollower.ts
@@ -9,13 +9,13 @@
 
 interface OperatorsFollowerOptions extends FollowerContext {
     instanceName: InstanceName;
-    /** Called when a newer configuration is in force. */
+    /** Called when a newer configuration has become active. */
     onConfiguration: () => void;
-    /** Called when the operators want this instance emptied, perhaps more than once. */
+    /** Called when the operators request to drain this instance. May be called more than once. */
     onDrainRequested: () => void;
 }
 
-/** Follows what the operators write. */
+/** Follows the operators' entries: the configuration and drain requests. */
 export class OperatorsFollower {
     readonly configuration = new ActiveConfiguration();
     readonly mirror: PrefixMirror;
@@ -32,7 +32,7 @@
         });
     }
 
-    /** Revision of the key-value service at which the configuration in force was written. */
+    /** Revision of the key-value service at which the latest readable configuration was written; 0 before. */
     get configurationRevision(): number {
         return this.writtenRevision;
     }
--- a/daemons/fleet/src/peerFollower.ts
+++ b/daemons/fleet/src/peerFollower.ts
@@ -14,19 +14,19 @@
 import type { FollowerContext } from "./followerContext.js";
 
 const ANNOUNCE_RETRY_MS = 500;
-/** How often the entry of a process that sends reports without one is looked for, in milliseconds. */
+/** Minimum time between lookups of the entries of unknown processes that send reports, in milliseconds. */
 const LOOKUP_INTERVAL_MS = 5000;
-/** How long changes are gathered, since processes start and end in groups, in milliseconds. */
+/** Time for which changes are coalesced, in milliseconds. Processes often start and stop in groups. */
 const COALESCE_MS = 100;
 
 interface PeerFollowerOptions extends FollowerContext {
     self: MemberRecord;
     minLeaseMs: number;
-    /** Called when this process gains or loses the run of batch jobs; only where it is a runner. */
+    /** Called when this process becomes or is no longer the leader, which runs batch jobs. Only called on runners. */
     onLeadershipChanged: (isLeading: boolean) => void;
 }
 
-/** Announces this process under its lease and follows the others, the leader among them. */
+/** Writes the entry of this process under its lease, and follows the entries of the other processes and the leader. */
 export class PeerFollower {
     readonly mirror: PrefixMirror;
     readonly lease: ProcessLease;
@@ -60,27 +60,27 @@
         return fleetKeys.member(this.opts.self.instanceName);
     }
 
-    /** Where processes that place by load expect reports, shape [processes]. */
+    /** Returns the load report addresses of the peers that place requests or items by load, shape [processes]. */
     placingPeers(): HostPort[] {
         return this.others().filter(member => this.placesByLoad(member)).map(toLoadAddress);
     }
 
-    /** Where the other processes expect reports, shape [processes]. */
+    /** Returns the load report addresses of all other peers, shape [processes]. */
     nonPlacingPeers(): HostPort[] {
         return this.others().filter(member => !this.placesByLoad(member)).map(toLoadAddress);
     }
 
-    /** Processes known, this one among them. */
+    /** Number of known processes, including this one. */
     get count(): number {
         return this.list().length;
     }
 
-    /** The zone of a process; undefined where it isn't known. */
+    /** Returns the zone of a process; undefined if the process is unknown. */
     zoneOf(instanceName: InstanceName): ZoneName | undefined {
         return this.members.get(instanceName)?.zone;
     }
 
-    /** Makes sure that a process which sends reports is known: a silent watch may have missed its entry. */
+    /** Lists the entries again if a process that sends reports is unknown. A silent watch may have missed its entry. */
     lookUpIfUnknown(instanceName: InstanceName): void {
         const nowMs = this.opts.clock.nowMs();
         if (nowMs >= this.lookedUpAtMs + LOOKUP_INTERVAL_MS && this.members.get(instanceName) === undefined) {
@@ -89,19 +89,19 @@
         }
     }
 
-    /** Where runners accept links, shape [runners]. */
+    /** Returns the addresses on which runners accept links, shape [runners]. */
     runners(): HostPort[] {
         return this.list().filter(member => member.role === "runner").map(toLinkAddress);
     }
 
-    /** Where the process that runs jobs accepts links; undefined where none is known. */
+    /** Returns the address on which the leader accepts links; undefined if there is no known leader. */
     leaderAddress(): HostPort | undefined {
         const leader = this.leadership.leader;
         const member = this.list().find(candidate => candidate.instanceName === leader?.instanceName);
         return member === undefined ? undefined : toLinkAddress(member);
     }
 
-    /** Gateways place requests, the leading runner places items; the other runners stand by. */
+    /** Gateways place requests and the leader places items. The other runners are on standby. */
     private placesByLoad(member: MemberRecord): boolean {
         return member.role === "gateway" || member.instanceName === this.leadership.leader?.instanceName;
     }
@@ -119,7 +119,10 @@
         await this.opts.service.transact([], [{ kind: "put", key: this.ownKey, value, leaseId }]);
     }
 
-    /** An announcement that took effect late, under a lease that has ended since, takes the entry of the living with it. */
+    /**
+     * Writes the missing entry of this process again. A delayed write may have bound the entry to an earlier lease,
+     * whose end then removed it.
+     */
     private announceAgain(): void {
         const leaseId = this.lease.heldId;
         if (leaseId === undefined) {
--- a/daemons/fleet/src/runProgram.ts
+++ b/daemons/fleet/src/runProgram.ts
@@ -8,15 +8,18 @@
 
 const EXIT_SETTINGS = 2;
 const EXIT_FAILED = 1;
-/** The settings file may change without a signal. */
+/** Time between checks for a changed settings file, in milliseconds. It may change without a SIGHUP. */
 const SETTINGS_CHECK_INTERVAL_MS = 2000;
 
-/** A program that can be stopped. */
+/** A running program. */
 interface Program {
     stop(): Promise<void>;
 }
 
-/** Runs a program from its settings until SIGTERM, and ends the process with its outcome. */
+/**
+ * Runs a program until SIGTERM, and reloads its settings when the file changes. Exits the process with 0 after a clean
+ * stop, 2 if the settings are missing or invalid, and 1 after any other failure.
+ */
 export async function runProgram(
     name: string,
     start: (settings: ActiveSettings, logger: Logger) => Promise<Program>,
@@ -25,7 +28,7 @@
     const rootLogger = new JsonLogger({ clock: new SystemClock(), level: "info", target: output.target });
     const exit = async (code: number) => {
         if (!await output.flush()) {
-            // An ordinary exit would wait for the write that the reader doesn't take.
+            // A normal exit would block on buffered output while the reader does not consume it.
             process.kill(process.pid, "SIGKILL");
         }
         process.exit(code);
--- a/daemons/fleet/src/runnerProgram.ts
+++ b/daemons/fleet/src/runnerProgram.ts
@@ -18,7 +18,10 @@
 
 const RETRY_DELAY_MS = 200;
 
-/** The program that runs batch jobs, on one instance at a time; the others stand by and hold jobs during outages. */
+/**
+ * The runner: runs batch jobs while it is the leader. The runners on other instances are on standby. All runners hold
+ * jobs during outages of the key-value service.
+ */
 export class RunnerProgram {
     private readonly settings: ActiveSettings;
     private readonly logger: Logger;
@@ -33,7 +36,7 @@
         const settings = activeSettings.current;
         this.logger = logger;
         if (settings.dataFolder === undefined) {
-            throw new KnapweedError("SETTINGS_INVALID", "A runner needs a data folder");
+            throw new KnapweedError("SETTINGS_INVALID", "The settings of a runner must contain a data folder");
         }
         this.fleet = new FleetProcess({
             settings,
@@ -63,6 +66,7 @@
         this.handleCalls();
     }
 
+    /** Starts to follow the fleet, to serve links and to write held jobs. Rejects if a port can't be opened. */
     async start(): Promise<void> {
         await this.fleet.start();
         this.held.run(this.closing.signal).catch((thrown: unknown) => {
@@ -71,7 +75,7 @@
         });
     }
 
-    /** Hands the jobs over and ends. */
+    /** Hands over the jobs and closes. */
     async stop(): Promise<void> {
         await this.handOver();
         this.closing.abort();
@@ -84,7 +88,10 @@
         await this.fleet.peers.leadership.resign();
     }
 
-    /** Leaves nothing on this instance that is not stored elsewhere, and tells the operators. */
+    /**
+     * Hands over the jobs, waits until all data on this instance is stored elsewhere too, and reports the progress to
+     * the operators.
+     */
     private async drain(): Promise<void> {
         if (this.isDraining) {
             return;
@@ -105,7 +112,7 @@
         await this.fleet.keyValueService.transact([], [drainProgressOperation(instanceName, isDrained)]);
     }
 
-    /** Repeats a step until it succeeds. */
+    /** Retries a step until it succeeds. */
     private async retryUntilDone(step: () => Promise<void>): Promise<void> {
         for (let isDone = false; !isDone;) {
             try {
--- a/daemons/fleet/src/upstreamFollower.ts
+++ b/daemons/fleet/src/upstreamFollower.ts
@@ -13,18 +13,18 @@
 import { wireKeys } from "@knapweedwood/platform.adapter/wireKeys";
 import type { FollowerContext } from "./followerContext.js";
 
-/** How long changes are gathered, since many upstreams start, leave or lapse together, in milliseconds. */
+/** Time for which changes are coalesced, in milliseconds. Many upstreams start, leave or expire at the same time. */
 const COALESCE_MS = 200;
 
 interface UpstreamFollowerOptions extends FollowerContext {
     loadTracker: LoadTracker;
     health: UpstreamHealth;
     connections: UpstreamConnections;
-    /** Called when the set of upstreams or a state has changed. */
+    /** Called when the set of upstreams or the state of an upstream has changed. */
     onChanged: () => void;
 }
 
-/** Follows what upstreams announce of themselves. */
+/** Follows the entries of upstreams. */
 export class UpstreamFollower {
     readonly directory = new UpstreamDirectory();
     readonly mirror: PrefixMirror;
@@ -43,23 +43,26 @@
         });
     }
 
-    /** Revision of the last change that this process knows. */
+    /** Revision of the last change that this process has received; 0 before the first. */
     get changeRevision(): number {
         return this.lastChangeRevision;
     }
 
-    /** Upstreams of a service that may get online requests now, shape [upstreams]. */
+    /**
+     * Returns the upstreams of a service that may receive online requests now, shape [upstreams]: the healthy ones, or
+     * all ready ones if at least half of them are unhealthy.
+     */
     usable(service: ServiceName): Upstream[] {
         const nowMs = this.opts.clock.nowMs();
         const ready = this.directory.ready(service);
         const usable = ready.filter(({ id }) =>
             this.opts.health.isUsable(id, nowMs, this.opts.loadTracker.ownOnlineCount(id))
         );
-        // A judgement over most of a service is more likely wrong than right.
+        // Ejections of at least half of a service's upstreams are more likely wrong than right.
         return usable.length * 2 > ready.length ? usable : ready;
     }
 
-    /** Drops upstreams whose entries lapsed and did not come back. */
+    /** Removes upstreams whose entries expired and were not restored in time. */
     expire(): void {
         this.onChanges(this.directory.dropExpired(this.opts.clock.nowMs()));
     }
--- a/daemons/fleet/test/activeSettings.test.ts
+++ b/daemons/fleet/test/activeSettings.test.ts
@@ -35,12 +35,12 @@
     return { logger: { ...silentLogger, info: add, warn: add }, lines };
 }
 
-test("changed settings are in force after a reload, and a line says which wait for the next start", () => {
+test("a reload applies changed settings and logs which of them require a restart", () => {
     let text = textOf({ graceS: 8 });
     const settings = new ActiveSettings(() => text);
     const { logger, lines } = recordingLogger();
     settings.reload(logger);
-    assert.deepEqual(lines, [], "nothing has changed");
+    assert.deepEqual(lines, [], "no line without a change");
     text = textOf({ graceS: 5, zone: "other" });
     settings.reload(logger);
     assert.equal(settings.current.stopGraceMs, 5000);
@@ -48,18 +48,18 @@
     assert.deepEqual(lines, [{ event: "settings-reloaded", fields }]);
 });
 
-test("a file that can't be used, or read, changes nothing and says so", () => {
+test("a reload of an invalid or unreadable file keeps the settings and logs a warning", () => {
     let text = textOf({ graceS: 8 });
     const settings = new ActiveSettings(() => {
-        if (text === "gone") {
-            throw new Error("gone");
+        if (text === "missing") {
+            throw new Error("missing");
         }
         return text;
     });
     const { logger, lines } = recordingLogger();
     text = "nodeName = 3";
     settings.reload(logger);
-    text = "gone";
+    text = "missing";
     settings.reload(logger);
     assert.equal(settings.current.stopGraceMs, 8000);
     assert.deepEqual(lines.map(line => line.event), ["settings-kept", "settings-kept"]);
--- a/daemons/fleet/test/linkJobHolder.test.ts
+++ b/daemons/fleet/test/linkJobHolder.test.ts
@@ -10,7 +10,7 @@
 
 const request = { job: { record: { jobId: "j" } } as unknown as HeldJob, storedTokens: 0 };
 
-/** What a runner responses; a silent one never does, a dark one is out of reach. */
+/** The outcome in a runner's response. A silent runner never responds, an unreachable one can't be connected. */
 type RunnerResponse = HoldOutcome | "silent" | "unreachable";
 
 function start(responses: { [host: string]: RunnerResponse; }) {
@@ -26,7 +26,7 @@
                     await new Promise(() => undefined);
                 }
                 if (response === "unreachable") {
-                    throw new KnapweedError("LINK_CLOSED", "out of reach", { outcome: "not-run" });
+                    throw new KnapweedError("LINK_CLOSED", "The runner is unreachable", { outcome: "not-run" });
                 }
                 yield { outcome: response };
             },
@@ -51,19 +51,19 @@
     return { outcome: await pending, called };
 }
 
-test("a job over the limit is held by nobody, since the leader has the first word", async () => {
+test("a job over the limit is held by no runner, since the leader rejects it before others are called", async () => {
     assert.deepEqual(await outcomeOf({ a: "over-limit", b: "held", c: "held" }), {
         outcome: "over-limit",
         called: ["a"],
     });
 });
 
-test("a leader that doesn't answer holds nothing up", async () => {
+test("a job is held while the leader is silent or unreachable", async () => {
     assert.equal((await outcomeOf({ a: "silent", b: "held", c: "held" })).outcome, "held");
     assert.equal((await outcomeOf({ a: "unreachable", b: "held", c: "held" })).outcome, "held");
 });
 
-test("a job counts as held with enough copies, and as not held only where there can be none", async () => {
+test("the outcome is held with enough copies, and not-held only if no copy can exist", async () => {
     assert.equal((await outcomeOf({ a: "held", b: "held", c: "unreachable" })).outcome, "held");
     assert.equal((await outcomeOf({ a: "held", b: "unreachable", c: "unreachable" })).outcome, "unknown");
     assert.equal((await outcomeOf({ a: "unreachable", b: "not-held", c: "unreachable" })).outcome, "not-held");
--- a/daemons/fleet/test/peerFollower.test.ts
+++ b/daemons/fleet/test/peerFollower.test.ts
@@ -38,7 +38,7 @@
     return follower;
 }
 
-test("a process whose entry was removed although it lives announces itself again", async () => {
+test("a running process whose entry was removed writes it again", async () => {
     const clock = new ManualClock();
     const service = new MemoryKeyValueService({ clock });
     const controller = new AbortController();
@@ -48,7 +48,7 @@
     await clock.advance(1000);
     assert.deepEqual(gateway.runners(), [{ host: "runner", port: 2 }]);
 
-    // An announcement under an earlier lease took effect late, and that lease has ended.
+    // A delayed write bound the entry to an earlier lease, and the end of that lease removed it.
     await service.transact([], [{ kind: "delete", key: fleetKeys.member("runner" as InstanceName) }]);
     await clock.advance(15_000);
     assert.deepEqual(gateway.runners(), [{ host: "runner", port: 2 }]);
