--- a/daemons/fleet/src/operatorsFollower.ts
+++ b/daemons/fleet/src/operatorsFollower.ts
@@ -3,19 +3,19 @@
 import { PrefixMirror } from "@knapweedwood/fleet.sync/prefixMirror";
 import { ActiveConfiguration } from "@knapweedwood/fleet.view/activeConfiguration";
 import { decodeConfiguration } from "@knapweedwood/platform.adapter/decodeConfiguration";
-import { emptyingRequestOf } from "@knapweedwood/platform.adapter/emptyingRequestOf";
+import { parseDrainRequestKey } from "@knapweedwood/platform.adapter/parseDrainRequestKey";
 import { wireKeys } from "@knapweedwood/platform.adapter/wireKeys";
-import type { FollowerTools } from "./followerTools.js";
+import type { FollowerContext } from "./followerContext.js";
 
-interface OperatorsFollowerOptions extends FollowerTools {
+interface OperatorsFollowerOptions extends FollowerContext {
     instanceName: InstanceName;
-    /** Called when a newer configuration is in force. */
+    /** Called when a newer configuration has become active. */
     onConfiguration: () => void;
-    /** Called when the operators want this instance emptied, perhaps more than once. */
-    onEmptyingRequested: () => void;
+    /** Called when the operators request to drain this instance. May be called more than once. */
+    onDrainRequested: () => void;
 }
 
-/** Follows what the operators write. */
+/** Follows the operators' entries: the configuration and drain requests. */
 export class OperatorsFollower {
     readonly configuration = new ActiveConfiguration();
     readonly mirror: PrefixMirror;
@@ -32,7 +32,7 @@
         });
     }
 
-    /** Revision of the key-value service at which the configuration in force was written. */
+    /** Revision of the key-value service at which the latest readable configuration was written; 0 before. */
     get configurationRevision(): number {
         return this.writtenRevision;
     }
@@ -41,8 +41,8 @@
         if (entry.key === wireKeys.configuration) {
             this.onConfigurationEntry(entry);
         }
-        if (emptyingRequestOf(entry.key) === this.opts.instanceName) {
-            this.opts.onEmptyingRequested();
+        if (parseDrainRequestKey(entry.key) === this.opts.instanceName) {
+            this.opts.onDrainRequested();
         }
     }
 
--- a/daemons/fleet/test/peerFollower.test.ts
+++ b/daemons/fleet/test/peerFollower.test.ts
@@ -31,14 +31,14 @@
         watchWaitMs: () => 4000,
         self: opts.self,
         minLeaseMs: 1000,
-        onLead: () => undefined,
+        onLeadershipChanged: () => undefined,
     });
     void follower.mirror.run(opts.signal);
     void follower.lease.run(opts.signal);
     return follower;
 }
 
-test("a process whose entry was removed although it lives announces itself again", async () => {
+test("a running process whose entry was removed writes it again", async () => {
     const clock = new ManualClock();
     const service = new MemoryKeyValueService({ clock });
     const controller = new AbortController();
@@ -48,10 +48,10 @@
     await clock.advance(1000);
     assert.deepEqual(gateway.runners(), [{ host: "runner", port: 2 }]);
 
-    // An announcement under an earlier lease took effect late, and that lease has ended.
+    // A delayed write bound the entry to an earlier lease, and the end of that lease removed it.
     await service.transact([], [{ kind: "delete", key: fleetKeys.member("runner" as InstanceName) }]);
     await clock.advance(15_000);
     assert.deepEqual(gateway.runners(), [{ host: "runner", port: 2 }]);
-    assert.deepEqual(gateway.leadingRunner(), { host: "runner", port: 2 });
+    assert.deepEqual(gateway.leaderAddress(), { host: "runner", port: 2 });
     controller.abort();
 });
