--- a/bench/capacity/src/measurePlanner.ts
+++ b/bench/capacity/src/measurePlanner.ts
@@ -1,6 +1,6 @@
 import type { ServiceDefinition } from "@knapweedwood/config.configuration/serviceDefinition";
+import type { ObservedUpstream } from "@knapweedwood/placement.planner/observedUpstream";
 import { planRegion } from "@knapweedwood/placement.planner/planRegion";
-import type { UpstreamObservation } from "@knapweedwood/placement.planner/upstreamObservation";
 import type { UpstreamPlan } from "@knapweedwood/placement.planner/upstreamPlan";
 import { CpuMeter } from "./cpuMeter.js";
 import { createMeasurement } from "./createMeasurement.js";
@@ -60,7 +60,7 @@
     } as unknown as ServiceDefinition;
 }
 
-function observationOf(n: number): UpstreamObservation {
+function observationOf(n: number): ObservedUpstream {
     const model = `model-${n % MODELS}`;
     return {
         instanceId: `upstream-${n}`,
@@ -68,5 +68,5 @@
         service: `service-${n % MODELS}`,
         state: "live",
         engine: { models: [{ model, version: "1", state: "ready" }], adapters: [], role: "any", incarnation: 1 },
-    } as unknown as UpstreamObservation;
+    } as unknown as ObservedUpstream;
 }
--- a/placement/planner/src/chooseReplicas.ts
+++ b/placement/planner/src/chooseReplicas.ts
@@ -1,6 +1,6 @@
 import { rendezvousRank } from "@knapweedwood/core.hashing/rendezvousRank";
 import type { InstanceId } from "@knapweedwood/core.ids/instanceId";
-import type { UpstreamObservation } from "./upstreamObservation.js";
+import type { ObservedUpstream } from "./observedUpstream.js";
 
 /**
  * Returns at most `count` live upstreams, spread evenly over zones; shape [replicas]. Within a zone it prefers
@@ -10,10 +10,10 @@
     opts: {
         key: string;
         count: number;
-        candidates: readonly UpstreamObservation[];
+        candidates: readonly ObservedUpstream[];
         previous: ReadonlySet<InstanceId>;
     },
-): UpstreamObservation[] {
+): ObservedUpstream[] {
     const live = opts.candidates.filter(candidate => candidate.state === "live");
     const ranks = new Map(
         rendezvousRank(opts.key, live.map(candidate => candidate.instanceId)).map((
@@ -21,11 +21,11 @@
             rank,
         ) => [instanceId, rank]),
     );
-    const preference = (candidate: UpstreamObservation): number =>
+    const preference = (candidate: ObservedUpstream): number =>
         (candidate.engine === undefined ? 2 * live.length : 0)
         + (opts.previous.has(candidate.instanceId) ? 0 : live.length)
         + (ranks.get(candidate.instanceId) ?? 0);
-    const byZone = new Map<string, UpstreamObservation[]>();
+    const byZone = new Map<string, ObservedUpstream[]>();
     [...live]
         .sort((left, right) => preference(left) - preference(right))
         .forEach(candidate => byZone.set(candidate.zone, [...byZone.get(candidate.zone) ?? [], candidate]));
--- a/placement/planner/src/loadBudget.ts
+++ b/placement/planner/src/loadBudget.ts
@@ -1,12 +1,12 @@
 import type { InstanceId } from "@knapweedwood/core.ids/instanceId";
-import type { UpstreamObservation } from "./upstreamObservation.js";
+import type { ObservedUpstream } from "./observedUpstream.js";
 
 /** Limits how many upstreams load weights at once. An upstream that is already loading keeps its slot. */
 export class LoadBudget {
     private readonly loading: Set<InstanceId>;
     private readonly limit: number;
 
-    constructor(opts: { upstreams: readonly UpstreamObservation[]; limit: number; }) {
+    constructor(opts: { upstreams: readonly ObservedUpstream[]; limit: number; }) {
         this.limit = opts.limit;
         this.loading = new Set(
             opts.upstreams
--- a/placement/planner/src/upstreamObservation.ts
+++ b/placement/planner/src/observedUpstream.ts
@@ -4,7 +4,7 @@
 import type { EngineState } from "@knapweedwood/engines.model-engine/engineState";
 
 /** The observed state of one upstream, as reported by its side. */
-export interface UpstreamObservation {
+export interface ObservedUpstream {
     instanceId: InstanceId;
     zone: ZoneName;
     service: ServiceName;
--- a/placement/planner/src/planModel.ts
+++ b/placement/planner/src/planModel.ts
@@ -2,7 +2,7 @@
 import type { InstanceId } from "@knapweedwood/core.ids/instanceId";
 import type { ModelVersion } from "@knapweedwood/core.ids/modelVersion";
 import type { LoadBudget } from "./loadBudget.js";
-import type { UpstreamObservation } from "./upstreamObservation.js";
+import type { ObservedUpstream } from "./observedUpstream.js";
 
 /**
  * Returns the versions of one model that each upstream should have loaded. A new version is first loaded on one
@@ -13,8 +13,8 @@
 export function planModel(
     opts: {
         model: ModelDefinition;
-        chosen: readonly UpstreamObservation[];
-        members: readonly UpstreamObservation[];
+        chosen: readonly ObservedUpstream[];
+        members: readonly ObservedUpstream[];
         budget: LoadBudget;
     },
 ): Map<InstanceId, ModelVersion[]> {
@@ -40,28 +40,28 @@
     }));
 }
 
-function findCanary(chosen: readonly UpstreamObservation[], model: ModelDefinition): UpstreamObservation | undefined {
+function findCanary(chosen: readonly ObservedUpstream[], model: ModelDefinition): ObservedUpstream | undefined {
     return chosen.find(upstream => hasVersion(upstream, model))
         ?? chosen.find(upstream => upstream.engine !== undefined);
 }
 
-function isReady(upstream: UpstreamObservation, model: ModelDefinition): boolean {
+function isReady(upstream: ObservedUpstream, model: ModelDefinition): boolean {
     return upstream.engine?.models.some(current =>
         current.model === model.name && current.version === model.version && current.state === "ready"
     ) === true;
 }
 
-function hasVersion(upstream: UpstreamObservation, model: ModelDefinition): boolean {
+function hasVersion(upstream: ObservedUpstream, model: ModelDefinition): boolean {
     return currentVersions(upstream, model).includes(model.version);
 }
 
-function currentVersions(upstream: UpstreamObservation, model: ModelDefinition): ModelVersion[] {
+function currentVersions(upstream: ObservedUpstream, model: ModelDefinition): ModelVersion[] {
     return (upstream.engine?.models ?? [])
         .filter(current => current.model === model.name)
         .map(current => current.version);
 }
 
-function oldReadyVersions(upstream: UpstreamObservation, model: ModelDefinition): ModelVersion[] {
+function oldReadyVersions(upstream: ObservedUpstream, model: ModelDefinition): ModelVersion[] {
     return (upstream.engine?.models ?? [])
         .filter(current =>
             current.model === model.name && current.version !== model.version && current.state === "ready"
--- a/placement/planner/src/planRegion.ts
+++ b/placement/planner/src/planRegion.ts
@@ -2,10 +2,10 @@
 import type { InstanceId } from "@knapweedwood/core.ids/instanceId";
 import { chooseReplicas } from "./chooseReplicas.js";
 import { LoadBudget } from "./loadBudget.js";
+import type { ObservedUpstream } from "./observedUpstream.js";
 import { planModel } from "./planModel.js";
 import type { PlanningInput } from "./planningInput.js";
 import { planRoles } from "./planRoles.js";
-import type { UpstreamObservation } from "./upstreamObservation.js";
 import type { UpstreamPlan } from "./upstreamPlan.js";
 
 /**
@@ -61,7 +61,7 @@
 }
 
 function keptRole(
-    upstream: UpstreamObservation,
+    upstream: ObservedUpstream,
     previous: Map<InstanceId, UpstreamPlan>,
     nowMs: number,
 ): Pick<UpstreamPlan, "role" | "roleSinceMs"> {
--- a/placement/planner/src/plannerTask.ts
+++ b/placement/planner/src/plannerTask.ts
@@ -7,12 +7,12 @@
 import type { InstanceRecord } from "@knapweedwood/routing.instance-list/instanceRecord";
 import { isDeepStrictEqual } from "node:util";
 import { exchangePlanCall } from "./exchangePlanCall.js";
+import type { ObservedUpstream } from "./observedUpstream.js";
 import { PlannerLease } from "./plannerLease.js";
 import type { PlannerTaskOptions } from "./plannerTaskOptions.js";
 import { planRegion } from "./planRegion.js";
 import { PlanStore } from "./planStore.js";
 import type { RegionPlan } from "./regionPlan.js";
-import type { UpstreamObservation } from "./upstreamObservation.js";
 
 const PLANNING_INTERVAL_MS = 1_000;
 const EXCHANGE_TIMEOUT_MS = 1_000;
@@ -97,7 +97,7 @@
     }
 
     /** Sends a side its plan and returns the observed state of its upstream. */
-    private async exchange(side: InstanceRecord, plan: RegionPlan): Promise<UpstreamObservation> {
+    private async exchange(side: InstanceRecord, plan: RegionPlan): Promise<ObservedUpstream> {
         const upstream = plan.upstreams.find(planned => planned.instanceId === side.instanceId);
         const { instanceId, zone, state } = side;
         const engine = await this.callSide(side, {
--- a/placement/planner/src/planningInput.ts
+++ b/placement/planner/src/planningInput.ts
@@ -1,12 +1,12 @@
 import type { ServiceDefinition } from "@knapweedwood/config.configuration/serviceDefinition";
+import type { ObservedUpstream } from "./observedUpstream.js";
 import type { RoleDemand } from "./roleDemand.js";
-import type { UpstreamObservation } from "./upstreamObservation.js";
 import type { UpstreamPlan } from "./upstreamPlan.js";
 
 /** Input from which a plan is computed. */
 export interface PlanningInput {
     services: readonly ServiceDefinition[];
-    upstreams: readonly UpstreamObservation[];
+    upstreams: readonly ObservedUpstream[];
     previous: readonly UpstreamPlan[];
     demands: readonly RoleDemand[];
     /** Maximum number of concurrent loads in the region, as allowed by the weight store's rate. */
--- a/placement/planner/test/planRegion.test.ts
+++ b/placement/planner/test/planRegion.test.ts
@@ -3,9 +3,9 @@
 import type { EngineState } from "@knapweedwood/engines.model-engine/engineState";
 import assert from "node:assert/strict";
 import { test } from "node:test";
+import type { ObservedUpstream } from "../src/observedUpstream.js";
 import { planRegion } from "../src/planRegion.js";
 import type { RoleDemand } from "../src/roleDemand.js";
-import type { UpstreamObservation } from "../src/upstreamObservation.js";
 import type { UpstreamPlan } from "../src/upstreamPlan.js";
 
 const SERVICE = {
@@ -24,7 +24,7 @@
     badVersion: string | undefined;
     nowMs = 0;
     plans: UpstreamPlan[] = [];
-    upstreams: UpstreamObservation[];
+    upstreams: ObservedUpstream[];
 
     constructor(count: number) {
         this.upstreams = Array.from({ length: count }, (_, n) => ({
@@ -61,7 +61,7 @@
         });
     }
 
-    upstreamsWith(version: string, state?: string): UpstreamObservation[] {
+    upstreamsWith(version: string, state?: string): ObservedUpstream[] {
         return this.upstreams.filter(({ engine }) =>
             engine?.models.some(loaded => loaded.version === version && (state === undefined || loaded.state === state))
         );
