--- a/placement/orders/test/engineReconciler.test.ts
+++ b/placement/orders/test/engineReconciler.test.ts
@@ -64,10 +64,10 @@
     }
 }
 
-async function reconcile(engine: TestEngine, side: EngineReconciler): Promise<void> {
+async function reconcile(engine: TestEngine, reconciler: EngineReconciler): Promise<void> {
     for (let round = 0; round < 5; round += 1) {
-        side.recheck();
-        await side.run();
+        reconciler.recheck();
+        await reconciler.run();
         await engine.clock.advance(1);
     }
 }
@@ -106,40 +106,40 @@
 async function runEvents(events: string[], checksFencing: boolean): Promise<void> {
     const engine = new TestEngine({ checksFencing });
     const create = () => new EngineReconciler({ engine, clock: engine.clock });
-    const side = create();
+    const reconciler = create();
     // A side process that was paused just before it sent its order, while a new process replaced it.
-    const oldSide = create();
-    oldSide.receive(plan(1, 1, "old"), 0);
-    await oldSide.step();
-    await oldSide.step();
+    const pausedReconciler = create();
+    pausedReconciler.receive(plan(1, 1, "old"), 0);
+    await pausedReconciler.step();
+    await pausedReconciler.step();
     let hasSecondArrived = false;
     for (const event of events) {
         const before = engine.accepted.length;
         switch (event) {
             case "first-plans":
             case "first-repeats":
-                side.receive(plan(1, 1, "old"), 0);
+                reconciler.receive(plan(1, 1, "old"), 0);
                 break;
             case "first-plans-again":
-                side.receive(plan(1, 2, "older"), 0);
+                reconciler.receive(plan(1, 2, "older"), 0);
                 break;
             case "second-plans":
             case "second-repeats":
                 hasSecondArrived = true;
-                side.receive(plan(2, 1, "new"), 0);
+                reconciler.receive(plan(2, 1, "new"), 0);
                 break;
             case "step":
-                await side.step();
+                await reconciler.step();
                 break;
             case "old-side-step":
-                await oldSide.step();
+                await pausedReconciler.step();
                 break;
         }
         if (event === "step" && hasSecondArrived) {
             engine.accepted.slice(before).forEach(order => assert.equal(order.fencingNumber, 2, events.join(" ")));
         }
     }
-    await reconcile(engine, side);
+    await reconcile(engine, reconciler);
     assert.deepEqual(engine.versions(), ["new"], events.join(" "));
     if (checksFencing) {
         const numbers = engine.accepted.map(order => order.fencingNumber as number);
@@ -149,39 +149,39 @@
 
 test("no order is sent after the plan's validity has expired without a confirmation", async () => {
     const engine = new TestEngine({ checksFencing: false });
-    const side = new EngineReconciler({ engine, clock: engine.clock });
-    side.receive(plan(1, 1, "1"), engine.clock.nowMs());
-    await side.step();
+    const reconciler = new EngineReconciler({ engine, clock: engine.clock });
+    reconciler.receive(plan(1, 1, "1"), engine.clock.nowMs());
+    await reconciler.step();
     await engine.clock.advance(8_000);
-    await side.run();
-    assert.deepEqual([engine.accepted, side.state], [[], "waiting"]);
-    side.receive(plan(1, 1, "1"), engine.clock.nowMs());
-    await reconcile(engine, side);
+    await reconciler.run();
+    assert.deepEqual([engine.accepted, reconciler.state], [[], "waiting"]);
+    reconciler.receive(plan(1, 1, "1"), engine.clock.nowMs());
+    await reconcile(engine, reconciler);
     assert.deepEqual(engine.versions(), ["1"]);
 });
 
 test("an engine that was changed manually is reconciled with the plan again", async () => {
     const engine = new TestEngine({ checksFencing: false });
-    const side = new EngineReconciler({ engine, clock: engine.clock });
-    side.receive(plan(1, 1, "1"), 0);
-    await reconcile(engine, side);
+    const reconciler = new EngineReconciler({ engine, clock: engine.clock });
+    reconciler.receive(plan(1, 1, "1"), 0);
+    await reconcile(engine, reconciler);
     engine.loadedModels.accept({
         fencingNumber: 0 as FencingNumber,
         action: { kind: "load-model", model, version: "by-hand" as ModelVersion },
     });
-    await reconcile(engine, side);
+    await reconcile(engine, reconciler);
     assert.deepEqual(engine.versions(), ["1"]);
 });
 
 test("the old version is unloaded only after the new one is ready", async () => {
     const engine = new TestEngine({ checksFencing: true });
-    const side = new EngineReconciler({ engine, clock: engine.clock });
-    side.receive(plan(1, 1, "1"), 0);
-    await reconcile(engine, side);
-    side.receive(plan(1, 2, "2"), 0);
-    await side.run();
+    const reconciler = new EngineReconciler({ engine, clock: engine.clock });
+    reconciler.receive(plan(1, 1, "1"), 0);
+    await reconcile(engine, reconciler);
+    reconciler.receive(plan(1, 2, "2"), 0);
+    await reconciler.run();
     assert.deepEqual(engine.versions(), ["1", "2"]);
-    await reconcile(engine, side);
+    await reconcile(engine, reconciler);
     assert.deepEqual(engine.versions(), ["2"]);
 });
 
