--- a/admission/gate/src/batchExecutor.ts
+++ b/admission/gate/src/batchExecutor.ts
@@ -189,7 +189,7 @@
             isReachable && failureClassifier.isInstanceSuspect
             && await this.engineProbe.isServing(tracked.item.body["model"])
         ) {
-            failureClassifier.requestStarted();
+            failureClassifier.engineResponded();
         }
         const outcome = failureClassifier.classify(failure.error, isReachable);
         if (outcome.kind === "failed" && outcome.blame === "instance") {
--- a/admission/gate/src/engineLoadPoller.ts
+++ b/admission/gate/src/engineLoadPoller.ts
@@ -52,8 +52,8 @@
             last.count = Math.max(last.count, this.ownSequences());
             return;
         }
-        const firstRecent = this.recentCounts.findLastIndex(({ atMs }) => atMs < nowMs - MAX_REPORT_AGE_MS);
-        this.recentCounts.splice(0, Math.max(0, firstRecent));
+        const firstKept = this.recentCounts.findLastIndex(({ atMs }) => atMs < nowMs - MAX_REPORT_AGE_MS);
+        this.recentCounts.splice(0, Math.max(0, firstKept));
         this.recentCounts.push({ atMs: nowMs, count: this.ownSequences() });
     }
 
--- a/admission/gate/src/prefixIndex.ts
+++ b/admission/gate/src/enginePrefixIndex.ts
@@ -4,7 +4,7 @@
 const MAX_BLOCKS = 32_768;
 
 /** Approximate index of the prompt prefixes in an engine's cache, built from the prompts sent to it. */
-export class PrefixIndex {
+export class EnginePrefixIndex {
     private readonly blocks = new Set<number>();
 
     /** Returns the number of leading characters of a prompt that are expected in the engine's cache. */
--- a/admission/gate/src/failureClassifier.ts
+++ b/admission/gate/src/failureClassifier.ts
@@ -11,7 +11,7 @@
     private consecutiveFailures = 0;
 
     /** Records that the engine produced the first token of a request, or passed a probe. */
-    requestStarted(): void {
+    engineResponded(): void {
         this.consecutiveFailures = 0;
     }
 
--- a/admission/gate/src/gate.ts
+++ b/admission/gate/src/gate.ts
@@ -64,7 +64,7 @@
             estimator: this.estimator,
             objectiveMs: () => this.objective.tokenGapObjectiveMs,
             onFirstToken: () => {
-                this.failureClassifier.requestStarted();
+                this.failureClassifier.engineResponded();
                 this.scheduleDecision();
             },
         });
--- a/admission/gate/src/onlineFirstPolicy.ts
+++ b/admission/gate/src/onlineFirstPolicy.ts
@@ -7,7 +7,7 @@
 /** Due times are compared in buckets of this length. Items in one bucket are equally urgent. */
 const DUE_GRANULARITY_MS = 60_000;
 /** After this wait at the gate, an item is started even if its prefill exceeds the capacity of a step. */
-const MAX_WAIT_MS = 5000;
+const OVERSIZED_ITEM_WAIT_MS = 5000;
 /** Items kept waiting in advance, as a share of the running ones. */
 const PREFETCH_SHARE = 0.25;
 const MIN_PREFETCHED = 2;
@@ -49,7 +49,9 @@
             return started;
         }
         return candidates
-            .filter(item => state.nowMs - item.waitingSinceMs > MAX_WAIT_MS && capacity.tryReserveOversized(item))
+            .filter(item =>
+                state.nowMs - item.waitingSinceMs > OVERSIZED_ITEM_WAIT_MS && capacity.tryReserveOversized(item)
+            )
             .slice(0, 1);
     }
 
--- a/admission/gate/src/onlineQueue.ts
+++ b/admission/gate/src/onlineQueue.ts
@@ -2,7 +2,7 @@
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 import type { ActiveStream } from "./activeStream.js";
 import type { WorkSize } from "./gateState.js";
-import type { OnlineCall } from "./onlineCall.js";
+import type { QueuedOnlineCall } from "./queuedOnlineCall.js";
 
 const MIN_RETRY_AFTER_MS = 100;
 const DURATION_SMOOTHING = 0.1;
@@ -15,7 +15,7 @@
 export class OnlineQueue {
     private readonly clock: Clock;
     private readonly maxWaiting: number;
-    private calls: OnlineCall[] = [];
+    private calls: QueuedOnlineCall[] = [];
     private meanDurationMs = INITIAL_DURATION_MS;
 
     constructor(opts: { clock: Clock; maxWaiting: number; }) {
@@ -24,7 +24,7 @@
     }
 
     /** The waiting calls, oldest first. */
-    get waiting(): readonly OnlineCall[] {
+    get waiting(): readonly QueuedOnlineCall[] {
         return this.calls;
     }
 
@@ -68,7 +68,7 @@
         this.meanDurationMs += DURATION_SMOOTHING * (durationMs - this.meanDurationMs);
     }
 
-    private addWaiting(call: OnlineCall, signal: AbortSignal): void {
+    private addWaiting(call: QueuedOnlineCall, signal: AbortSignal): void {
         const removeAndReject = (error: KnapweedError) => {
             this.calls = this.calls.filter(other => other !== call);
             call.reject(error);
--- a/admission/gate/src/onlineCall.ts
+++ b/admission/gate/src/queuedOnlineCall.ts
@@ -2,7 +2,7 @@
 import type { WorkSize } from "./gateState.js";
 
 /** An online call that waits at the gate. */
-export interface OnlineCall {
+export interface QueuedOnlineCall {
     size: WorkSize;
     arrivedAtMs: number;
     deadlineMs: number | undefined;
--- a/admission/gate/src/workEstimator.ts
+++ b/admission/gate/src/workEstimator.ts
@@ -1,8 +1,8 @@
 import type { GenerateRequest } from "@knapweedwood/engines.model-engine/generateRequest";
 import { promptTextOf } from "@knapweedwood/engines.model-engine/promptTextOf";
 import type { Usage } from "@knapweedwood/engines.model-engine/usage";
+import { EnginePrefixIndex } from "./enginePrefixIndex.js";
 import type { WorkSize } from "./gateState.js";
-import { PrefixIndex } from "./prefixIndex.js";
 
 const INITIAL_CHARACTERS_PER_TOKEN = 4;
 const INITIAL_COMPLETION_TOKENS = 64;
@@ -12,7 +12,7 @@
 
 /** Estimates the resources that requests need in the engine, and adapts to the usage of finished requests. */
 export class WorkEstimator {
-    private readonly prefixes = new PrefixIndex();
+    private readonly prefixes = new EnginePrefixIndex();
     private charactersPerToken = INITIAL_CHARACTERS_PER_TOKEN;
     private meanCompletionTokens = INITIAL_COMPLETION_TOKENS;
     /** Share of the prefix tokens expected in the cache that were found there. */
--- a/admission/gate/test/gateFuzz.test.ts
+++ b/admission/gate/test/gateFuzz.test.ts
@@ -100,7 +100,7 @@
 
 function createItem(index: number): BatchItem {
     const jobId = JOBS[index % JOBS.length] as JobId;
-    const poison = index % 17 === 4 ? "[never-completes]" : index % 19 === 5 ? "[malformed]" : "";
+    const promptMarker = index % 17 === 4 ? "[never-completes]" : index % 19 === 5 ? "[malformed]" : "";
     return {
         jobId,
         itemIndex: index as ItemIndex,
@@ -110,7 +110,7 @@
         endpoint: index % 11 === 3 ? "/v1/embeddings" : "/v1/completions",
         body: {
             model: "m",
-            prompt: `Shared instructions. ${"x".repeat(index % 5 * 150)} ${index} ${poison}`,
+            prompt: `Shared instructions. ${"x".repeat(index % 5 * 150)} ${index} ${promptMarker}`,
             max_tokens: 3 + index % 20,
             input: `input ${index}`,
             user: jobId,
