--- a/routing/choice/src/affinityChooser.ts
+++ b/routing/choice/src/affinityChooser.ts
@@ -151,10 +151,13 @@
             return undefined;
         }
         return withinBound
-            .map(entry => ({ entry, match: this.prefixIndex.matchOf(entry.candidate.instanceId, promptBlocks) }))
+            .map(upstream => ({
+                upstream,
+                match: this.prefixIndex.matchOf(upstream.candidate.instanceId, promptBlocks),
+            }))
             .filter(({ match }) => match > 0)
-            .sort((left, right) => right.match - left.match || left.entry.load - right.entry.load)
-            .at(0)?.entry;
+            .sort((left, right) => right.match - left.match || left.upstream.load - right.upstream.load)
+            .at(0)?.upstream;
     }
 
     private loadOf(candidate: UpstreamCandidate, nowMs: number): WeightedLoad {
@@ -169,7 +172,7 @@
     if (key === undefined) {
         return undefined;
     }
-    const byId = new Map(loads.map(entry => [entry.candidate.instanceId, entry]));
+    const byId = new Map(loads.map(upstream => [upstream.candidate.instanceId, upstream]));
     return rendezvousRank(key, [...byId.keys()]).map(id => byId.get(id)!).find(({ load }) => load <= bound);
 }
 
--- a/routing/choice/src/upstreamHealth.ts
+++ b/routing/choice/src/ejectionRecord.ts
@@ -1,5 +1,5 @@
 /** State that the ejector keeps for an upstream. */
-export interface UpstreamHealth {
+export interface EjectionRecord {
     consecutiveFailures: number;
     /** Smoothed share of failures, in [0, 1]. */
     failureShare: number;
--- a/routing/choice/src/outlierEjector.ts
+++ b/routing/choice/src/outlierEjector.ts
@@ -1,6 +1,6 @@
 import type { InstanceId } from "@knapweedwood/core.ids/instanceId";
 import type { EjectionLimits } from "./ejectionLimits.js";
-import type { UpstreamHealth } from "./upstreamHealth.js";
+import type { EjectionRecord } from "./ejectionRecord.js";
 import type { UpstreamObservation } from "./upstreamObservation.js";
 
 interface OutlierEjectorOptions {
@@ -15,41 +15,41 @@
 /** Ejects upstreams that fail or are slow compared with their peers. */
 export class OutlierEjector {
     private readonly opts: OutlierEjectorOptions;
-    private readonly healthById = new Map<InstanceId, UpstreamHealth>();
+    private readonly recordById = new Map<InstanceId, EjectionRecord>();
 
     constructor(opts: OutlierEjectorOptions) {
         this.opts = opts;
     }
 
     isEjected(instanceId: InstanceId, nowMs: number): boolean {
-        return (this.healthById.get(instanceId)?.ejectedUntilMs ?? 0) > nowMs;
+        return (this.recordById.get(instanceId)?.ejectedUntilMs ?? 0) > nowMs;
     }
 
     /** Removes upstreams that are no longer listed. */
     retain(instanceIds: readonly InstanceId[]): void {
         const present = new Set(instanceIds);
-        [...this.healthById.keys()]
+        [...this.recordById.keys()]
             .filter(instanceId => !present.has(instanceId))
-            .forEach(instanceId => this.healthById.delete(instanceId));
+            .forEach(instanceId => this.recordById.delete(instanceId));
     }
 
     observe(observation: UpstreamObservation): void {
         if (observation.kind === "abandoned") {
             return;
         }
-        const health = this.update(observation);
-        if (!this.isEjected(observation.instanceId, observation.nowMs) && this.isOutlier(observation, health)) {
-            this.eject(observation, health);
+        const record = this.update(observation);
+        if (!this.isEjected(observation.instanceId, observation.nowMs) && this.isOutlier(observation, record)) {
+            this.eject(observation, record);
         }
     }
 
-    private update(observation: UpstreamObservation): UpstreamHealth {
-        const previous = this.healthById.get(observation.instanceId);
+    private update(observation: UpstreamObservation): EjectionRecord {
+        const previous = this.recordById.get(observation.instanceId);
         const isFailure = observation.kind === "failure";
         const durationMs = previous === undefined || previous.observationCount === 0
             ? observation.durationMs
             : smooth(previous.durationMs, observation.durationMs);
-        const health: UpstreamHealth = {
+        const record: EjectionRecord = {
             consecutiveFailures: isFailure ? (previous?.consecutiveFailures ?? 0) + 1 : 0,
             failureShare: smooth(previous?.failureShare ?? 0, observation.kind === "success" ? 0 : 1),
             durationMs: isFailure ? previous?.durationMs ?? observation.durationMs : durationMs,
@@ -57,24 +57,24 @@
             ejectedUntilMs: previous?.ejectedUntilMs ?? 0,
             ejectionCount: previous?.ejectionCount ?? 0,
         };
-        this.healthById.set(observation.instanceId, health);
-        return health;
+        this.recordById.set(observation.instanceId, record);
+        return record;
     }
 
-    private isOutlier({ instanceId, kind }: UpstreamObservation, health: UpstreamHealth): boolean {
+    private isOutlier({ instanceId, kind }: UpstreamObservation, record: EjectionRecord): boolean {
         const { limits } = this.opts;
-        if (health.consecutiveFailures >= limits.consecutiveFailures) {
+        if (record.consecutiveFailures >= limits.consecutiveFailures) {
             return true;
         }
-        if (health.observationCount < limits.minimumObservations) {
+        if (record.observationCount < limits.minimumObservations) {
             return false;
         }
-        return kind !== "success" && health.failureShare >= limits.failureShare || this.isSlow(instanceId, health);
+        return kind !== "success" && record.failureShare >= limits.failureShare || this.isSlow(instanceId, record);
     }
 
-    private isSlow(instanceId: InstanceId, health: UpstreamHealth): boolean {
+    private isSlow(instanceId: InstanceId, record: EjectionRecord): boolean {
         const { limits } = this.opts;
-        const peerDurationsMs = [...this.healthById]
+        const peerDurationsMs = [...this.recordById]
             .filter(([peerId, peer]) => peerId !== instanceId && peer.observationCount >= limits.minimumObservations)
             .map(([, peer]) => peer.durationMs)
             .sort((left, right) => left - right);
@@ -82,19 +82,19 @@
             return false;
         }
         const medianMs = peerDurationsMs[Math.floor(peerDurationsMs.length / 2)];
-        return health.durationMs > medianMs * limits.slowFactor;
+        return record.durationMs > medianMs * limits.slowFactor;
     }
 
-    private eject({ instanceId, nowMs }: UpstreamObservation, health: UpstreamHealth): void {
+    private eject({ instanceId, nowMs }: UpstreamObservation, record: EjectionRecord): void {
         const { limits, onEjected } = this.opts;
-        const ejectedCount = [...this.healthById.keys()].filter(other => this.isEjected(other, nowMs)).length;
-        if (ejectedCount + 1 > this.healthById.size * limits.maxEjectedShare) {
+        const ejectedCount = [...this.recordById.keys()].filter(other => this.isEjected(other, nowMs)).length;
+        if (ejectedCount + 1 > this.recordById.size * limits.maxEjectedShare) {
             return;
         }
-        const isRepeated = nowMs - health.ejectedUntilMs < limits.maxMs;
-        const ejectionCount = isRepeated ? health.ejectionCount + 1 : 1;
+        const isRepeated = nowMs - record.ejectedUntilMs < limits.maxMs;
+        const ejectionCount = isRepeated ? record.ejectionCount + 1 : 1;
         const durationMs = Math.min(limits.maxMs, limits.baseMs * 2 ** (ejectionCount - 1));
-        this.healthById.set(instanceId, {
+        this.recordById.set(instanceId, {
             consecutiveFailures: 0,
             failureShare: 0,
             durationMs: 0,
--- a/routing/choice/src/slowStart.ts
+++ b/routing/choice/src/slowStart.ts
@@ -31,9 +31,9 @@
         this.hasListedUpstreams ||= instanceIds.length > 0;
     }
 
-    /** Restarts the ramp of an upstream that returns, at `nowMs`. */
-    restart(instanceId: InstanceId, nowMs: number): void {
-        this.startedAtMs.set(instanceId, nowMs);
+    /** Restarts the ramp of an upstream that returns at `startsAtMs`. */
+    restart(instanceId: InstanceId, startsAtMs: number): void {
+        this.startedAtMs.set(instanceId, startsAtMs);
     }
 
     /** Returns the share of the full weight, in (0, 1]. */
