--- a/routing/limits/src/gradientConcurrencyLimit.ts
+++ b/routing/limits/src/gradientConcurrencyLimit.ts
@@ -55,13 +55,13 @@
     }
 
     release({ durationMs, kind }: { durationMs: number; kind: "success" | "dropped" | "ignored"; }): void {
-        const isDraining = this.inFlightCount > this.limit;
+        const isOverLimit = this.inFlightCount > this.limit;
         this.inFlightCount = Math.max(0, this.inFlightCount - 1);
         if (kind === "dropped") {
             this.setLimit(this.estimatedLimit * DROP_FACTOR);
             this.windowDurationsMs = [];
         }
-        else if (kind === "success" && !isDraining) {
+        else if (kind === "success" && !isOverLimit) {
             this.windowDurationsMs.push(durationMs);
         }
         if (this.windowDurationsMs.length >= this.opts.windowSize) {
