--- a/admission/gate/src/batchCapacity.ts
+++ b/admission/gate/src/batchCapacity.ts
@@ -3,7 +3,7 @@
 import type { GateState, RunningBatchItem, WorkSize } from "./gateState.js";
 
 const MS_PER_SECOND = 1000;
-/** Number of steps whose expected arrivals are reserved: a cancelled stream keeps its slot for that long. */
+/** Number of steps for whose expected arrivals slots are reserved. A cancelled stream keeps its slot for that long. */
 const HEADROOM_STEPS = 1;
 /** Standard deviations that are reserved on top of the expected arrivals. */
 const HEADROOM_DEVIATIONS = 1;
@@ -53,7 +53,7 @@
             || (this.blockingPrefills > 0 && this.onlinePrefillTokens > 0);
     }
 
-    /** Whether the prefill of an item takes several steps, in which it delays all later prefills. */
+    /** Whether the unfinished prefill of an item takes several steps. It delays all later prefills meanwhile. */
     isBlocking(item: RunningBatchItem): boolean {
         return (item.isPrefilling || item.isPending) && this.isOversized(item);
     }
@@ -65,7 +65,7 @@
         return Math.max(0, Math.floor(Math.min(this.freeSlots, byStep)));
     }
 
-    /** Releases the capacity of a cancelled item. @returns true */
+    /** Releases the capacity of an item that is to be cancelled. @returns true, so that it can be used in a filter */
     release(item: RunningBatchItem): boolean {
         this.blockingPrefills -= this.isBlocking(item) ? 1 : 0;
         this.batchSequences -= 1;
--- a/admission/gate/src/batchExecutor.ts
+++ b/admission/gate/src/batchExecutor.ts
@@ -21,7 +21,7 @@
 import type { TrackedItem } from "./trackedItem.js";
 import type { WorkEstimator } from "./workEstimator.js";
 
-/** Items that have waited longer than this are returned, so that other instances can run them. */
+/** Items that have waited longer than this are returned to their owners, so that other instances can run them. */
 const MAX_WAIT_MS = 10_000;
 const OK = 200;
 
@@ -45,7 +45,7 @@
         return [...this.trackedItems.values()];
     }
 
-    /** Accepts pulled items. Items of cancelled jobs are returned at once. @returns the number of items kept */
+    /** Accepts pulled items. Returns those of cancelled jobs to their owners. @returns the number of items kept */
     add(items: BatchItem[]): number {
         const added = items.map(item => this.track(item));
         const unwanted = added.filter(tracked => this.cancelledJobs.has(tracked.item.jobId));
@@ -71,13 +71,16 @@
         }
     }
 
-    /** Stops and returns all items of a job. Its items that arrive later are returned without running. */
+    /**
+     * Stops all items of a job and returns them to their owners. Its items that arrive later are returned without
+     * running.
+     */
     cancelJob(jobId: JobId): void {
         this.cancelledJobs.add(jobId);
         this.stopOrReturn(this.items.filter(tracked => tracked.item.jobId === jobId), "cancelled");
     }
 
-    /** Returns items that have waited for longer than `MAX_WAIT_MS`. */
+    /** Returns items to their owners once they have waited for longer than `MAX_WAIT_MS`. */
     returnStale(): void {
         const nowMs = this.opts.clock.nowMs();
         this.items
@@ -85,7 +88,7 @@
             .forEach(tracked => this.returnItem(tracked));
     }
 
-    /** Stops all items and returns them with their output so far. */
+    /** Stops all items and returns them to their owners with their output so far. */
     leave(): void {
         this.stopOrReturn(this.items, "leaving");
     }
@@ -199,7 +202,7 @@
         this.finish(tracked, outcome);
     }
 
-    /** Keeps the output of a cancelled stream. Returns the item unless it was preempted. */
+    /** Keeps the output of a cancelled stream. Returns the item to its owner unless it was preempted. */
     private handleStopped(tracked: TrackedItem, run: BatchRun, generation: GenerationRun | undefined): void {
         const resumeFrom = generation?.resumePoint() ?? tracked.resumeFrom;
         const producedTokens = generation?.tokenCount ?? 0;
--- a/admission/gate/src/engineLoadPoller.ts
+++ b/admission/gate/src/engineLoadPoller.ts
@@ -37,7 +37,10 @@
         };
     }
 
-    /** Reported sequences beyond the maximum that this gate had in the engine while the report may have been made. */
+    /**
+     * Estimated number of sequences in the engine that did not come through this gate. The report lags, so the highest
+     * count that this gate recorded within `MAX_REPORT_AGE_MS` is subtracted from it.
+     */
     get externalSequences(): number {
         const reported = (this.report?.runningSequences ?? 0) + (this.report?.waitingSequences ?? 0);
         const own = this.recentCounts.reduce((most, { count }) => Math.max(most, count), this.ownSequences());
--- a/admission/gate/src/engineStreams.ts
+++ b/admission/gate/src/engineStreams.ts
@@ -34,6 +34,7 @@
         });
     }
 
+    /** Current estimate of the engine's step costs. */
     get costs(): StepCosts {
         return this.model.costs;
     }
@@ -53,12 +54,14 @@
         return this.observer.stretchedGapShare;
     }
 
+    /** Adds the stream of a request that is sent to the engine now. */
     open(kind: ActiveStream["kind"], size: WorkSize): ActiveStream {
         const stream: ActiveStream = { kind, ...size, startedAtMs: this.clock.nowMs(), hasFirstToken: false };
         this.active.add(stream);
         return stream;
     }
 
+    /** Removes a stream that has ended. Has no effect if it was removed before. */
     close(stream: ActiveStream): void {
         this.active.delete(stream);
     }
@@ -83,6 +86,7 @@
         return !stream.hasFirstToken && stream.startedAtMs >= (this.observer.lastStepEndMs ?? 0);
     }
 
+    /** Returns the open streams of one kind, shape [streams]. */
     ofKind(kind: ActiveStream["kind"]): ActiveStream[] {
         return [...this.active].filter(stream => stream.kind === kind);
     }
--- a/admission/gate/src/failureClassifier.ts
+++ b/admission/gate/src/failureClassifier.ts
@@ -1,7 +1,7 @@
 import type { BatchResult } from "@knapweedwood/batch.items/batchResult";
 import type { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 
-/** The instance is suspected after this many consecutive failures without another request that began in between. */
+/** The instance is suspected after this many consecutive failures without a first token of any request in between. */
 const SUSPECT_FAILURE_COUNT = 3;
 
 type FailedOutcome = Extract<BatchResult["outcome"], { kind: "failed" | "rejected"; }>;
--- a/admission/gate/src/gate.ts
+++ b/admission/gate/src/gate.ts
@@ -32,7 +32,10 @@
 const DEFAULT_MAX_ONLINE_WAITING = 256;
 const DEFAULT_OBJECTIVE: GateObjective = { tokenGapObjectiveMs: 50, batchBalance: 0.9 };
 
-/** The only gate in front of a model engine. Admits online calls first; batch items use the remaining capacity. */
+/**
+ * Controls admission to one model engine, which has no other gate. Admits online calls first; batch items use the
+ * remaining capacity.
+ */
 export class Gate {
     private readonly opts: GateOptions;
     private readonly clock: Clock;
@@ -152,7 +155,7 @@
         this.scheduleDecision();
     }
 
-    /** Rejects new online calls and returns all batch items. Resolves when their owners have accepted them. */
+    /** Rejects new online calls and returns all batch items to their owners. Resolves when these have accepted them. */
     async leave(): Promise<void> {
         this.isLeaving = true;
         this.batch?.leave();
--- a/admission/gate/src/gateObjective.ts
+++ b/admission/gate/src/gateObjective.ts
@@ -1,6 +1,6 @@
 /** Objective of a gate, set by the operator. */
 export interface GateObjective {
-    /** Step duration that keeps the gap between tokens within the objective, in milliseconds. */
+    /** Longest step duration at which the gap between tokens meets the objective, in milliseconds. */
     tokenGapObjectiveMs: number;
     /**
      * Share of the range from the step duration of a single sequence to the objective that batch work may fill, in
--- a/admission/gate/src/stepObserver.ts
+++ b/admission/gate/src/stepObserver.ts
@@ -107,6 +107,7 @@
     }
 }
 
+/** Whether a stream received a token from both steps. Otherwise the engine may have been idle in between. */
 function isContiguous(previous: ObservedStep, current: ObservedStep): boolean {
     return [...current.streams.keys()].some(stream => previous.streams.has(stream));
 }
--- a/admission/gate/src/trackedItem.ts
+++ b/admission/gate/src/trackedItem.ts
@@ -9,7 +9,9 @@
     key: BatchKey;
     item: BatchItem;
     size: WorkSize;
+    /** Output of earlier streams, from which the next one resumes; undefined to start from the prompt. */
     resumeFrom: ResumePoint | undefined;
+    /** Whether an earlier stream of it at this gate was cancelled after the first token. */
     isResumed: boolean;
     waitingSinceMs: number;
     /** Undefined while the item waits. */
--- a/admission/gate/test/gateFuzz.test.ts
+++ b/admission/gate/test/gateFuzz.test.ts
@@ -60,7 +60,7 @@
     }
 }
 
-/** Hands out the items of three jobs, a few of which can't complete, and records the reported results. */
+/** Hands out items of three jobs and records the reported results. A few of the items can't complete. */
 class GeneratedSource implements BatchSource {
     readonly pulled = new Map<string, BatchItem>();
     readonly reported = new Map<string, BatchResult[]>();
