--- a/routing/choice/src/ejectionLimits.ts
+++ b/routing/choice/src/ejectionLimits.ts
@@ -2,7 +2,7 @@
 export interface EjectionLimits {
     /** Number of consecutive failures that causes an ejection. */
     consecutiveFailures: number;
-    /** Smoothed share of failures that causes an ejection, in [0, 1]. */
+    /** Smoothed share of failed and slow requests that causes an ejection, in [0, 1]. */
     failureShare: number;
     /** Ratio of the upstream's smoothed duration to the median of its peers that causes an ejection. */
     slowFactor: number;
--- a/routing/choice/src/outlierEjector.ts
+++ b/routing/choice/src/outlierEjector.ts
@@ -21,6 +21,7 @@
         this.opts = opts;
     }
 
+    /** Returns whether an upstream is ejected at `nowMs`. */
     isEjected(instanceId: InstanceId, nowMs: number): boolean {
         return (this.recordById.get(instanceId)?.ejectedUntilMs ?? 0) > nowMs;
     }
@@ -33,6 +34,7 @@
             .forEach(instanceId => this.recordById.delete(instanceId));
     }
 
+    /** Records the result of a request and ejects the upstream if it is now an outlier. Ignores abandoned requests. */
     observe(observation: UpstreamObservation): void {
         if (observation.kind === "abandoned") {
             return;
--- a/routing/choice/src/ringSubset.ts
+++ b/routing/choice/src/ringSubset.ts
@@ -13,8 +13,8 @@
 const UPSTREAM_ORDER = "upstreams";
 
 /**
- * Orders the upstreams on a ring and gives each entry the next consecutive segment of it. The numbers of entries served
- * by any two upstreams therefore differ by at most one.
+ * Orders the upstreams on a ring and gives each entry the next consecutive segment of it. The numbers of entries that
+ * use any two upstreams therefore differ by at most one.
  */
 export class RingSubset implements SubsetPolicy {
     private readonly opts: RingSubsetOptions;
