--- a/routing/limits/src/gradientConcurrencyLimit.ts
+++ b/routing/limits/src/gradientConcurrencyLimit.ts
@@ -55,6 +55,7 @@
     }
 
     release({ durationMs, kind }: { durationMs: number; kind: "success" | "dropped" | "ignored"; }): void {
+        // The limit was reduced while the call ran. Its duration reflects the higher concurrency.
         const isOverLimit = this.inFlightCount > this.limit;
         this.inFlightCount = Math.max(0, this.inFlightCount - 1);
         if (kind === "dropped") {
--- a/routing/limits/src/leakyBucket.ts
+++ b/routing/limits/src/leakyBucket.ts
@@ -20,6 +20,7 @@
         return Math.max(0, excess) / limit.ratePerSecond * MS_PER_SECOND;
     }
 
+    /** Takes `cost` at once, even if the level then exceeds the burst. */
     take(limit: RateLimit, cost: number, nowMs: number): void {
         this.level = this.levelAt(limit, nowMs) + cost;
         this.updatedAtMs = Math.max(this.updatedAtMs, nowMs);
--- a/routing/limits/src/usageExchange.ts
+++ b/routing/limits/src/usageExchange.ts
@@ -30,6 +30,7 @@
         );
     }
 
+    /** Starts sending reports, the first after one interval. */
     start(): void {
         this.timer = this.opts.clock.setTimer(this.opts.reportIntervalMs, () => {
             this.updateLinks();
@@ -38,6 +39,7 @@
         });
     }
 
+    /** Stops sending reports. Links stay open, and reports of other entries are still recorded. */
     stop(): void {
         this.timer?.cancel();
     }
--- a/routing/limits/src/weightedFairQueue.ts
+++ b/routing/limits/src/weightedFairQueue.ts
@@ -2,6 +2,7 @@
 import type { FairQueueEntry } from "./fairQueueEntry.js";
 
 interface QueuedEntry<Item> extends FairQueueEntry<Item> {
+    /** Virtual time at which serving the item would start. The lowest start tag is served next. */
     startTag: number;
 }
 
@@ -11,7 +12,9 @@
  */
 export class WeightedFairQueue<Item> {
     private readonly queues = new Map<TeamId, QueuedEntry<Item>[]>();
+    /** Virtual time at which each team's last queued item would be finished. */
     private readonly finishTags = new Map<TeamId, number>();
+    /** Start tag of the item that was dequeued last. */
     private virtualTime = 0;
     private count = 0;
 
@@ -24,6 +27,7 @@
         return this.queues.get(teamId)?.length ?? 0;
     }
 
+    /** Adds an item behind the other items of its team. */
     enqueue(entry: FairQueueEntry<Item>): void {
         const startTag = Math.max(this.virtualTime, this.finishTags.get(entry.teamId) ?? 0);
         this.finishTags.set(entry.teamId, startTag + entry.cost / entry.weight);
--- a/routing/limits/test/weightedFairQueue.test.ts
+++ b/routing/limits/test/weightedFairQueue.test.ts
@@ -67,7 +67,7 @@
     );
 });
 
-test("a flood from one team delays another team's next item by at most one item", () => {
+test("a long queue of one team delays another team's next item by at most one item", () => {
     const queue = new WeightedFairQueue<string>();
     Array.from({ length: 1000 }, () => queue.enqueue({ item: "flood", teamId: teams[0], weight: 1, cost: 1 }));
     Array.from({ length: 100 }, () => queue.dequeue());
