--- a/routing/retries/src/hedgePolicy.ts
+++ b/routing/retries/src/hedgePolicy.ts
@@ -36,7 +36,10 @@
         this.durations.observe(durationMs);
     }
 
-    /** Returns the delay before hedging an attempt that starts now, in milliseconds; undefined for no hedge. */
+    /**
+     * Returns the delay before hedging an attempt that starts now, in milliseconds. Returns undefined if the call isn't
+     * repeatable, too few durations are recorded, or too little time would remain before the deadline.
+     */
     hedgeAfterMs(state: HedgeState): number | undefined {
         const quantileMs = this.durations.valueMs;
         if (!state.repeatable || quantileMs === undefined) {
--- a/routing/retries/test/retries.test.ts
+++ b/routing/retries/test/retries.test.ts
@@ -29,7 +29,7 @@
     );
 });
 
-test("during a full brownout the load grows by a tenth", () => {
+test("if every attempt fails, retries increase the load by a tenth", () => {
     const budget = new RetryBudget();
     const policy = new BudgetedRetryPolicy({ budget, random: new SeededRandom(SEED) });
     let sent = 0;
