--- a/routing/instance-watch/src/instanceWatcher.ts
+++ b/routing/instance-watch/src/instanceWatcher.ts
@@ -32,6 +32,7 @@
         this.loop = this.run();
     }
 
+    /** Stops polling. Resolves after the poll in progress has ended. */
     async stop(): Promise<void> {
         this.stopping.abort();
         await this.loop;
