--- a/placement/planner/src/planStore.ts
+++ b/placement/planner/src/planStore.ts
@@ -4,7 +4,7 @@
 import { placementKeys } from "./placementKeys.js";
 import type { RegionPlan } from "./regionPlan.js";
 
-/** Stores the plan of a region in the key-value service. */
+/** Stores the plan of a region in the key-value service. Methods reject when a call to that service fails. */
 export class PlanStore {
     private readonly keyValue: KeyValueService;
     private readonly region: RegionName;
@@ -14,6 +14,7 @@
         this.region = opts.region;
     }
 
+    /** Returns the stored plan; undefined if there is none. */
     async read(): Promise<RegionPlan | undefined> {
         const entry = await this.keyValue.get(placementKeys.plan(this.region));
         return entry === undefined ? undefined : JSON.parse(new TextDecoder().decode(entry.value)) as RegionPlan;
--- a/placement/planner/src/plannerLease.ts
+++ b/placement/planner/src/plannerLease.ts
@@ -11,7 +11,7 @@
 
 /**
  * The lease of a region's planner. Its fencing number is the revision at which the holder's key was written, so it only
- * increases.
+ * increases. Methods reject when a call to the key-value service fails.
  */
 export class PlannerLease {
     private readonly keyValue: KeyValueService;
@@ -43,6 +43,7 @@
         return this.leaseId === undefined ? this.acquire() : this.renew(this.leaseId);
     }
 
+    /** Releases the lease if this instance holds it. */
     async release(): Promise<void> {
         const leaseId = this.leaseId;
         this.clear();
--- a/placement/planner/src/plannerTask.ts
+++ b/placement/planner/src/plannerTask.ts
@@ -35,6 +35,7 @@
         this.store = new PlanStore({ ...opts, region });
     }
 
+    /** Starts planning, once per interval. */
     start(): void {
         this.running = this.run();
     }
