--- a/placement/orders/src/engineReconciler.ts
+++ b/placement/orders/src/engineReconciler.ts
@@ -32,6 +32,7 @@
         this.clock = opts.clock;
     }
 
+    /** Current state of the chart. */
     get state(): ReconcilerState {
         return this.currentState;
     }
--- a/placement/orders/src/reconcilerTask.ts
+++ b/placement/orders/src/reconcilerTask.ts
@@ -31,6 +31,7 @@
         });
     }
 
+    /** Starts reconciling the engine with its plan, once per interval. */
     start(): void {
         this.running = this.run();
     }
--- a/placement/orders/test/engineReconciler.test.ts
+++ b/placement/orders/test/engineReconciler.test.ts
@@ -107,7 +107,7 @@
     const engine = new TestEngine({ checksFencing });
     const create = () => new EngineReconciler({ engine, clock: engine.clock });
     const reconciler = create();
-    // A side process that was paused just before it sent its order, while a new process replaced it.
+    // The reconciler of a side process that was paused before it sent its order, while a new process replaced it.
     const pausedReconciler = create();
     pausedReconciler.receive(plan(1, 1, "old"), 0);
     await pausedReconciler.step();
