--- a/cli/knapweed/src/inForceAnswer.ts
+++ b/cli/knapweed/src/activeRevisionResponse.ts
@@ -1,5 +1,5 @@
 /** On how many processes a revision is in force. */
-export interface InForceAnswer {
+export interface ActiveRevisionResponse {
     revision: number;
     reached: number;
     total: number;
--- a/cli/knapweed/src/apiClient.ts
+++ b/cli/knapweed/src/apiClient.ts
@@ -14,15 +14,15 @@
     }
 
     get(path: string): Promise<JsonValue> {
-        return this.json("GET", path);
+        return this.requestJson("GET", path);
     }
 
     post(path: string, body: object, headers: { [name: string]: string; } = {}): Promise<JsonValue> {
-        return this.json("POST", path, JSON.stringify(body), { "content-type": "application/json", ...headers });
+        return this.requestJson("POST", path, JSON.stringify(body), { "content-type": "application/json", ...headers });
     }
 
     delete(path: string): Promise<JsonValue> {
-        return this.json("DELETE", path);
+        return this.requestJson("DELETE", path);
     }
 
     /** Uploads a file for batch jobs. @returns the file object */
@@ -30,23 +30,23 @@
         const form = new FormData();
         form.set("purpose", "batch");
         form.set("file", opts.content, opts.fileName);
-        return this.json("POST", "/v1/files", form);
+        return this.requestJson("POST", "/v1/files", form);
     }
 
     /** The body of an answer, in parts. */
     async *stream(path: string): AsyncIterable<Uint8Array> {
-        const answer = await this.send("GET", path);
-        yield* answer.body as AsyncIterable<Uint8Array>;
+        const response = await this.send("GET", path);
+        yield* response.body as AsyncIterable<Uint8Array>;
     }
 
-    private async json(
+    private async requestJson(
         method: "GET" | "POST" | "DELETE",
         path: string,
         body?: string | FormData,
         headers: { [name: string]: string; } = {},
     ): Promise<JsonValue> {
-        const answer = await this.send(method, path, body, headers);
-        return await answer.body.json() as JsonValue;
+        const response = await this.send(method, path, body, headers);
+        return await response.body.json() as JsonValue;
     }
 
     private async send(
@@ -55,7 +55,7 @@
         body?: string | FormData,
         headers: { [name: string]: string; } = {},
     ) {
-        const answer = await request(`${this.url}${path}`, {
+        const response = await request(`${this.url}${path}`, {
             method,
             body,
             headers: { authorization: `Bearer ${this.key}`, ...headers },
@@ -65,14 +65,14 @@
                 cause,
             });
         });
-        if (answer.statusCode >= 400) {
-            throw errorOf(answer.statusCode, await answer.body.text());
+        if (response.statusCode >= 400) {
+            throw toError(response.statusCode, await response.body.text());
         }
-        return answer;
+        return response;
     }
 }
 
-function errorOf(statusCode: number, text: string): KnapweedError {
+function toError(statusCode: number, text: string): KnapweedError {
     const parsed = parseError(text);
     return new KnapweedError(parsed?.code ?? "ANSWER_UNREADABLE", parsed?.message ?? text, { statusCode });
 }
--- a/cli/knapweed/src/benchCommand.ts
+++ b/cli/knapweed/src/benchCommand.ts
@@ -12,7 +12,7 @@
         seed: Flags.integer({ description: "seed of arrivals and faults", default: 1 }),
     };
 
-    protected async finish(flags: { [name: string]: unknown; }, report: object): Promise<void> {
+    protected async outputReport(flags: { [name: string]: unknown; }, report: object): Promise<void> {
         const text = `${JSON.stringify(report, undefined, 4)}\n`;
         const file = flags["json"];
         if (typeof file === "string") {
--- a/cli/knapweed/src/commands/bench/affinity.ts
+++ b/cli/knapweed/src/commands/bench/affinity.ts
@@ -24,6 +24,6 @@
             entryCount: flags.entries,
             affinityLoadFactor: Number(flags.factor),
         });
-        await this.finish(flags, report);
+        await this.outputReport(flags, report);
     }
 }
--- a/cli/knapweed/src/commands/bench/config.ts
+++ b/cli/knapweed/src/commands/bench/config.ts
@@ -25,7 +25,7 @@
             publishIntervalMs: flags["publish-interval"],
             onProgress: message => this.logToStderr(message),
         });
-        await this.finish(flags, report);
+        await this.outputReport(flags, report);
         await rm(folder, { recursive: true, force: true });
     }
 }
--- a/cli/knapweed/src/commands/bench/faults.ts
+++ b/cli/knapweed/src/commands/bench/faults.ts
@@ -20,7 +20,7 @@
             keyedCallCount: flags.calls,
             receiptCount: flags.receipts,
         });
-        await this.finish(flags, report);
+        await this.outputReport(flags, report);
         this.exit(report.holds ? 0 : 1);
     }
 }
--- a/cli/knapweed/src/commands/bench/mixed.ts
+++ b/cli/knapweed/src/commands/bench/mixed.ts
@@ -33,7 +33,7 @@
             sections: mixedSections(report, slices),
             htmlFile: flags.html,
         });
-        await this.finish(flags, report);
+        await this.outputReport(flags, report);
         await rm(folder, { recursive: true, force: true });
     }
 }
--- a/cli/knapweed/src/commands/bench/overhead.ts
+++ b/cli/knapweed/src/commands/bench/overhead.ts
@@ -11,6 +11,6 @@
             seed: Number(flags["seed"]),
             ...flags["seconds"] === undefined ? {} : { seconds: Number(flags["seconds"]) },
         });
-        await this.finish(flags, report);
+        await this.outputReport(flags, report);
     }
 }
--- a/cli/knapweed/src/commands/bench/silent-links.ts
+++ b/cli/knapweed/src/commands/bench/silent-links.ts
@@ -13,6 +13,6 @@
             seconds: Number(flags["seconds"] ?? DEFAULT_SECONDS),
             seed: Number(flags["seed"]),
         });
-        await this.finish(flags, report);
+        await this.outputReport(flags, report);
     }
 }
--- a/cli/knapweed/src/commands/dev.ts
+++ b/cli/knapweed/src/commands/dev.ts
@@ -5,7 +5,7 @@
 import { Flags } from "@oclif/core";
 import { randomBytes } from "node:crypto";
 import { KnapweedCommand } from "../knapweedCommand.js";
-import { untilSignal } from "../untilSignal.js";
+import { waitForSignal } from "../waitForSignal.js";
 
 const KEY_BYTES = 24;
 
@@ -34,7 +34,7 @@
         this.log(`Key:   ${operatorKey}`);
         this.log("Model: demo-chat");
         this.log("Stop with Ctrl-C.");
-        await untilSignal();
+        await waitForSignal();
         await demo.stop();
         return { url: demo.deployment.url() };
     }
--- a/cli/knapweed/src/commands/job/list.ts
+++ b/cli/knapweed/src/commands/job/list.ts
@@ -13,8 +13,8 @@
 
     async run(): Promise<unknown> {
         const { flags } = await this.parse(JobList);
-        const answer = await this.client(flags).get("/v1/batches?limit=100");
-        const jobs = answer["data"] as BatchObject[];
+        const response = await this.client(flags).get("/v1/batches?limit=100");
+        const jobs = response["data"] as BatchObject[];
         const rows = jobs.map(({ id, status, request_counts: counts }) => [
             id,
             status,
@@ -23,6 +23,6 @@
             counts.failed,
         ]);
         this.log(formatTable(["JOB", "STATE", "ITEMS", "COMPLETED", "FAILED"], rows));
-        return answer;
+        return response;
     }
 }
--- a/cli/knapweed/src/commands/platform/status.ts
+++ b/cli/knapweed/src/commands/platform/status.ts
@@ -19,7 +19,7 @@
 
     async run(): Promise<unknown> {
         const { argv } = await this.parse(PlatformStatus);
-        const rows = await Promise.all((argv as string[]).map(async host => ({ host, ...await summaryOf(host) })));
+        const rows = await Promise.all((argv as string[]).map(async host => ({ host, ...await fetchSummary(host) })));
         const header = [
             "instance",
             "answered",
@@ -47,12 +47,12 @@
     }
 }
 
-async function summaryOf(host: string): Promise<Partial<ReturnType<typeof summarizeMetrics>> & { error?: string; }> {
+async function fetchSummary(host: string): Promise<Partial<ReturnType<typeof summarizeMetrics>> & { error?: string; }> {
     const address = host.includes(":") ? host : `${host}:${METRICS_PORT}`;
     try {
         const timeouts = { headersTimeout: TIMEOUT_MS, bodyTimeout: TIMEOUT_MS };
-        const answer = await request(`http://${address}/metrics`, timeouts);
-        return summarizeMetrics(await answer.body.text());
+        const response = await request(`http://${address}/metrics`, timeouts);
+        return summarizeMetrics(await response.body.text());
     }
     catch (thrown) {
         return { error: toKnapweedError(thrown).message };
--- a/cli/knapweed/src/commands/publish.ts
+++ b/cli/knapweed/src/commands/publish.ts
@@ -1,9 +1,9 @@
 import { Args, Flags } from "@oclif/core";
 import { ApiCommand } from "../apiCommand.js";
 import { collectServiceFiles } from "../collectServiceFiles.js";
-import { waitInForce } from "../waitInForce.js";
+import { waitUntilActive } from "../waitUntilActive.js";
 
-interface PublishAnswer {
+interface PublishResponse {
     revision: number;
     published: boolean;
     difference: { recordKey: string; kind: string; }[];
@@ -24,18 +24,20 @@
         const { argv, flags } = await this.parse(Publish);
         const client = this.client(flags);
         const files = await collectServiceFiles(argv as string[]);
-        const answer = await client.post("/admin/v1/configuration/publish", {
+        const response = await client.post("/admin/v1/configuration/publish", {
             files,
             dryRun: flags["dry-run"],
             message: flags.message,
-        }) as unknown as PublishAnswer;
-        answer.difference.forEach(({ kind, recordKey }) => this.log(`${kind.padEnd(8)} ${recordKey}`));
-        this.log(answer.published ? `Published revision ${answer.revision}` : `Revision ${answer.revision} stands`);
-        if (flags.wait && answer.published) {
-            const report = await waitInForce(client, answer.revision);
-            this.log(`In force on ${report.reached} of ${report.total}`);
-            return { ...answer, inForce: report };
+        }) as unknown as PublishResponse;
+        response.difference.forEach(({ kind, recordKey }) => this.log(`${kind.padEnd(8)} ${recordKey}`));
+        this.log(
+            response.published ? `Published revision ${response.revision}` : `Revision ${response.revision} stands`,
+        );
+        if (flags.wait && response.published) {
+            const activeRevision = await waitUntilActive(client, response.revision);
+            this.log(`In force on ${activeRevision.reached} of ${activeRevision.total}`);
+            return { ...response, inForce: activeRevision };
         }
-        return answer;
+        return response;
     }
 }
--- a/cli/knapweed/src/commands/rollback.ts
+++ b/cli/knapweed/src/commands/rollback.ts
@@ -8,8 +8,8 @@
 
     async run(): Promise<unknown> {
         const { args, flags } = await this.parse(Rollback);
-        const answer = await this.client(flags).post("/admin/v1/configuration/rollback", { revision: args.revision });
-        this.log(`Published revision ${String(answer["revision"])}`);
-        return answer;
+        const response = await this.client(flags).post("/admin/v1/configuration/rollback", { revision: args.revision });
+        this.log(`Published revision ${String(response["revision"])}`);
+        return response;
     }
 }
--- a/cli/knapweed/src/commands/service/list.ts
+++ b/cli/knapweed/src/commands/service/list.ts
@@ -15,8 +15,8 @@
 
     async run(): Promise<unknown> {
         const { flags } = await this.parse(ServiceList);
-        const answer = await this.client(flags).get("/admin/v1/services");
-        const rows = (answer["services"] as ServiceObject[]).map(service => [
+        const response = await this.client(flags).get("/admin/v1/services");
+        const rows = (response["services"] as ServiceObject[]).map(service => [
             service.name,
             service.team,
             service.kind,
@@ -24,6 +24,6 @@
             service.models.map(model => `${model.name}:${model.version}`).join(","),
         ]);
         this.log(formatTable(["SERVICE", "TEAM", "KIND", "REPLICAS", "MODELS"], rows));
-        return answer;
+        return response;
     }
 }
--- a/cli/knapweed/src/commands/team/list.ts
+++ b/cli/knapweed/src/commands/team/list.ts
@@ -13,9 +13,9 @@
 
     async run(): Promise<unknown> {
         const { flags } = await this.parse(TeamList);
-        const answer = await this.client(flags).get("/admin/v1/teams");
-        const rows = (answer["teams"] as TeamObject[]).map(team => [team.teamId, team.displayName, team.weight]);
+        const response = await this.client(flags).get("/admin/v1/teams");
+        const rows = (response["teams"] as TeamObject[]).map(team => [team.teamId, team.displayName, team.weight]);
         this.log(formatTable(["TEAM", "NAME", "WEIGHT"], rows));
-        return answer;
+        return response;
     }
 }
--- a/cli/knapweed/src/commands/top.ts
+++ b/cli/knapweed/src/commands/top.ts
@@ -1,10 +1,10 @@
 import { sleep } from "@knapweedwood/core.clock/sleep";
 import { SystemClock } from "@knapweedwood/core.clock/systemClock";
 import { Flags } from "@oclif/core";
+import type { ActiveRevisionResponse } from "../activeRevisionResponse.js";
 import { ApiCommand } from "../apiCommand.js";
-import type { FleetAnswer } from "../fleetAnswer.js";
-import { fleetLines } from "../fleetLines.js";
-import type { InForceAnswer } from "../inForceAnswer.js";
+import type { FleetResponse } from "../fleetResponse.js";
+import { formatFleet } from "../formatFleet.js";
 
 const CLEAR_SCREEN = "\u001b[2J\u001b[H";
 const MS_PER_SECOND = 1000;
@@ -21,14 +21,18 @@
         const { flags } = await this.parse(Top);
         const client = this.client(flags);
         const clock = new SystemClock();
-        const pictures = flags.count ?? Number.POSITIVE_INFINITY;
-        for (let shown = 1;; shown += 1) {
-            const fleet = await client.get("/admin/v1/fleet") as unknown as FleetAnswer;
-            const inForce = await client.get("/admin/v1/configuration/in-force") as unknown as InForceAnswer;
+        const refreshes = flags.count ?? Number.POSITIVE_INFINITY;
+        for (let refresh = 1;; refresh += 1) {
+            const fleet = await client.get("/admin/v1/fleet") as unknown as FleetResponse;
+            const activeRevision = await client.get(
+                "/admin/v1/configuration/in-force",
+            ) as unknown as ActiveRevisionResponse;
             const clear = process.stdout.isTTY ? CLEAR_SCREEN : "";
-            this.log(`${clear}${new Date(clock.nowMs()).toISOString()}\n${fleetLines(fleet, inForce).join("\n")}`);
-            if (shown >= pictures) {
-                return { ...fleet, inForce };
+            this.log(
+                `${clear}${new Date(clock.nowMs()).toISOString()}\n${formatFleet(fleet, activeRevision).join("\n")}`,
+            );
+            if (refresh >= refreshes) {
+                return { ...fleet, inForce: activeRevision };
             }
             await sleep(clock, flags.interval * MS_PER_SECOND);
         }
--- a/cli/knapweed/src/fleetAnswer.ts
+++ b/cli/knapweed/src/fleetResponse.ts
@@ -1,5 +1,5 @@
 /** The fleet, as the operators' API shows it. */
-export interface FleetAnswer {
+export interface FleetResponse {
     revision: number;
     instances: {
         instanceId: string;
--- a/cli/knapweed/src/fleetLines.ts
+++ b/cli/knapweed/src/formatFleet.ts
@@ -1,9 +1,9 @@
-import type { FleetAnswer } from "./fleetAnswer.js";
+import type { ActiveRevisionResponse } from "./activeRevisionResponse.js";
+import type { FleetResponse } from "./fleetResponse.js";
 import { formatTable } from "./formatTable.js";
-import type { InForceAnswer } from "./inForceAnswer.js";
 
 /** The fleet as lines of text, shape [lines]. */
-export function fleetLines(fleet: FleetAnswer, inForce: InForceAnswer): string[] {
+export function formatFleet(fleet: FleetResponse, activeRevision: ActiveRevisionResponse): string[] {
     const instances = fleet.instances.map(instance => [
         instance.instanceId,
         instance.kind,
@@ -22,7 +22,7 @@
         upstream.batchRunning,
         upstream.batchQueued,
     ]);
-    const missing = inForce.missing.length === 0 ? "" : `; missing: ${inForce.missing.join(", ")}`;
+    const missing = activeRevision.missing.length === 0 ? "" : `; missing: ${activeRevision.missing.join(", ")}`;
     return [
         formatTable(["INSTANCE", "KIND", "ZONE", "STATE", "LINK", "SERVICE"], instances),
         "",
@@ -31,6 +31,6 @@
             upstreams,
         ),
         "",
-        `Configuration revision ${inForce.revision} in force on ${inForce.reached} of ${inForce.total}${missing}`,
+        `Configuration revision ${activeRevision.revision} in force on ${activeRevision.reached} of ${activeRevision.total}${missing}`,
     ];
 }
--- a/cli/knapweed/src/standinCommand.ts
+++ b/cli/knapweed/src/standinCommand.ts
@@ -1,6 +1,6 @@
 import { Flags, type Interfaces } from "@oclif/core";
 import { KnapweedCommand } from "./knapweedCommand.js";
-import { untilSignal } from "./untilSignal.js";
+import { waitForSignal } from "./waitForSignal.js";
 
 interface StandinServer {
     listen(opts: { host: string; port: number; }): Promise<number>;
@@ -18,7 +18,7 @@
         const host = String(flags["host"]);
         const port = await server.listen({ host, port: Number(flags["port"]) });
         this.log(`listening on http://${host}:${port}`);
-        await untilSignal();
+        await waitForSignal();
         await server.close();
         return { host, port };
     }
--- a/cli/knapweed/src/summarizeMetrics.ts
+++ b/cli/knapweed/src/summarizeMetrics.ts
@@ -8,8 +8,8 @@
 const LABEL = /(\w+)="([^"]*)"/gu;
 
 /** Reads the figures that an operator looks at first from a page of metrics. */
-export function summarizeMetrics(page: string) {
-    const samples = page.split("\n").flatMap(parseSample);
+export function summarizeMetrics(metricsText: string) {
+    const samples = metricsText.split("\n").flatMap(parseSample);
     const sum = (name: string, labels: Sample["labels"] = {}) =>
         samples
             .filter(sample => sample.name === name)
--- a/cli/knapweed/src/untilSignal.ts
+++ b/cli/knapweed/src/waitForSignal.ts
@@ -1,5 +1,5 @@
 /** Resolves at the first SIGINT or SIGTERM. */
-export function untilSignal(): Promise<void> {
+export function waitForSignal(): Promise<void> {
     return new Promise(resolve => {
         process.once("SIGINT", () => resolve());
         process.once("SIGTERM", () => resolve());
--- a/cli/quickstart/src/batchInput.ts
+++ b/cli/quickstart/src/buildBatchInput.ts
@@ -1,9 +1,9 @@
 const MAX_TOKENS = 24;
 
 /** The lines of a batch file, in the published form of the OpenAI API; the named items can never complete. */
-export function batchInput(opts: { itemCount: number; poisoned: Set<number>; }): string {
+export function buildBatchInput(opts: { itemCount: number; failingItems: Set<number>; }): string {
     return Array.from({ length: opts.itemCount }, (_, index) => {
-        const marker = opts.poisoned.has(index) ? " [never-completes]" : "";
+        const marker = opts.failingItems.has(index) ? " [never-completes]" : "";
         const body = {
             model: "demo-chat",
             messages: [{ role: "user", content: `Assess lot ${index}.${marker}` }],
--- a/cli/quickstart/src/main.ts
+++ b/cli/quickstart/src/main.ts
@@ -1,18 +1,18 @@
-import { isGoodOutcome } from "./isGoodOutcome.js";
-import { MainJob } from "./mainJob.js";
+import { isExpectedOutcome } from "./isExpectedOutcome.js";
 import { printOutcome } from "./printOutcome.js";
+import { QuickstartScenario } from "./quickstartScenario.js";
 
 const ITEM_COUNT = 500;
-const POISONED_ITEMS = new Set([7, 250, 499]);
+const FAILING_ITEMS = new Set([7, 250, 499]);
 const SEED = 1;
 
-const job = new MainJob({
+const scenario = new QuickstartScenario({
     itemCount: ITEM_COUNT,
-    poisoned: POISONED_ITEMS,
+    failingItems: FAILING_ITEMS,
     seed: SEED,
-    report: line => process.stdout.write(`${line}\n`),
+    onProgress: line => process.stdout.write(`${line}\n`),
 });
-const outcome = await job.run();
+const outcome = await scenario.run();
 printOutcome(outcome);
 // The crashed side of the run may hold timers of its own, which a process that lives on would have to wait for.
-process.exit(isGoodOutcome(outcome, { poisoned: POISONED_ITEMS.size }) ? 0 : 1);
+process.exit(isExpectedOutcome(outcome, { failedItemCount: FAILING_ITEMS.size }) ? 0 : 1);
--- a/cli/quickstart/src/onlineCaller.ts
+++ b/cli/quickstart/src/onlineCaller.ts
@@ -2,18 +2,18 @@
 import { sleep } from "@knapweedwood/core.clock/sleep";
 import { expectedText } from "@knapweedwood/standins.engine/expectedText";
 
-const GAP_MS = 40;
+const CALL_INTERVAL_MS = 40;
 const MAX_TOKENS = 12;
 
-interface Answer {
+interface CallResult {
     isAnswered: boolean;
-    isRight: boolean;
+    isCorrect: boolean;
     latencyMs: number;
 }
 
 /** Sends online calls, one after another on each of the URLs, until told to stop. */
 export class OnlineCaller {
-    readonly answers: Answer[] = [];
+    readonly results: CallResult[] = [];
     private readonly opts: { urls: string[]; key: string; clock: Clock; };
     private readonly stopping = new AbortController();
     private running: Promise<unknown> = Promise.resolve();
@@ -33,12 +33,12 @@
 
     private async run(url: string, caller: number): Promise<void> {
         for (let count = 0; !this.stopping.signal.aborted; count += 1) {
-            this.answers.push(await this.call(url, `Question ${count} of desk ${caller}`));
-            await sleep(this.opts.clock, GAP_MS, this.stopping.signal);
+            this.results.push(await this.call(url, `Question ${count} of desk ${caller}`));
+            await sleep(this.opts.clock, CALL_INTERVAL_MS, this.stopping.signal);
         }
     }
 
-    private async call(url: string, question: string): Promise<Answer> {
+    private async call(url: string, question: string): Promise<CallResult> {
         const startedMs = this.opts.clock.nowMs();
         const body = {
             model: "demo-chat",
@@ -46,22 +46,22 @@
             max_tokens: MAX_TOKENS,
             user: "online",
         };
-        const answer = await fetch(`${url}/v1/chat/completions`, {
+        const response = await fetch(`${url}/v1/chat/completions`, {
             method: "POST",
             headers: { "authorization": `Bearer ${this.opts.key}`, "content-type": "application/json" },
             body: JSON.stringify(body),
         });
-        const text = await contentOf(answer);
+        const text = await contentOf(response);
         const expected = expectedText({ endpoint: "/v1/chat/completions", body, tokenCount: MAX_TOKENS });
         return {
-            isAnswered: answer.status === 200,
-            isRight: text === expected,
+            isAnswered: response.status === 200,
+            isCorrect: text === expected,
             latencyMs: this.opts.clock.nowMs() - startedMs,
         };
     }
 }
 
-async function contentOf(answer: Response): Promise<string | undefined> {
-    const parsed = await answer.json() as { choices?: { message: { content: string; }; }[]; };
+async function contentOf(response: Response): Promise<string | undefined> {
+    const parsed = await response.json() as { choices?: { message: { content: string; }; }[]; };
     return parsed.choices?.[0]?.message.content;
 }
--- a/cli/quickstart/src/printOutcome.ts
+++ b/cli/quickstart/src/printOutcome.ts
@@ -14,11 +14,11 @@
         ["  failed", outcome.failures.length],
         ...outcome.failures.map((failure): [string, string] => [`    ${failure.customId}`, failure.code]),
         ["  lost", outcome.itemsLost],
-        ["  doubled", outcome.itemsDoubled],
+        ["  doubled", outcome.itemsDuplicated],
     ];
     rows.forEach(([label, value]) => process.stdout.write(`${label.padEnd(LABEL_WIDTH)}${value}\n`));
 }
 
-function quantile(sorted: number[], share: number): number {
-    return Math.round(sorted[Math.min(sorted.length - 1, Math.floor(share * sorted.length))] ?? 0);
+function quantile(sorted: number[], fraction: number): number {
+    return Math.round(sorted[Math.min(sorted.length - 1, Math.floor(fraction * sorted.length))] ?? 0);
 }
--- a/cli/quickstart/src/quickstartOutcome.ts
+++ b/cli/quickstart/src/quickstartOutcome.ts
@@ -9,5 +9,5 @@
     itemsCompleted: number;
     failures: { customId: string; code: string; }[];
     itemsLost: number;
-    itemsDoubled: number;
+    itemsDuplicated: number;
 }
--- a/cli/quickstart/src/mainJob.ts
+++ b/cli/quickstart/src/quickstartScenario.ts
@@ -5,7 +5,7 @@
 import { JsonLogger } from "@knapweedwood/observability.logs/jsonLogger";
 import { silentTracer } from "@knapweedwood/observability.traces/silentTracer";
 import { randomBytes } from "node:crypto";
-import { batchInput } from "./batchInput.js";
+import { buildBatchInput } from "./buildBatchInput.js";
 import { OnlineCaller } from "./onlineCaller.js";
 import type { QuickstartOutcome } from "./quickstartOutcome.js";
 
@@ -29,13 +29,18 @@
 }
 
 /** Online calls and a batch job on one embedded deployment; one side is killed on the way. */
-export class MainJob {
+export class QuickstartScenario {
     private readonly clock = new SystemClock();
     private readonly key = randomBytes(KEY_BYTES).toString("base64url");
     private readonly demo: DemoDeployment;
-    private readonly opts: { itemCount: number; poisoned: Set<number>; seed: number; report: (line: string) => void; };
+    private readonly opts: {
+        itemCount: number;
+        failingItems: Set<number>;
+        seed: number;
+        onProgress: (line: string) => void;
+    };
 
-    constructor(opts: MainJob["opts"]) {
+    constructor(opts: QuickstartScenario["opts"]) {
         this.opts = opts;
         this.demo = new DemoDeployment({
             port: 0,
@@ -47,7 +52,7 @@
     }
 
     async run(): Promise<QuickstartOutcome> {
-        this.opts.report("starting 2 entries, 3 model engines and 1 plain service with their sides");
+        this.opts.onProgress("starting 2 entries, 3 model engines and 1 plain service with their sides");
         await this.demo.start();
         const { deployment } = this.demo;
         const online = new OnlineCaller({
@@ -57,10 +62,10 @@
         });
         online.start();
         const batch = await this.submit();
-        this.opts.report(`job ${batch.id} accepted`);
-        const finished = await this.follow(batch.id);
+        this.opts.onProgress(`job ${batch.id} accepted`);
+        const finished = await this.waitForJob(batch.id);
         await online.stop();
-        const outcome = await this.audit(finished, online);
+        const outcome = await this.buildOutcome(finished, online);
         await this.demo.stop();
         return outcome;
     }
@@ -68,26 +73,26 @@
     private async submit(): Promise<Batch> {
         const form = new FormData();
         form.set("purpose", "batch");
-        form.set("file", new Blob([batchInput(this.opts)]), "lots.jsonl");
+        form.set("file", new Blob([buildBatchInput(this.opts)]), "lots.jsonl");
         const file = await this.call("POST", "/v1/files", form) as { id: string; };
         const job = { input_file_id: file.id, endpoint: "/v1/chat/completions", completion_window: "1h" };
         return await this.call("POST", "/v1/batches", JSON.stringify(job)) as Batch;
     }
 
     /** Shows progress until the job has ended; kills a side once a fifth of the items is done. */
-    private async follow(jobId: string): Promise<Batch> {
+    private async waitForJob(jobId: string): Promise<Batch> {
         const endMs = this.clock.nowMs() + JOB_TIMEOUT_MS;
         let isSideKilled = false;
         while (this.clock.nowMs() < endMs) {
             const batch = await this.call("GET", `/v1/batches/${jobId}`) as Batch;
             const { total, completed, failed } = batch.request_counts;
-            this.opts.report(`${batch.status}: ${completed} completed, ${failed} failed of ${total}`);
+            this.opts.onProgress(`${batch.status}: ${completed} completed, ${failed} failed of ${total}`);
             if (FINAL_STATES.has(batch.status)) {
                 return batch;
             }
             if (!isSideKilled && completed > total / 5) {
                 isSideKilled = true;
-                this.opts.report("killing side-1");
+                this.opts.onProgress("killing side-1");
                 await this.demo.deployment.crashSide(0);
             }
             await sleep(this.clock, PROGRESS_INTERVAL_MS);
@@ -95,31 +100,31 @@
         throw new KnapweedError("QUICKSTART_TIMEOUT", "The batch job did not end in time");
     }
 
-    private async audit(batch: Batch, online: OnlineCaller): Promise<QuickstartOutcome> {
-        const output = await this.lines(batch.output_file_id);
-        const errors = await this.lines(batch.error_file_id);
+    private async buildOutcome(batch: Batch, online: OnlineCaller): Promise<QuickstartOutcome> {
+        const output = await this.readLines(batch.output_file_id);
+        const errors = await this.readLines(batch.error_file_id);
         const ids = [...output, ...errors].map(line => line.custom_id);
         const expectedIds = Array.from({ length: this.opts.itemCount }, (_, index) => `lot-${index}`);
         const seen = new Set(ids);
         return {
-            callsSent: online.answers.length,
-            callsAnswered: online.answers.filter(answer => answer.isAnswered).length,
-            callsWrong: online.answers.filter(answer => answer.isAnswered && !answer.isRight).length,
-            latenciesMs: online.answers.map(answer => answer.latencyMs),
+            callsSent: online.results.length,
+            callsAnswered: online.results.filter(result => result.isAnswered).length,
+            callsWrong: online.results.filter(result => result.isAnswered && !result.isCorrect).length,
+            latenciesMs: online.results.map(result => result.latencyMs),
             itemsAccepted: this.opts.itemCount,
             itemsCompleted: output.length,
-            failures: errors.map(line => ({ customId: line.custom_id, code: codeOf(line) })),
+            failures: errors.map(line => ({ customId: line.custom_id, code: errorCodeOf(line) })),
             itemsLost: expectedIds.filter(id => !seen.has(id)).length,
-            itemsDoubled: ids.length - seen.size,
+            itemsDuplicated: ids.length - seen.size,
         };
     }
 
-    private async lines(fileId: string | null): Promise<OutputLine[]> {
+    private async readLines(fileId: string | null): Promise<OutputLine[]> {
         if (fileId === null) {
             return [];
         }
-        const answer = await this.fetch("GET", `/v1/files/${fileId}/content`);
-        const text = await answer.text();
+        const response = await this.fetch("GET", `/v1/files/${fileId}/content`);
+        const text = await response.text();
         return text.split("\n").filter(line => line !== "").map(line => JSON.parse(line) as OutputLine);
     }
 
@@ -129,18 +134,18 @@
 
     private async fetch(method: string, path: string, body?: string | FormData): Promise<Response> {
         const json = typeof body === "string" ? { "content-type": "application/json" } : {};
-        const answer = await fetch(`${this.demo.deployment.url()}${path}`, {
+        const response = await fetch(`${this.demo.deployment.url()}${path}`, {
             method,
             body,
             headers: { authorization: `Bearer ${this.key}`, ...json } as { [name: string]: string; },
         });
-        if (answer.status !== 200) {
-            throw new KnapweedError("QUICKSTART_CALL_FAILED", `${method} ${path}: ${await answer.text()}`);
+        if (response.status !== 200) {
+            throw new KnapweedError("QUICKSTART_CALL_FAILED", `${method} ${path}: ${await response.text()}`);
         }
-        return answer;
+        return response;
     }
 }
 
-function codeOf(line: OutputLine): string {
+function errorCodeOf(line: OutputLine): string {
     return line.error?.code ?? line.response?.body.error?.code ?? "unknown";
 }
