--- a/cli/knapweed/src/apiClient.ts
+++ b/cli/knapweed/src/apiClient.ts
@@ -3,7 +3,10 @@
 
 type JsonValue = { [field: string]: unknown; };
 
-/** Calls the APIs of an entry with one key. Throws the entry's own errors, or `ENTRY_UNREACHABLE`. */
+/**
+ * Calls the HTTP APIs of an entry with one API key. Rejects with the error that the entry returned, with
+ * `ANSWER_UNREADABLE` if an error response is not in the expected form, or with `ENTRY_UNREACHABLE`.
+ */
 export class ApiClient {
     private readonly url: string;
     private readonly key: string;
@@ -33,7 +36,7 @@
         return this.requestJson("POST", "/v1/files", form);
     }
 
-    /** The body of an answer, in parts. */
+    /** Streams the body of a response in chunks. */
     async *stream(path: string): AsyncIterable<Uint8Array> {
         const response = await this.send("GET", path);
         yield* response.body as AsyncIterable<Uint8Array>;
@@ -60,7 +63,7 @@
             body,
             headers: { authorization: `Bearer ${this.key}`, ...headers },
         }).catch((cause: unknown) => {
-            throw new KnapweedError("ENTRY_UNREACHABLE", `No entry answers at ${this.url}`, {
+            throw new KnapweedError("ENTRY_UNREACHABLE", `No entry responds at ${this.url}`, {
                 hint: "Set --url or KNAPWEED_URL",
                 cause,
             });
--- a/cli/knapweed/src/apiCommand.ts
+++ b/cli/knapweed/src/apiCommand.ts
@@ -2,7 +2,7 @@
 import { ApiClient } from "./apiClient.js";
 import { KnapweedCommand } from "./knapweedCommand.js";
 
-/** A command that calls an entry. */
+/** Base class of commands that call the API of an entry. */
 export abstract class ApiCommand extends KnapweedCommand {
     static override baseFlags: Interfaces.FlagInput = {
         url: Flags.string({
--- a/cli/knapweed/src/benchCommand.ts
+++ b/cli/knapweed/src/benchCommand.ts
@@ -2,14 +2,14 @@
 import { writeFile } from "node:fs/promises";
 import { KnapweedCommand } from "./knapweedCommand.js";
 
-/** A command that runs an experiment on loopback and writes its figures. */
+/** Base class of commands that run a benchmark on loopback and output its report. */
 export abstract class BenchCommand extends KnapweedCommand {
-    // oclif's own `--json` flag takes no value; here it names the file.
+    // The built-in `--json` flag of oclif takes no value. Here the flag takes the path of the output file.
     static override enableJsonFlag = false;
     static override baseFlags: Interfaces.FlagInput = {
-        json: Flags.string({ description: "file that the figures are written to" }),
-        seconds: Flags.integer({ description: "length of the measured part" }),
-        seed: Flags.integer({ description: "seed of arrivals and faults", default: 1 }),
+        json: Flags.string({ description: "file to write the report to" }),
+        seconds: Flags.integer({ description: "duration of the measurement in seconds" }),
+        seed: Flags.integer({ description: "random seed of arrivals and faults", default: 1 }),
     };
 
     protected async outputReport(flags: { [name: string]: unknown; }, report: object): Promise<void> {
--- a/cli/knapweed/src/collectServiceFiles.ts
+++ b/cli/knapweed/src/collectServiceFiles.ts
@@ -5,11 +5,14 @@
 const FILE_NAME = "knapweed.yaml";
 const SKIPPED_FOLDERS = new Set(["node_modules", ".git", "dist"]);
 
-/** Finds and reads every `knapweed.yaml` under the folders. Throws `SERVICE_FILES_MISSING` where there is none. */
+/**
+ * Finds and reads every `knapweed.yaml` under the folders, sorted by path. Rejects with `SERVICE_FILES_MISSING` if
+ * there is none.
+ */
 export async function collectServiceFiles(folders: string[]): Promise<{ path: string; text: string; }[]> {
     const found = (await Promise.all(folders.map(findFiles))).flat();
     if (found.length === 0) {
-        throw new KnapweedError("SERVICE_FILES_MISSING", `There is no ${FILE_NAME} under ${folders.join(", ")}`);
+        throw new KnapweedError("SERVICE_FILES_MISSING", `No ${FILE_NAME} found under ${folders.join(", ")}`);
     }
     return Promise.all(found.sort().map(async file => ({ path: file, text: await readFile(file, "utf8") })));
 }
--- a/cli/knapweed/src/commands/bench/affinity.ts
+++ b/cli/knapweed/src/commands/bench/affinity.ts
@@ -4,14 +4,17 @@
 
 const DEFAULT_SECONDS = 120;
 
-/** Measures: prefix hits against random choice and full knowledge. */
+/** Simulates prefix cache hits, compared with random choice and with full knowledge of the caches. */
 export default class BenchAffinity extends BenchCommand {
-    static override description = "prefix hits against random choice and full knowledge";
+    static override description = "compare prefix cache hits with random choice and full knowledge";
     static override flags = {
-        rate: Flags.integer({ description: "conversations a second", default: 9 }),
-        upstreams: Flags.integer({ description: "upstreams", default: 12 }),
-        entries: Flags.integer({ description: "entries", default: 3 }),
-        factor: Flags.string({ description: "largest load for the prefix's sake, times the mean", default: "1.6" }),
+        rate: Flags.integer({ description: "conversations per second", default: 9 }),
+        upstreams: Flags.integer({ description: "number of upstreams", default: 12 }),
+        entries: Flags.integer({ description: "number of entries", default: 3 }),
+        factor: Flags.string({
+            description: "maximum load of an upstream that holds the prefix, as a multiple of the mean",
+            default: "1.6",
+        }),
     };
 
     async run(): Promise<void> {
--- a/cli/knapweed/src/commands/bench/capacity.ts
+++ b/cli/knapweed/src/commands/bench/capacity.ts
@@ -2,12 +2,12 @@
 import { Flags } from "@oclif/core";
 import { BenchCommand } from "../../benchCommand.js";
 
-/** Measures: slopes for docs/CAPACITY.md. */
+/** Measures the slopes for docs/CAPACITY.md. */
 export default class BenchCapacity extends BenchCommand {
-    static override description = "slopes for docs/CAPACITY.md";
+    static override description = "measure the slopes for docs/CAPACITY.md";
     static override flags = {
-        page: Flags.string({ description: "page whose tables are filled, such as docs/CAPACITY.md" }),
-        quick: Flags.boolean({ description: "fewer and smaller sizes" }),
+        page: Flags.string({ description: "page whose tables to fill in, such as docs/CAPACITY.md" }),
+        quick: Flags.boolean({ description: "measure fewer and smaller sizes" }),
     };
 
     async run(): Promise<void> {
--- a/cli/knapweed/src/commands/bench/config.ts
+++ b/cli/knapweed/src/commands/bench/config.ts
@@ -5,12 +5,12 @@
 import path from "node:path";
 import { BenchCommand } from "../../benchCommand.js";
 
-/** Measures: configuration in force under churn. */
+/** Measures how configurations become active while processes are killed or paused and revisions published often. */
 export default class BenchConfig extends BenchCommand {
-    static override description = "configuration in force under churn";
+    static override description = "measure the rollout of configurations under churn";
     static override flags = {
-        processes: Flags.integer({ description: "daemons, a fifth of them entries", default: 60 }),
-        publishes: Flags.integer({ description: "publishes", default: 200 }),
+        processes: Flags.integer({ description: "number of daemons; one fifth of them are entries", default: 60 }),
+        publishes: Flags.integer({ description: "number of publishes", default: 200 }),
         "publish-interval": Flags.integer({ description: "mean milliseconds between two publishes", default: 500 }),
     };
 
--- a/cli/knapweed/src/commands/bench/decisions.ts
+++ b/cli/knapweed/src/commands/bench/decisions.ts
@@ -5,11 +5,15 @@
 
 const PERCENT = 100;
 
-/** Simulates: the decisions on the gateways under loads, beside a plain forwarder and first come, first served. */
+/**
+ * Simulates the decisions of the gateways under several loads, and compares them with a plain forwarder and with
+ * first come, first served.
+ */
 export default class BenchDecisions extends BenchCommand {
-    static override description = "decisions under load beside a plain forwarder and first come, first served";
+    static override description =
+        "compare decisions under load with a plain forwarder and with first come, first served";
     static override flags = {
-        seeds: Flags.integer({ description: "seeds that the figures are means of", default: 5 }),
+        seeds: Flags.integer({ description: "number of seeds to average over", default: 5 }),
     };
 
     async run(): Promise<void> {
--- a/cli/knapweed/src/commands/bench/faults.ts
+++ b/cli/knapweed/src/commands/bench/faults.ts
@@ -2,13 +2,16 @@
 import { Flags } from "@oclif/core";
 import { BenchCommand } from "../../benchCommand.js";
 
-/** Runs jobs and keyed calls under faults and audits what ran. */
+/** Runs batch jobs and calls with idempotency keys under faults, and audits the recorded executions. */
 export default class BenchFaults extends BenchCommand {
-    static override description = "exactly once on real processes under faults, audited by what ran";
+    static override description = "check exactly-once execution on real processes under faults";
     static override flags = {
-        items: Flags.integer({ description: "batch items of a repeatable service", default: 20_000 }),
-        calls: Flags.integer({ description: "calls with an idempotency key", default: 2000 }),
-        receipts: Flags.integer({ description: "batch items of a service that may not be repeated", default: 0 }),
+        items: Flags.integer({ description: "number of batch items of a repeatable service", default: 20_000 }),
+        calls: Flags.integer({ description: "number of calls with an idempotency key", default: 2000 }),
+        receipts: Flags.integer({
+            description: "number of batch items of a service whose calls may not be repeated",
+            default: 0,
+        }),
     };
 
     async run(): Promise<void> {
--- a/cli/knapweed/src/commands/bench/mixed.ts
+++ b/cli/knapweed/src/commands/bench/mixed.ts
@@ -10,11 +10,11 @@
 const MS_PER_SECOND = 1000;
 const DEFAULT_SECONDS = 220;
 
-/** Measures batch throughput and the harm that batch work does to online tails. */
+/** Measures batch throughput and how much batch work increases the tail latency of online calls. */
 export default class BenchMixed extends BenchCommand {
-    static override description = "online and batch work on one fleet, against its baselines";
+    static override description = "measure online and batch work on one fleet, compared with baselines";
     static override flags = {
-        html: Flags.string({ description: "file for a report with plots" }),
+        html: Flags.string({ description: "file for an HTML report with plots" }),
         balance: Flags.string({ description: "batch balance of the services, from 0 to 1", default: "1" }),
     };
 
--- a/cli/knapweed/src/commands/bench/overhead.ts
+++ b/cli/knapweed/src/commands/bench/overhead.ts
@@ -1,9 +1,9 @@
 import { runOverhead } from "@knapweedwood/bench.overhead/runOverhead";
 import { BenchCommand } from "../../benchCommand.js";
 
-/** Measures: added latency and throughput of an entry. */
+/** Measures the added latency and the throughput of an entry. */
 export default class BenchOverhead extends BenchCommand {
-    static override description = "added latency and throughput of an entry";
+    static override description = "measure the added latency and the throughput of an entry";
 
     async run(): Promise<void> {
         const { flags } = await this.parse(BenchOverhead);
--- a/cli/knapweed/src/commands/bench/silent-links.ts
+++ b/cli/knapweed/src/commands/bench/silent-links.ts
@@ -3,9 +3,9 @@
 
 const DEFAULT_SECONDS = 30;
 
-/** Measures: what silent links cost the calls on them. */
+/** Measures the time and failures that silent links add to calls. */
 export default class BenchSilentLinks extends BenchCommand {
-    static override description = "what silent links cost the calls on them";
+    static override description = "measure the time and failures that silent links add to calls";
 
     async run(): Promise<void> {
         const { flags } = await this.parse(BenchSilentLinks);
--- a/cli/knapweed/src/commands/dev.ts
+++ b/cli/knapweed/src/commands/dev.ts
@@ -9,14 +9,15 @@
 
 const KEY_BYTES = 24;
 
-/** Runs an embedded deployment until it is told to stop. */
+/** Runs an embedded deployment until SIGINT or SIGTERM. */
 export default class Dev extends KnapweedCommand {
-    static override description = "run a whole deployment in this process, with stand-ins for platform and engines";
+    static override description =
+        "run a complete deployment in one process, with stand-ins for the platform and the engines";
     static override flags = {
         port: Flags.integer({ description: "port of the API", default: 8080 }),
-        "api-key": Flags.string({ description: "key of the platform's operator; a new one where it is left out" }),
+        "api-key": Flags.string({ description: "API key of the platform operator; generated if omitted" }),
         "log-level": Flags.option({ options: ["debug", "info", "warn", "error"] as const })({ default: "warn" }),
-        "trace-file": Flags.string({ description: "file that trace spans are appended to, a JSON object a line" }),
+        "trace-file": Flags.string({ description: "file to append trace spans to, one JSON object per line" }),
     };
 
     async run(): Promise<unknown> {
--- a/cli/knapweed/src/commands/explain.ts
+++ b/cli/knapweed/src/commands/explain.ts
@@ -8,9 +8,10 @@
 import { createInterface } from "node:readline";
 import { KnapweedCommand } from "../knapweedCommand.js";
 
-/** Shows the story of one request, job or item from the logs of many processes. */
+/** Shows the timeline of one request, job or item from the log files of many processes. */
 export default class Explain extends KnapweedCommand {
-    static override description = "show what became of a request, job or item, and what the processes believed then";
+    static override description =
+        "show the timeline of a request, job or item, with the state of the processes at the time";
     static override strict = false;
     static override args = {
         id: Args.string({ required: true, description: "id of the request, job or item" }),
@@ -26,10 +27,13 @@
         await readLines(files, line => timeline.addContext(line));
         const entries = timeline.entries();
         if (entries.length === 0) {
-            throw new KnapweedError("ID_NOT_IN_LOGS", `No line of ${files.length} files has the id ${args.id}`, {
-                hint:
-                    "Give the logs of all gateways and runners; lines that nobody read were dropped, see log-lines-dropped.",
-            });
+            throw new KnapweedError(
+                "ID_NOT_IN_LOGS",
+                `No log line in ${files.length} files contains the id ${args.id}`,
+                {
+                    hint: "Pass the logs of all gateways and runners. Unread output is dropped, see log-lines-dropped.",
+                },
+            );
         }
         formatTimeline(entries).forEach(line => this.log(line));
         return entries;
--- a/cli/knapweed/src/commands/job/cancel.ts
+++ b/cli/knapweed/src/commands/job/cancel.ts
@@ -1,7 +1,7 @@
 import { Args } from "@oclif/core";
 import { ApiCommand } from "../../apiCommand.js";
 
-/** Cancel a batch job. */
+/** Cancels a batch job. */
 export default class JobCancel extends ApiCommand {
     static override description = "cancel a batch job";
     static override args = { job: Args.string({ description: "job id", required: true }) };
--- a/cli/knapweed/src/commands/job/results.ts
+++ b/cli/knapweed/src/commands/job/results.ts
@@ -1,11 +1,11 @@
 import { Args, Flags } from "@oclif/core";
 import { ApiCommand } from "../../apiCommand.js";
 
-/** Writes a job's results to standard output, a JSON object a line. */
+/** Writes the results of a job to standard output, one JSON object per line. */
 export default class JobResults extends ApiCommand {
     static override description = "print the results of a batch job";
     static override args = { job: Args.string({ description: "job id", required: true }) };
-    static override flags = { errors: Flags.boolean({ description: "print the items that failed" }) };
+    static override flags = { errors: Flags.boolean({ description: "print the failed items instead" }) };
 
     async run(): Promise<unknown> {
         const { args, flags } = await this.parse(JobResults);
@@ -13,7 +13,7 @@
         const job = await client.get(`/v1/batches/${args.job}`);
         const fileId = job[flags.errors ? "error_file_id" : "output_file_id"];
         if (typeof fileId !== "string") {
-            this.logToStderr(`Job ${args.job} is ${String(job["status"])} and has no such results`);
+            this.logToStderr(`Job ${args.job} has status ${String(job["status"])} and no such results file`);
             return { results: [] };
         }
         const parts: Buffer[] = [];
--- a/cli/knapweed/src/commands/job/show.ts
+++ b/cli/knapweed/src/commands/job/show.ts
@@ -1,7 +1,7 @@
 import { Args } from "@oclif/core";
 import { ApiCommand } from "../../apiCommand.js";
 
-/** Show a batch job. */
+/** Shows a batch job. */
 export default class JobShow extends ApiCommand {
     static override description = "show a batch job";
     static override args = { job: Args.string({ description: "job id", required: true }) };
--- a/cli/knapweed/src/commands/job/submit.ts
+++ b/cli/knapweed/src/commands/job/submit.ts
@@ -6,11 +6,15 @@
 /** Uploads a file of items and creates a batch job from it. */
 export default class JobSubmit extends ApiCommand {
     static override description = "submit a batch job";
-    static override args = { file: Args.file({ description: "items, a JSON object a line", required: true }) };
+    static override args = {
+        file: Args.file({ description: "file of items, one JSON object per line", required: true }),
+    };
     static override flags = {
-        endpoint: Flags.string({ description: "path that the items are sent to", default: "/v1/chat/completions" }),
-        due: Flags.string({ description: "when the job is due, such as 24h", default: "24h" }),
-        "idempotency-key": Flags.string({ description: "the same key gives the same job" }),
+        endpoint: Flags.string({ description: "API path that each item is sent to", default: "/v1/chat/completions" }),
+        due: Flags.string({ description: "time until the job is due, such as 24h", default: "24h" }),
+        "idempotency-key": Flags.string({
+            description: "idempotency key; a repeated submission with the same key returns the same job",
+        }),
     };
 
     async run(): Promise<unknown> {
--- a/cli/knapweed/src/commands/platform/check.ts
+++ b/cli/knapweed/src/commands/platform/check.ts
@@ -3,11 +3,11 @@
 import { readFileSync } from "node:fs";
 import { KnapweedCommand } from "../../knapweedCommand.js";
 
-/** Checks a settings file of a process as the programs read it. */
+/** Checks the settings file of a gateway or runner with the decoder that these programs use. */
 export default class PlatformCheck extends KnapweedCommand {
-    static override description = "check the settings file of a gateway or runner, and show what is taken from it";
+    static override description = "check the settings file of a gateway or runner, and show the decoded settings";
     static override args = {
-        settings: Args.string({ required: true, description: "the settings file" }),
+        settings: Args.string({ required: true, description: "path of the settings file" }),
     };
 
     async run(): Promise<unknown> {
--- a/cli/knapweed/src/commands/platform/status.ts
+++ b/cli/knapweed/src/commands/platform/status.ts
@@ -9,12 +9,13 @@
 const TIMEOUT_MS = 2000;
 const BYTES_PER_MB = 1e6;
 
-/** Shows what the processes of a deployment say of themselves on their metrics addresses. */
+/** Shows a summary of the metrics of gateways and runners, read from their metrics endpoints. */
 export default class PlatformStatus extends KnapweedCommand {
-    static override description = "show requests, refusals, failures and memory of gateways and runners";
+    static override description =
+        "show call outcomes, lost key-value calls, memory and event loop delay of gateways and runners";
     static override strict = false;
     static override args = {
-        hosts: Args.string({ required: true, description: "addresses of the instances, with a port or without" }),
+        hosts: Args.string({ required: true, description: "addresses of the instances, as HOST or HOST:PORT" }),
     };
 
     async run(): Promise<unknown> {
--- a/cli/knapweed/src/commands/publish.ts
+++ b/cli/knapweed/src/commands/publish.ts
@@ -9,15 +9,17 @@
     difference: { recordKey: string; kind: string; }[];
 }
 
-/** Collects service files and puts them into force. */
+/** Collects service files and publishes them as a new configuration revision. */
 export default class Publish extends ApiCommand {
-    static override description = "collect knapweed.yaml files and put them into force";
+    static override description = "collect knapweed.yaml files and publish them as a new configuration revision";
     static override strict = false;
-    static override args = { folder: Args.directory({ description: "folder to collect from", required: true }) };
+    static override args = {
+        folder: Args.directory({ description: "folder to search for knapweed.yaml files", required: true }),
+    };
     static override flags = {
-        "dry-run": Flags.boolean({ description: "check and show the difference only" }),
-        wait: Flags.boolean({ description: "wait until the revision is in force everywhere" }),
-        message: Flags.string({ description: "why, for the audit trail", default: "" }),
+        "dry-run": Flags.boolean({ description: "validate the files and show the difference without publishing" }),
+        wait: Flags.boolean({ description: "wait until the revision is active on all processes" }),
+        message: Flags.string({ description: "reason of the change, recorded in the audit trail", default: "" }),
     };
 
     async run(): Promise<unknown> {
--- a/cli/knapweed/src/commands/rollback.ts
+++ b/cli/knapweed/src/commands/rollback.ts
@@ -1,10 +1,10 @@
 import { Args } from "@oclif/core";
 import { ApiCommand } from "../apiCommand.js";
 
-/** Publishes an earlier configuration again, as a new and higher revision. */
+/** Publishes the configuration of an earlier revision again, as a new and higher revision. */
 export default class Rollback extends ApiCommand {
-    static override description = "put an earlier revision into force again";
-    static override args = { revision: Args.integer({ description: "revision to go back to", required: true }) };
+    static override description = "publish the configuration of an earlier revision again";
+    static override args = { revision: Args.integer({ description: "revision to restore", required: true }) };
 
     async run(): Promise<unknown> {
         const { args, flags } = await this.parse(Rollback);
--- a/cli/knapweed/src/commands/schema.ts
+++ b/cli/knapweed/src/commands/schema.ts
@@ -7,11 +7,11 @@
 
 const KINDS = ["service-file", "entry-settings", "side-settings"] as const;
 
-/** Prints the JSON Schema of a YAML file, for editors. */
+/** Prints the JSON Schema of service files or of settings, for use in editors. */
 export default class Schema extends KnapweedCommand {
     static override description = "print the JSON Schema of service files or settings, for editors";
     static override args = {
-        kind: Args.option({ options: KINDS })({ description: "which file", required: true }),
+        kind: Args.option({ options: KINDS })({ description: "type of file", required: true }),
     };
 
     async run(): Promise<unknown> {
--- a/cli/knapweed/src/commands/service/list.ts
+++ b/cli/knapweed/src/commands/service/list.ts
@@ -9,7 +9,7 @@
     models: { name: string; version: string; }[];
 }
 
-/** Lists the services in force. */
+/** Lists the services of the active configuration. */
 export default class ServiceList extends ApiCommand {
     static override description = "list services";
 
--- a/cli/knapweed/src/commands/service/show.ts
+++ b/cli/knapweed/src/commands/service/show.ts
@@ -1,7 +1,7 @@
 import { Args } from "@oclif/core";
 import { ApiCommand } from "../../apiCommand.js";
 
-/** Shows a service as it is in force. */
+/** Shows a service of the active configuration. */
 export default class ServiceShow extends ApiCommand {
     static override description = "show a service";
     static override args = { service: Args.string({ description: "name of the service", required: true }) };
--- a/cli/knapweed/src/commands/standin/engine.ts
+++ b/cli/knapweed/src/commands/standin/engine.ts
@@ -3,13 +3,13 @@
 import { Flags } from "@oclif/core";
 import { StandinCommand } from "../../standinCommand.js";
 
-/** Runs the stand-in of a model engine as a process of its own. */
+/** Runs the stand-in of a model engine in a separate process. */
 export default class StandinEngine extends StandinCommand {
     static override description = "stand-in: model engine";
     static override flags = {
-        model: Flags.string({ description: "model loaded from the start, NAME or NAME:VERSION", multiple: true }),
-        seed: Flags.integer({ description: "seed of its random numbers", default: 1 }),
-        "checks-fencing": Flags.boolean({ description: "refuse orders with an old fencing number" }),
+        model: Flags.string({ description: "model loaded at startup, as NAME or NAME:VERSION", multiple: true }),
+        seed: Flags.integer({ description: "random seed", default: 1 }),
+        "checks-fencing": Flags.boolean({ description: "reject orders with an outdated fencing number" }),
     };
 
     async run(): Promise<unknown> {
--- a/cli/knapweed/src/commands/standin/instance-list.ts
+++ b/cli/knapweed/src/commands/standin/instance-list.ts
@@ -2,7 +2,7 @@
 import { InstanceListServer } from "@knapweedwood/standins.instance-list/instanceListServer";
 import { StandinCommand } from "../../standinCommand.js";
 
-/** Runs the stand-in of the platform's instance-list as a process of its own. */
+/** Runs the stand-in of the platform's instance list in a separate process. */
 export default class StandinInstanceList extends StandinCommand {
     static override description = "stand-in: instance-list";
 
--- a/cli/knapweed/src/commands/standin/service.ts
+++ b/cli/knapweed/src/commands/standin/service.ts
@@ -2,7 +2,7 @@
 import { ServiceServer } from "@knapweedwood/standins.service/serviceServer";
 import { StandinCommand } from "../../standinCommand.js";
 
-/** Runs the stand-in of a plain service as a process of its own. */
+/** Runs the stand-in of a plain service in a separate process. */
 export default class StandinService extends StandinCommand {
     static override description = "stand-in: service";
 
--- a/cli/knapweed/src/commands/status.ts
+++ b/cli/knapweed/src/commands/status.ts
@@ -3,9 +3,9 @@
 import type { FleetResponse } from "../fleetResponse.js";
 import { formatFleet } from "../formatFleet.js";
 
-/** Shows instances, upstreams with their load, and on how many processes the configuration is in force. */
+/** Shows instances, upstreams with their load, and on how many processes the configuration is active. */
 export default class Status extends ApiCommand {
-    static override description = "show the fleet and the configuration in force";
+    static override description = "show the fleet and the active configuration";
 
     async run(): Promise<unknown> {
         const { flags } = await this.parse(Status);
--- a/cli/knapweed/src/commands/team/create.ts
+++ b/cli/knapweed/src/commands/team/create.ts
@@ -6,11 +6,11 @@
     static override description = "create a team";
     static override args = { team: Args.string({ description: "team id", required: true }) };
     static override flags = {
-        name: Flags.string({ description: "name shown to people" }),
+        name: Flags.string({ description: "display name" }),
         weight: Flags.integer({ description: "share of contended capacity, relative to other teams", default: 1 }),
-        "requests-per-second": Flags.integer({ description: "limit of requests a second" }),
-        "tokens-per-second": Flags.integer({ description: "limit of tokens a second" }),
-        concurrency: Flags.integer({ description: "limit of calls in progress" }),
+        "requests-per-second": Flags.integer({ description: "maximum requests per second" }),
+        "tokens-per-second": Flags.integer({ description: "maximum tokens per second" }),
+        concurrency: Flags.integer({ description: "maximum concurrent calls" }),
     };
 
     async run(): Promise<unknown> {
--- a/cli/knapweed/src/commands/team/key.ts
+++ b/cli/knapweed/src/commands/team/key.ts
@@ -1,14 +1,14 @@
 import { Args, Flags } from "@oclif/core";
 import { ApiCommand } from "../../apiCommand.js";
 
-/** Creates a key of a team, lists its keys, or revokes one. */
+/** Creates, lists or revokes API keys of a team. */
 export default class TeamKey extends ApiCommand {
     static override description = "create, list or revoke keys of a team";
     static override args = { team: Args.string({ description: "team id", required: true }) };
     static override flags = {
-        name: Flags.string({ description: "what the key is for", default: "key" }),
+        name: Flags.string({ description: "name of the key", default: "key" }),
         role: Flags.option({ options: ["caller", "team-operator", "platform-operator"] as const })({
-            description: "what the key's holder may do",
+            description: "role of the key, which sets the operations that it permits",
             default: "caller",
         }),
         list: Flags.boolean({ description: "list the team's keys", exclusive: ["revoke"] }),
--- a/cli/knapweed/src/commands/top.ts
+++ b/cli/knapweed/src/commands/top.ts
@@ -9,12 +9,12 @@
 const CLEAR_SCREEN = "\u001b[2J\u001b[H";
 const MS_PER_SECOND = 1000;
 
-/** Shows the fleet live in a terminal. */
+/** Shows the fleet in a terminal and refreshes it periodically. */
 export default class Top extends ApiCommand {
-    static override description = "show the fleet live";
+    static override description = "show the fleet and refresh it periodically";
     static override flags = {
-        interval: Flags.integer({ description: "seconds between two pictures", default: 1, min: 1 }),
-        count: Flags.integer({ description: "pictures shown; without end where it is left out", min: 1 }),
+        interval: Flags.integer({ description: "seconds between refreshes", default: 1, min: 1 }),
+        count: Flags.integer({ description: "number of times to show the fleet; unlimited if omitted", min: 1 }),
     };
 
     async run(): Promise<unknown> {
--- a/cli/knapweed/src/fleetResponse.ts
+++ b/cli/knapweed/src/fleetResponse.ts
@@ -1,4 +1,4 @@
-/** The fleet, as the operators' API shows it. */
+/** Response of the operators' API about the fleet: its instances and upstreams. */
 export interface FleetResponse {
     revision: number;
     instances: {
--- a/cli/knapweed/src/formatFleet.ts
+++ b/cli/knapweed/src/formatFleet.ts
@@ -2,8 +2,8 @@
 import type { FleetResponse } from "./fleetResponse.js";
 import { formatTable } from "./formatTable.js";
 
-/** The fleet as lines of text, shape [lines]. */
-export function formatFleet(fleet: FleetResponse, activeRevision: ActiveRevisionResponse): string[] {
+/** Formats the fleet and the active revision as lines of text, shape [lines]. */
+export function formatFleet(fleet: FleetResponse, active: ActiveRevisionResponse): string[] {
     const instances = fleet.instances.map(instance => [
         instance.instanceId,
         instance.kind,
@@ -22,7 +22,7 @@
         upstream.batchRunning,
         upstream.batchQueued,
     ]);
-    const missing = activeRevision.missing.length === 0 ? "" : `; missing: ${activeRevision.missing.join(", ")}`;
+    const missing = active.missing.length === 0 ? "" : `; missing: ${active.missing.join(", ")}`;
     return [
         formatTable(["INSTANCE", "KIND", "ZONE", "STATE", "LINK", "SERVICE"], instances),
         "",
@@ -31,6 +31,6 @@
             upstreams,
         ),
         "",
-        `Configuration revision ${activeRevision.revision} in force on ${activeRevision.reached} of ${activeRevision.total}${missing}`,
+        `Configuration revision ${active.revision} in force on ${active.reached} of ${active.total}${missing}`,
     ];
 }
--- a/cli/knapweed/src/knapweedCommand.ts
+++ b/cli/knapweed/src/knapweedCommand.ts
@@ -1,7 +1,7 @@
 import { toKnapweedError } from "@knapweedwood/core.errors/toKnapweedError";
 import { Command } from "@oclif/core";
 
-/** What all commands share: `--json`, and errors with their code and hint. */
+/** Base class of all commands. Adds `--json` and reports errors with their code and hint. */
 export abstract class KnapweedCommand extends Command {
     static override enableJsonFlag = true;
 
--- a/cli/knapweed/src/standinCommand.ts
+++ b/cli/knapweed/src/standinCommand.ts
@@ -7,7 +7,7 @@
     close(): Promise<void>;
 }
 
-/** A command that runs a stand-in until it is told to stop. */
+/** Base class of commands that run a stand-in until SIGINT or SIGTERM. */
 export abstract class StandinCommand extends KnapweedCommand {
     static override baseFlags: Interfaces.FlagInput = {
         host: Flags.string({ description: "address to listen on", default: "127.0.0.1" }),
--- a/cli/knapweed/src/summarizeMetrics.ts
+++ b/cli/knapweed/src/summarizeMetrics.ts
@@ -7,7 +7,10 @@
 const SAMPLE = /^(\w+)(?:\{(.*)\})? (\S+)$/u;
 const LABEL = /(\w+)="([^"]*)"/gu;
 
-/** Reads the figures that an operator looks at first from a page of metrics. */
+/**
+ * Summarizes metrics in the Prometheus text format: calls by outcome, lost key-value calls, memory and event loop
+ * delay. Values are summed over all labels; a metric that is absent counts as 0.
+ */
 export function summarizeMetrics(metricsText: string) {
     const samples = metricsText.split("\n").flatMap(parseSample);
     const sum = (name: string, labels: Sample["labels"] = {}) =>
--- a/cli/knapweed/src/waitForSignal.ts
+++ b/cli/knapweed/src/waitForSignal.ts
@@ -1,4 +1,4 @@
-/** Resolves at the first SIGINT or SIGTERM. */
+/** Resolves when the process receives SIGINT or SIGTERM. */
 export function waitForSignal(): Promise<void> {
     return new Promise(resolve => {
         process.once("SIGINT", () => resolve());
--- a/cli/knapweed/src/waitUntilActive.ts
+++ b/cli/knapweed/src/waitUntilActive.ts
@@ -7,7 +7,10 @@
 const CHECK_INTERVAL_MS = 200;
 const TIMEOUT_MS = 30_000;
 
-/** Waits until a revision is in force everywhere. Throws `NOT_IN_FORCE` that names the missing processes. */
+/**
+ * Waits until a revision is active on all processes. Rejects with `NOT_IN_FORCE` after 30 s; the message names the
+ * instances that have not activated it.
+ */
 export async function waitUntilActive(client: ApiClient, revision: number): Promise<ActiveRevisionResponse> {
     const clock = new SystemClock();
     const endMs = clock.nowMs() + TIMEOUT_MS;
@@ -19,7 +22,10 @@
             return activeRevision;
         }
         if (clock.nowMs() > endMs) {
-            throw new KnapweedError("NOT_IN_FORCE", `Still missing: ${activeRevision.missing.join(", ")}`);
+            throw new KnapweedError(
+                "NOT_IN_FORCE",
+                `The revision is not active yet on ${activeRevision.missing.join(", ")}`,
+            );
         }
         await sleep(clock, CHECK_INTERVAL_MS);
     }
--- a/cli/knapweed/test/summarizeMetrics.test.ts
+++ b/cli/knapweed/test/summarizeMetrics.test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import { summarizeMetrics } from "../src/summarizeMetrics.js";
 
-test("figures are summed over kinds, and absent ones are zero", async () => {
+test("values are summed over labels, and absent metrics are zero", async () => {
     const metrics = new PrometheusMetrics();
     metrics.increment("calls_total", { kind: "stream", outcome: "call-answered" }, 3);
     metrics.increment("calls_total", { kind: "idempotent", outcome: "call-answered" }, 4);
