--- a/cli/quickstart/src/isExpectedOutcome.ts
+++ b/cli/quickstart/src/isExpectedOutcome.ts
@@ -1,6 +1,9 @@
 import type { QuickstartOutcome } from "./quickstartOutcome.js";
 
-/** Whether every promise of the main job holds. */
+/**
+ * Returns whether every call was answered with the expected text, no item was lost or duplicated, and exactly the
+ * expected number of items failed.
+ */
 export function isExpectedOutcome(outcome: QuickstartOutcome, expected: { failedItemCount: number; }): boolean {
     return outcome.callsAnswered === outcome.callsSent
         && outcome.callsWrong === 0
--- a/cli/quickstart/src/main.ts
+++ b/cli/quickstart/src/main.ts
@@ -14,5 +14,5 @@
 });
 const outcome = await scenario.run();
 printOutcome(outcome);
-// The crashed side of the run may hold timers of its own, which a process that lives on would have to wait for.
+// Timers of the crashed side may still be active and would keep the process running.
 process.exit(isExpectedOutcome(outcome, { failedItemCount: FAILING_ITEMS.size }) ? 0 : 1);
--- a/cli/quickstart/src/onlineCaller.ts
+++ b/cli/quickstart/src/onlineCaller.ts
@@ -11,7 +11,7 @@
     latencyMs: number;
 }
 
-/** Sends online calls, one after another on each of the URLs, until told to stop. */
+/** Sends online calls to each URL, one at a time per URL, until stopped. */
 export class OnlineCaller {
     readonly results: CallResult[] = [];
     private readonly opts: { urls: string[]; key: string; clock: Clock; };
--- a/cli/quickstart/src/quickstartOutcome.ts
+++ b/cli/quickstart/src/quickstartOutcome.ts
@@ -1,8 +1,8 @@
-/** What the main job came to. */
+/** Counts and latencies of a quickstart run, with its failed items. */
 export interface QuickstartOutcome {
     callsSent: number;
     callsAnswered: number;
-    /** Calls whose text was not the one expected. */
+    /** Answered calls whose text differs from the expected text. */
     callsWrong: number;
     latenciesMs: number[];
     itemsAccepted: number;
--- a/cli/quickstart/src/quickstartScenario.ts
+++ b/cli/quickstart/src/quickstartScenario.ts
@@ -28,7 +28,7 @@
     error: { code: string; } | null;
 }
 
-/** Online calls and a batch job on one embedded deployment; one side is killed on the way. */
+/** Runs online calls and a batch job on one embedded deployment, and crashes one side during the job. */
 export class QuickstartScenario {
     private readonly clock = new SystemClock();
     private readonly key = randomBytes(KEY_BYTES).toString("base64url");
@@ -79,7 +79,7 @@
         return await this.call("POST", "/v1/batches", JSON.stringify(job)) as Batch;
     }
 
-    /** Shows progress until the job has ended; kills a side once a fifth of the items is done. */
+    /** Reports progress until the job has ended. Crashes a side once more than a fifth of the items have completed. */
     private async waitForJob(jobId: string): Promise<Batch> {
         const endMs = this.clock.nowMs() + JOB_TIMEOUT_MS;
         let isSideKilled = false;
@@ -97,7 +97,7 @@
             }
             await sleep(this.clock, PROGRESS_INTERVAL_MS);
         }
-        throw new KnapweedError("QUICKSTART_TIMEOUT", "The batch job did not end in time");
+        throw new KnapweedError("QUICKSTART_TIMEOUT", "The batch job did not finish before the timeout");
     }
 
     private async buildOutcome(batch: Batch, online: OnlineCaller): Promise<QuickstartOutcome> {
