--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,4 +1,4 @@
-// Bundles each program of a fleet to one file under target/, straight from the sources, and caches its compiled code.
+// Bundles each program of a fleet from its TypeScript sources into one file in target/, and caches its compiled code.
 import { build } from "esbuild";
 import { execFileSync } from "node:child_process";
 import { copyFileSync, mkdirSync, readFileSync } from "node:fs";
--- a/scripts/cacheCode.cjs
+++ b/scripts/cacheCode.cjs
@@ -1,5 +1,5 @@
-// Writes the compiled code of a bundled program beside it: node FLAGS scripts/cacheCode.cjs PROGRAM
-// V8 takes a cache only from a process with the same flags, so this runs with those of the program.
+// Writes the V8 code cache of a bundled program next to it: node FLAGS scripts/cacheCode.cjs PROGRAM
+// V8 accepts a code cache only from a process with the same flags, so FLAGS must be those of the program.
 const { rmSync, writeFileSync } = require("node:fs");
 const path = require("node:path");
 
@@ -7,9 +7,9 @@
 const program = process.argv[2];
 const cacheFile = path.join(target, `${program}.cache`);
 rmSync(cacheFile, { force: true });
-// Without settings the program would end the process; what it has loaded by then is what is cached.
+// Without settings the program calls process.exit. The cache contains the code that was compiled until then.
 process.exit = () => {
-    throw new Error("ended by the program");
+    throw new Error("The program called process.exit");
 };
 process.on("unhandledRejection", () => undefined);
 const script = require(path.join(target, "launch.cjs"));
--- a/scripts/errorCodes.mjs
+++ b/scripts/errorCodes.mjs
@@ -1,4 +1,4 @@
-// Writes docs/operators/errors.md: every stable error code, with the message it comes with and where it is thrown.
+// Writes docs/operators/errors.md, a table of all stable error codes with their messages and packages.
 import { readdirSync, readFileSync, writeFileSync } from "node:fs";
 import path from "node:path";
 
--- a/scripts/launch.cjs
+++ b/scripts/launch.cjs
@@ -1,4 +1,4 @@
-// Runs a bundled program from compiled code that was cached when it was built: a restarted process serves sooner.
+// Runs a bundled program with the code cache that was written at build time, so that a restarted process starts faster.
 const { existsSync, readFileSync } = require("node:fs");
 const path = require("node:path");
 const { Script } = require("node:vm");
--- a/scripts/newPackage.mjs
+++ b/scripts/newPackage.mjs
@@ -1,4 +1,4 @@
-// Creates an empty package: node scripts/newPackage.mjs DOMAIN/NAME "What it is for" [dependency …]
+// Creates an empty package: node scripts/newPackage.mjs DOMAIN/NAME DESCRIPTION [DEPENDENCY …]
 import { existsSync, mkdirSync, readFileSync, writeFileSync } from "node:fs";
 import path from "node:path";
 
--- a/scripts/runTests.mjs
+++ b/scripts/runTests.mjs
@@ -1,4 +1,5 @@
-// Runs every built test file with node:test. Failures listed in KNOWN-RED.txt are printed and passed over.
+// Runs all compiled test files with node:test. Failures of tests listed in KNOWN-RED.txt are printed,
+// but do not fail the run.
 import { existsSync, readdirSync, readFileSync } from "node:fs";
 import path from "node:path";
 import { run } from "node:test";
--- a/scripts/undiciClients.mjs
+++ b/scripts/undiciClients.mjs
@@ -1,4 +1,5 @@
-// Stands in for undici in bundles: only its clients, since the rest of the package doubles the time a program takes to start.
+// Replaces undici in bundles and exports only its clients. The whole package would double the startup time of a
+// program.
 import api from "undici/lib/api/index.js";
 import Client from "undici/lib/dispatcher/client.js";
 import Dispatcher from "undici/lib/dispatcher/dispatcher.js";
--- a/scripts/updateReferences.mjs
+++ b/scripts/updateReferences.mjs
@@ -1,4 +1,5 @@
-// Keeps the TypeScript project references in step with the workspace dependencies of each package.json.
+// Updates the TypeScript project references from the workspace dependencies in each package.json. With --check it only
+// reports differences.
 import { existsSync, readdirSync, readFileSync, writeFileSync } from "node:fs";
 import path from "node:path";
 
@@ -14,7 +15,7 @@
 const folderByName = new Map(packages.map(folder => [readJson(path.join(root, folder, "package.json")).name, folder]));
 
 const stale = [];
-/** Imports without a dependency: such a package builds or not by the order of the others. */
+/** Imports of packages that package.json does not list. Whether such a package builds depends on the build order. */
 const undeclared = [];
 const write = (file, value) => {
     const text = `${JSON.stringify(value, undefined, 4)}\n`;
@@ -27,7 +28,7 @@
     }
 };
 
-/** Packages of this workspace that the sources of one import, shape [names]. */
+/** Returns the names of the workspace packages that a package imports, shape [names]. */
 const importedBy = folder =>
     ["src", "test"]
         .map(part => path.join(root, folder, part))
@@ -58,10 +59,10 @@
 write(path.join(root, "tsconfig.json"), { files: [], references: packages.map(folder => ({ path: folder })) });
 
 if (undeclared.length > 0) {
-    console.error(`Declare in package.json: ${undeclared.join(", ")}`);
+    console.error(`Dependencies missing in package.json: ${undeclared.join(", ")}`);
     process.exit(1);
 }
 if (check && stale.length > 0) {
-    console.error(`Stale, run node scripts/updateReferences.mjs: ${stale.join(", ")}`);
+    console.error(`Project references are outdated, run node scripts/updateReferences.mjs: ${stale.join(", ")}`);
     process.exit(1);
 }
