--- a/cli/knapweed/src/activeRevisionResponse.ts
+++ b/cli/knapweed/src/activeRevisionResponse.ts
@@ -1,8 +1,8 @@
-/** Response of the operators' API about the active revision: on how many processes it is active. */
+/** Response of the operators' API that says on how many processes a revision is active. */
 export interface ActiveRevisionResponse {
     revision: number;
     reached: number;
     total: number;
-    /** Instances that have not reported the revision as active, shape [instances]. */
+    /** Instances that have not said so, shape [instances]. */
     missing: string[];
 }
--- a/cli/knapweed/src/waitUntilActive.ts
+++ b/cli/knapweed/src/waitUntilActive.ts
@@ -7,25 +7,17 @@
 const CHECK_INTERVAL_MS = 200;
 const TIMEOUT_MS = 30_000;
 
-/**
- * Waits until a revision is active on all processes. Rejects with `NOT_IN_FORCE` after 30 s; the message names the
- * instances that have not activated it.
- */
+/** Waits until a revision is active everywhere. Rejects with `NOT_IN_FORCE` and the missing instances after 30 s. */
 export async function waitUntilActive(client: ApiClient, revision: number): Promise<ActiveRevisionResponse> {
     const clock = new SystemClock();
     const endMs = clock.nowMs() + TIMEOUT_MS;
     for (;;) {
-        const activeRevision = await client.get(
-            "/admin/v1/configuration/in-force",
-        ) as unknown as ActiveRevisionResponse;
-        if (activeRevision.revision >= revision && activeRevision.missing.length === 0) {
-            return activeRevision;
+        const report = await client.get("/admin/v1/configuration/in-force") as unknown as ActiveRevisionResponse;
+        if (report.revision >= revision && report.missing.length === 0) {
+            return report;
         }
         if (clock.nowMs() > endMs) {
-            throw new KnapweedError(
-                "NOT_IN_FORCE",
-                `The revision is not active yet on ${activeRevision.missing.join(", ")}`,
-            );
+            throw new KnapweedError("NOT_IN_FORCE", `The revision is not active yet on ${report.missing.join(", ")}`);
         }
         await sleep(clock, CHECK_INTERVAL_MS);
     }
--- a/cli/quickstart/src/isExpectedOutcome.ts
+++ b/cli/quickstart/src/isExpectedOutcome.ts
@@ -1,9 +1,6 @@
 import type { QuickstartOutcome } from "./quickstartOutcome.js";
 
-/**
- * Returns whether every call was answered with the expected text, no item was lost or duplicated, and exactly the
- * expected number of items failed.
- */
+/** Returns whether all calls got correct responses, each item ended once, and the expected number of items failed. */
 export function isExpectedOutcome(outcome: QuickstartOutcome, expected: { failedItemCount: number; }): boolean {
     return outcome.callsAnswered === outcome.callsSent
         && outcome.callsWrong === 0
