--- a/cli/knapweed/src/commands/explain.ts
+++ b/cli/knapweed/src/commands/explain.ts
@@ -27,13 +27,9 @@
         await readLines(files, line => timeline.addContext(line));
         const entries = timeline.entries();
         if (entries.length === 0) {
-            throw new KnapweedError(
-                "ID_NOT_IN_LOGS",
-                `No log line in ${files.length} files contains the id ${args.id}`,
-                {
-                    hint: "Pass the logs of all gateways and runners. Unread output is dropped, see log-lines-dropped.",
-                },
-            );
+            throw new KnapweedError("ID_NOT_IN_LOGS", `No log line in ${files.length} files has the id ${args.id}`, {
+                hint: "Pass the logs of all gateways and runners. Unread output is dropped, see log-lines-dropped.",
+            });
         }
         formatTimeline(entries).forEach(line => this.log(line));
         return entries;
