--- a/scripts/updateReferences.mjs
+++ b/scripts/updateReferences.mjs
@@ -15,7 +15,7 @@
 const folderByName = new Map(packages.map(folder => [readJson(path.join(root, folder, "package.json")).name, folder]));
 
 const stale = [];
-/** Imports of packages that package.json does not list. Whether such a package builds depends on the build order. */
+/** Imports of packages that package.json does not list. Whether the importer builds depends on the build order. */
 const undeclared = [];
 const write = (file, value) => {
     const text = `${JSON.stringify(value, undefined, 4)}\n`;
