--- a/bench/capacity/src/measureBatch.ts
+++ b/bench/capacity/src/measureBatch.ts
@@ -6,7 +6,7 @@
 import type { TeamId } from "@knapweedwood/core.ids/teamId";
 import { SeededRandom } from "@knapweedwood/core.random/seededRandom";
 import { defaultSimulationOptions } from "@knapweedwood/fuzz.promises/defaultSimulationOptions";
-import { InstanceGate } from "@knapweedwood/fuzz.promises/instanceGate";
+import { InstanceLifecycle } from "@knapweedwood/fuzz.promises/instanceLifecycle";
 import { MemoryEndpoint } from "@knapweedwood/fuzz.promises/memoryEndpoint";
 import { MemorySegmentStore } from "@knapweedwood/fuzz.promises/memorySegmentStore";
 import { SimulatedEntry } from "@knapweedwood/fuzz.promises/simulatedEntry";
@@ -164,7 +164,7 @@
     const endpoint = new MemoryEndpoint({
         identity: { instanceId: "driver", incarnation: 1, kind: "side", zone: "zone-0", region: "test" } as never,
         address: "driver:1",
-        gate: new InstanceGate(),
+        lifecycle: new InstanceLifecycle(),
         network: platform.network,
     });
     return new LinkBatchSource({
--- a/fuzz/promises/src/checkOutcome.ts
+++ b/fuzz/promises/src/checkOutcome.ts
@@ -3,8 +3,8 @@
 import type { FileId } from "@knapweedwood/core.ids/fileId";
 import type { TeamId } from "@knapweedwood/core.ids/teamId";
 import type { JsonObject } from "@knapweedwood/engines.model-engine/jsonObject";
-import { answerOf } from "./answerOf.js";
-import type { FuzzWorld } from "./fuzzWorld.js";
+import { answerOf } from "./upstreamResponse.js";
+import type { FuzzWorld } from "./fuzzCase.js";
 import { promiseViolation } from "./promiseViolation.js";
 import type { Submission } from "./submission.js";
 
--- a/fuzz/promises/src/fleet.ts
+++ b/fuzz/promises/src/fleet.ts
@@ -28,7 +28,7 @@
         this.dataFolders = Array.from({ length: ENTRY_COUNT }, () => new MemorySegmentStore());
         this.entries = this.dataFolders.map((_, index) => this.createEntry(index));
         this.platform.holders = () =>
-            this.entries.filter(entry => !entry.gate.dead).map(entry => ({
+            this.entries.filter(entry => !entry.lifecycle.dead).map(entry => ({
                 instanceId: entry.instanceId,
                 zone: entry.zone,
                 address: entry.address,
@@ -43,7 +43,7 @@
     }
 
     leaseIds(): string[] {
-        return this.entries.filter(entry => !entry.gate.dead).flatMap(entry => [...entry.leaseIds]);
+        return this.entries.filter(entry => !entry.lifecycle.dead).flatMap(entry => [...entry.leaseIds]);
     }
 
     /** Lets time pass until `work` is done. */
@@ -60,7 +60,7 @@
     /** An entry that can take a call now. */
     liveEntry(preferred: number): SimulatedEntry | undefined {
         const order = this.entries.map((_, offset) => this.entries[(preferred + offset) % ENTRY_COUNT]);
-        return order.find(entry => !entry.gate.dead && !entry.gate.paused);
+        return order.find(entry => !entry.lifecycle.dead && !entry.lifecycle.paused);
     }
 
     crashEntry(index: number): void {
@@ -74,7 +74,7 @@
     }
 
     crashSide(index: number): void {
-        if (this.sides[index].gate.dead) {
+        if (this.sides[index].lifecycle.dead) {
             return;
         }
         this.sides[index].crash();
@@ -91,12 +91,12 @@
         this.platform.keyValue.faults.delayMs = 0;
         this.platform.network.heal();
         this.dataFolders.forEach(folder => folder.isFull = false);
-        this.entries.forEach(entry => entry.gate.resume());
-        this.sides.forEach(side => side.gate.resume());
+        this.entries.forEach(entry => entry.lifecycle.resume());
+        this.sides.forEach(side => side.lifecycle.resume());
     }
 
     private replaceEntry(index: number): void {
-        if (this.entries[index].gate.dead) {
+        if (this.entries[index].lifecycle.dead) {
             this.entries[index] = this.createEntry(index);
             this.entries[index].start();
         }
@@ -119,7 +119,7 @@
             incarnation: this.startCount++,
             service: SERVICES[index],
             seed: this.nextSeed(),
-            entries: () => this.entries.filter(entry => !entry.gate.dead).map(entry => entry.address),
+            entries: () => this.entries.filter(entry => !entry.lifecycle.dead).map(entry => entry.address),
             onCrash: () => this.crashSide(index),
         });
     }
--- a/fuzz/promises/src/fuzzWorld.ts
+++ b/fuzz/promises/src/fuzzCase.ts
@@ -77,12 +77,12 @@
                 this.noteFault(0);
                 return this.withEntry(step.entry, index => void fleet.stopEntry(index));
             case "pause-entry":
-                return this.withEntry(step.entry, index => this.pause(fleet.entries[index].gate, step.durationMs));
+                return this.withEntry(step.entry, index => this.pause(fleet.entries[index].lifecycle, step.durationMs));
             case "crash-side":
                 this.noteFault(0);
                 return fleet.crashSide(step.side % fleet.sides.length);
             case "pause-side":
-                return this.pause(fleet.sides[step.side % fleet.sides.length].gate, step.durationMs);
+                return this.pause(fleet.sides[step.side % fleet.sides.length].lifecycle, step.durationMs);
             case "outage":
                 keyValue.faults.outage = true;
                 return this.endLater(step.durationMs, () => keyValue.faults.outage = false);
@@ -138,14 +138,14 @@
 
     private withEntry(preferred: number, action: (index: number) => void): void {
         const index = preferred % this.fleet.entries.length;
-        if (!this.fleet.entries[index].gate.dead) {
+        if (!this.fleet.entries[index].lifecycle.dead) {
             action(index);
         }
     }
 
-    private pause(gate: { pause(): void; resume(): void; }, durationMs: number): void {
-        gate.pause();
-        this.endLater(durationMs, () => gate.resume());
+    private pause(lifecycle: { pause(): void; resume(): void; }, durationMs: number): void {
+        lifecycle.pause();
+        this.endLater(durationMs, () => lifecycle.resume());
     }
 
     private endLater(durationMs: number, end: () => void): void {
--- a/fuzz/promises/src/fuzzCommand.ts
+++ b/fuzz/promises/src/fuzzCommand.ts
@@ -1,5 +1,5 @@
 import type fc from "fast-check";
-import type { FuzzWorld } from "./fuzzWorld.js";
+import type { FuzzWorld } from "./fuzzCase.js";
 import type { Step } from "./step.js";
 
 /** One step, as fast-check runs and shrinks it. */
--- a/fuzz/promises/src/fuzzPromises.ts
+++ b/fuzz/promises/src/fuzzPromises.ts
@@ -3,9 +3,9 @@
 import { defaultSimulationOptions } from "./defaultSimulationOptions.js";
 import { FuzzCommand } from "./fuzzCommand.js";
 import type { FuzzReport } from "./fuzzReport.js";
-import { FuzzWorld } from "./fuzzWorld.js";
+import { FuzzWorld } from "./fuzzCase.js";
 import type { SimulationOptions } from "./simulationOptions.js";
-import { stepArbitraries } from "./stepArbitrary.js";
+import { stepArbitraries } from "./stepArbitraries.js";
 
 const MAX_COMMANDS = 40;
 const MAX_SEED = 1_000_000;
--- a/fuzz/promises/src/instanceGate.ts
+++ b/fuzz/promises/src/instanceLifecycle.ts
@@ -1,8 +1,8 @@
 /** Stops everything that an instance does while it is paused, and for good once it is dead. */
-export class InstanceGate {
+export class InstanceLifecycle {
     private isPaused = false;
     private isDead = false;
-    private waiting: (() => void)[] = [];
+    private deferredActions: (() => void)[] = [];
 
     get dead(): boolean {
         return this.isDead;
@@ -18,14 +18,14 @@
 
     resume(): void {
         this.isPaused = false;
-        const actions = this.waiting;
-        this.waiting = [];
+        const actions = this.deferredActions;
+        this.deferredActions = [];
         actions.forEach(action => this.run(action));
     }
 
     kill(): void {
         this.isDead = true;
-        this.waiting = [];
+        this.deferredActions = [];
     }
 
     /** Runs `action` now, once the instance is resumed, or never. */
@@ -34,14 +34,14 @@
             return;
         }
         if (this.isPaused) {
-            this.waiting.push(action);
+            this.deferredActions.push(action);
             return;
         }
         action();
     }
 
     /** Resolves once the instance runs; never where it is dead. */
-    pass(): Promise<void> {
+    whenRunning(): Promise<void> {
         return new Promise(resolve => this.run(resolve));
     }
 }
--- a/fuzz/promises/src/keyedCaller.ts
+++ b/fuzz/promises/src/keyedCaller.ts
@@ -21,7 +21,7 @@
 
     async call(entry: SimulatedEntry, opts: { key: string; runMs: number; loseAnswer: boolean; }): Promise<void> {
         const call = await this.attempt(entry, opts);
-        if (call === undefined || entry.gate.dead) {
+        if (call === undefined || entry.lifecycle.dead) {
             return;
         }
         this.oracle.keyedCalls.push(call);
@@ -47,7 +47,7 @@
                 requestDigest: key,
                 timeoutMs: 20_000,
             });
-            await entry.gate.pass();
+            await entry.lifecycle.whenRunning();
             switch (claim.kind) {
                 case "granted":
                     return await this.run(entry, { ...opts, token: claim.token });
@@ -78,7 +78,7 @@
         const { key } = opts;
         const body = this.execute(key);
         await sleep(this.fleet.clock, opts.runMs);
-        await entry.gate.pass();
+        await entry.lifecycle.whenRunning();
         if (opts.loseAnswer) {
             return { key, outcome: "unknown", body: undefined };
         }
--- a/fuzz/promises/src/memoryEndpoint.ts
+++ b/fuzz/promises/src/memoryEndpoint.ts
@@ -5,7 +5,7 @@
 import type { LinkEndpoint } from "@knapweedwood/links.calls/linkEndpoint";
 import type { NotificationDefinition } from "@knapweedwood/links.calls/notificationDefinition";
 import type { PeerIdentity } from "@knapweedwood/links.calls/peerIdentity";
-import type { InstanceGate } from "./instanceGate.js";
+import type { InstanceLifecycle } from "./instanceLifecycle.js";
 import { MemoryLink } from "./memoryLink.js";
 import type { MemoryNetwork } from "./memoryNetwork.js";
 
@@ -16,15 +16,15 @@
 export class MemoryEndpoint implements LinkEndpoint {
     readonly identity: PeerIdentity;
     readonly address: string;
-    readonly gate: InstanceGate;
+    readonly lifecycle: InstanceLifecycle;
     private readonly network: MemoryNetwork;
     private readonly handlers = new Map<string, AnyHandler>();
     private readonly receivers = new Map<string, AnyReceiver>();
 
-    constructor(opts: { identity: PeerIdentity; address: string; gate: InstanceGate; network: MemoryNetwork; }) {
+    constructor(opts: { identity: PeerIdentity; address: string; lifecycle: InstanceLifecycle; network: MemoryNetwork; }) {
         this.identity = opts.identity;
         this.address = opts.address;
-        this.gate = opts.gate;
+        this.lifecycle = opts.lifecycle;
         this.network = opts.network;
         opts.network.add(this);
     }
@@ -50,7 +50,7 @@
 
     links(): Link[] {
         return this.network.all()
-            .filter(other => other !== this && !other.gate.dead && !this.network.isSilent(this.address, other.address))
+            .filter(other => other !== this && !other.lifecycle.dead && !this.network.isSilent(this.address, other.address))
             .map(other => this.connect(other.address));
     }
 
@@ -61,7 +61,7 @@
 
     /** Runs the handler of a call. */
     async answer(name: string, request: unknown, peer: PeerIdentity): Promise<unknown[]> {
-        await this.gate.pass();
+        await this.lifecycle.whenRunning();
         const handler = this.handlers.get(name);
         if (handler === undefined) {
             throw new KnapweedError("LINK_NO_HANDLER", `No handler for ${name}`, { outcome: "not-run" });
@@ -71,11 +71,11 @@
         for await (const frame of handler(request, context)) {
             frames.push(frame);
         }
-        await this.gate.pass();
+        await this.lifecycle.whenRunning();
         return frames;
     }
 
     deliver(name: string, message: unknown, peer: PeerIdentity): void {
-        this.gate.run(() => this.receivers.get(name)?.(message, peer));
+        this.lifecycle.run(() => this.receivers.get(name)?.(message, peer));
     }
 }
--- a/fuzz/promises/src/memoryLink.ts
+++ b/fuzz/promises/src/memoryLink.ts
@@ -28,9 +28,9 @@
     async *call<Request, Frame>(definition: CallDefinition<Request, Frame>, request: Request): AsyncIterable<Frame> {
         const { from, network } = this.opts;
         const target = network.at(this.opts.address);
-        if (target === undefined || target.gate.dead || !this.isReachable()) {
+        if (target === undefined || target.lifecycle.dead || !this.isReachable()) {
             await sleep(network.clock, 1);
-            await from.gate.pass();
+            await from.lifecycle.whenRunning();
             throw new KnapweedError("LINK_CLOSED", "The process can't be reached", { outcome: "not-run" });
         }
         const copy = structuredClone(request);
@@ -38,7 +38,7 @@
             target.answer(definition.name, structuredClone(copy), from.identity).catch(() => undefined);
         }
         const frames = await Promise.race([target.answer(definition.name, copy, from.identity), this.timeOut()]);
-        await from.gate.pass();
+        await from.lifecycle.whenRunning();
         if (network.takeLostAnswer() || !this.isReachable()) {
             throw lost();
         }
@@ -61,7 +61,7 @@
 
     private async timeOut(): Promise<never> {
         await sleep(this.opts.network.clock, CALL_TIMEOUT_MS);
-        await this.opts.from.gate.pass();
+        await this.opts.from.lifecycle.whenRunning();
         throw lost();
     }
 }
--- a/fuzz/promises/src/gatedClock.ts
+++ b/fuzz/promises/src/pausableClock.ts
@@ -1,12 +1,12 @@
 import type { Clock } from "@knapweedwood/core.clock/clock";
 import type { Timer } from "@knapweedwood/core.clock/timer";
-import type { InstanceGate } from "./instanceGate.js";
+import type { InstanceLifecycle } from "./instanceLifecycle.js";
 
 /** The clock of an instance: its timers fire late while the instance is paused. */
-export class GatedClock implements Clock {
-    private readonly opts: { clock: Clock; gate: InstanceGate; };
+export class PausableClock implements Clock {
+    private readonly opts: { clock: Clock; lifecycle: InstanceLifecycle; };
 
-    constructor(opts: { clock: Clock; gate: InstanceGate; }) {
+    constructor(opts: { clock: Clock; lifecycle: InstanceLifecycle; }) {
         this.opts = opts;
     }
 
@@ -17,7 +17,7 @@
     setTimer(delayMs: number, action: () => void): Timer {
         let isCancelled = false;
         const timer = this.opts.clock.setTimer(delayMs, () =>
-            this.opts.gate.run(() => {
+            this.opts.lifecycle.run(() => {
                 if (!isCancelled) {
                     action();
                 }
--- a/fuzz/promises/src/gatedKeyValueService.ts
+++ b/fuzz/promises/src/pausableKeyValueService.ts
@@ -1,58 +1,58 @@
 import type { KeyValueService } from "@knapweedwood/core.key-value/keyValueService";
 import type { WatchBatch } from "@knapweedwood/core.key-value/watchBatch";
-import type { InstanceGate } from "./instanceGate.js";
+import type { InstanceLifecycle } from "./instanceLifecycle.js";
 
 /** The key-value service as an instance reaches it: neither calls nor answers pass while the instance is paused. */
-export class GatedKeyValueService implements KeyValueService {
+export class PausableKeyValueService implements KeyValueService {
     /** Leases granted to this instance. */
     readonly leaseIds: string[] = [];
-    private readonly opts: { keyValue: KeyValueService; gate: InstanceGate; };
+    private readonly opts: { keyValue: KeyValueService; lifecycle: InstanceLifecycle; };
 
-    constructor(opts: { keyValue: KeyValueService; gate: InstanceGate; }) {
+    constructor(opts: { keyValue: KeyValueService; lifecycle: InstanceLifecycle; }) {
         this.opts = opts;
     }
 
     get(...parameters: Parameters<KeyValueService["get"]>): ReturnType<KeyValueService["get"]> {
-        return this.pass(service => service.get(...parameters));
+        return this.callWhileRunning(service => service.get(...parameters));
     }
 
     list(...parameters: Parameters<KeyValueService["list"]>): ReturnType<KeyValueService["list"]> {
-        return this.pass(service => service.list(...parameters));
+        return this.callWhileRunning(service => service.list(...parameters));
     }
 
     transact(...parameters: Parameters<KeyValueService["transact"]>): ReturnType<KeyValueService["transact"]> {
-        return this.pass(service => service.transact(...parameters));
+        return this.callWhileRunning(service => service.transact(...parameters));
     }
 
     async grantLease(ttlMs: number): Promise<string> {
-        const leaseId = await this.pass(service => service.grantLease(ttlMs));
+        const leaseId = await this.callWhileRunning(service => service.grantLease(ttlMs));
         this.leaseIds.push(leaseId);
         return leaseId;
     }
 
     keepLeaseAlive(leaseId: string): Promise<number> {
-        return this.pass(service => service.keepLeaseAlive(leaseId));
+        return this.callWhileRunning(service => service.keepLeaseAlive(leaseId));
     }
 
     revokeLease(leaseId: string): Promise<void> {
-        return this.pass(service => service.revokeLease(leaseId));
+        return this.callWhileRunning(service => service.revokeLease(leaseId));
     }
 
     async *watch(prefix: string, opts: { afterRevision: number; signal: AbortSignal; }): AsyncIterable<WatchBatch> {
         for await (const batch of this.opts.keyValue.watch(prefix, opts)) {
-            await this.opts.gate.pass();
+            await this.opts.lifecycle.whenRunning();
             yield batch;
         }
     }
 
-    private async pass<Value>(action: (service: KeyValueService) => Promise<Value>): Promise<Value> {
-        const { gate, keyValue } = this.opts;
-        await gate.pass();
+    private async callWhileRunning<Value>(action: (service: KeyValueService) => Promise<Value>): Promise<Value> {
+        const { lifecycle, keyValue } = this.opts;
+        await lifecycle.whenRunning();
         try {
             return await action(keyValue);
         }
         finally {
-            await gate.pass();
+            await lifecycle.whenRunning();
         }
     }
 }
--- a/fuzz/promises/src/simulatedEntry.ts
+++ b/fuzz/promises/src/simulatedEntry.ts
@@ -10,9 +10,9 @@
 import { SeededRandom } from "@knapweedwood/core.random/seededRandom";
 import { silentLogger } from "@knapweedwood/observability.logs/silentLogger";
 import { silentMetrics } from "@knapweedwood/observability.metrics/silentMetrics";
-import { GatedClock } from "./gatedClock.js";
-import { GatedKeyValueService } from "./gatedKeyValueService.js";
-import { InstanceGate } from "./instanceGate.js";
+import { PausableClock } from "./pausableClock.js";
+import { PausableKeyValueService } from "./pausableKeyValueService.js";
+import { InstanceLifecycle } from "./instanceLifecycle.js";
 import { MemoryEndpoint } from "./memoryEndpoint.js";
 import type { MemorySegmentStore } from "./memorySegmentStore.js";
 import { simulatedServices } from "./simulatedServices.js";
@@ -25,18 +25,18 @@
 
 /** One entry process of the simulation: the real batch components over an in-memory platform. */
 export class SimulatedEntry {
-    readonly gate = new InstanceGate();
+    readonly lifecycle = new InstanceLifecycle();
     readonly instanceId: InstanceId;
     readonly address: string;
     readonly batchService: KeyValueBatchService;
     readonly claims: ClaimService;
     readonly role: BatchRole;
     readonly segmentStore: ReplicatedSegmentStore;
-    private readonly gatedKeyValue: GatedKeyValueService;
+    private readonly pausableKeyValue: PausableKeyValueService;
     private readonly endpoint: MemoryEndpoint;
     private readonly platform: SimulationPlatform;
     readonly zone: ZoneName;
-    private readonly clock: GatedClock;
+    private readonly clock: PausableClock;
 
     constructor(opts: {
         platform: SimulationPlatform;
@@ -50,11 +50,11 @@
         this.instanceId = `entry-${opts.index}-${opts.incarnation}` as InstanceId;
         this.address = `entry-${opts.index}-${opts.incarnation}:1`;
         this.zone = `zone-${opts.index}` as ZoneName;
-        const clock = new GatedClock({ clock: platform.clock, gate: this.gate });
+        const clock = new PausableClock({ clock: platform.clock, lifecycle: this.lifecycle });
         this.clock = clock;
         const random = new SeededRandom(opts.seed);
-        this.gatedKeyValue = new GatedKeyValueService({ keyValue: platform.keyValue, gate: this.gate });
-        const keyValue = platform.options.wrapKeyValue(this.gatedKeyValue);
+        this.pausableKeyValue = new PausableKeyValueService({ keyValue: platform.keyValue, lifecycle: this.lifecycle });
+        const keyValue = platform.options.wrapKeyValue(this.pausableKeyValue);
         this.endpoint = new MemoryEndpoint({
             identity: {
                 instanceId: this.instanceId,
@@ -64,7 +64,7 @@
                 region: REGION,
             },
             address: this.address,
-            gate: this.gate,
+            lifecycle: this.lifecycle,
             network: platform.network,
         });
         registerSegmentHandlers({ endpoint: this.endpoint, store: opts.dataFolder });
@@ -101,7 +101,7 @@
     }
 
     get leaseIds(): readonly string[] {
-        return this.gatedKeyValue.leaseIds;
+        return this.pausableKeyValue.leaseIds;
     }
 
     start(): void {
@@ -112,7 +112,7 @@
 
     /** Ends the process without a word. */
     crash(): void {
-        this.gate.kill();
+        this.lifecycle.kill();
         this.platform.network.remove(this.address);
     }
 
--- a/fuzz/promises/src/simulatedSide.ts
+++ b/fuzz/promises/src/simulatedSide.ts
@@ -10,9 +10,9 @@
 import type { ServiceName } from "@knapweedwood/core.ids/serviceName";
 import type { ZoneName } from "@knapweedwood/core.ids/zoneName";
 import { SeededRandom } from "@knapweedwood/core.random/seededRandom";
-import { answerOf } from "./answerOf.js";
-import { GatedClock } from "./gatedClock.js";
-import { InstanceGate } from "./instanceGate.js";
+import { answerOf } from "./upstreamResponse.js";
+import { PausableClock } from "./pausableClock.js";
+import { InstanceLifecycle } from "./instanceLifecycle.js";
 import { MemoryEndpoint } from "./memoryEndpoint.js";
 import type { SimulationPlatform } from "./simulationPlatform.js";
 
@@ -24,10 +24,10 @@
 
 /** One side process with its upstream: pulls items, runs them and reports their results. */
 export class SimulatedSide {
-    readonly gate = new InstanceGate();
+    readonly lifecycle = new InstanceLifecycle();
     readonly service: ServiceName;
     private readonly platform: SimulationPlatform;
-    private readonly clock: GatedClock;
+    private readonly clock: PausableClock;
     private readonly random: SeededRandom;
     private readonly source: LinkBatchSource;
     private readonly address: string;
@@ -48,7 +48,7 @@
         this.onCrash = opts.onCrash;
         this.service = opts.service as ServiceName;
         this.address = `side-${opts.index}:1`;
-        this.clock = new GatedClock({ clock: opts.platform.clock, gate: this.gate });
+        this.clock = new PausableClock({ clock: opts.platform.clock, lifecycle: this.lifecycle });
         this.random = new SeededRandom(opts.seed);
         const endpoint = new MemoryEndpoint({
             identity: {
@@ -59,7 +59,7 @@
                 region: "test" as RegionName,
             },
             address: this.address,
-            gate: this.gate,
+            lifecycle: this.lifecycle,
             network: opts.platform.network,
         });
         endpoint.handleNotification(cancelJobNotification, ({ jobId }) => {
@@ -79,7 +79,7 @@
     }
 
     crash(): void {
-        this.gate.kill();
+        this.lifecycle.kill();
         this.platform.network.remove(this.address);
     }
 
--- a/fuzz/promises/src/simulationPlatform.ts
+++ b/fuzz/promises/src/simulationPlatform.ts
@@ -4,7 +4,7 @@
 import { MemoryKeyValueService } from "@knapweedwood/standins.key-value/memoryKeyValueService";
 import { MemoryNetwork } from "./memoryNetwork.js";
 import type { SimulationOptions } from "./simulationOptions.js";
-import { UpstreamRecord } from "./upstreamRecord.js";
+import { UpstreamRecord } from "./upstreamHistory.js";
 
 /** The platform below a simulated fleet. */
 export class SimulationPlatform {
--- a/fuzz/promises/test/batchPath.test.ts
+++ b/fuzz/promises/test/batchPath.test.ts
@@ -2,7 +2,7 @@
 import type { TeamId } from "@knapweedwood/core.ids/teamId";
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { answerOf } from "../src/answerOf.js";
+import { answerOf } from "../src/upstreamResponse.js";
 import { defaultSimulationOptions } from "../src/defaultSimulationOptions.js";
 import { Fleet } from "../src/fleet.js";
 
--- a/fuzz/promises/test/recovery.test.ts
+++ b/fuzz/promises/test/recovery.test.ts
@@ -82,7 +82,7 @@
         fleet.entries[victim].crash();
         await fleet.advance(5000);
         const owners = (await ownersOf(fleet)).map(owner => owner?.value.instanceId);
-        const live = fleet.entries.filter(entry => !entry.gate.dead).map(entry => entry.instanceId);
+        const live = fleet.entries.filter(entry => !entry.lifecycle.dead).map(entry => entry.instanceId);
         owners.forEach(owner => assert.ok(owner !== undefined && live.includes(owner), `seed ${seed}: ${owner}`));
     }
 });
