--- a/fuzz/promises/src/checkOutcome.ts
+++ b/fuzz/promises/src/checkOutcome.ts
@@ -3,14 +3,14 @@
 import type { FileId } from "@knapweedwood/core.ids/fileId";
 import type { TeamId } from "@knapweedwood/core.ids/teamId";
 import type { JsonObject } from "@knapweedwood/engines.model-engine/jsonObject";
-import { answerOf } from "./upstreamResponse.js";
-import type { FuzzWorld } from "./fuzzCase.js";
+import type { FuzzCase } from "./fuzzCase.js";
 import { promiseViolation } from "./promiseViolation.js";
 import type { Submission } from "./submission.js";
+import { upstreamResponse } from "./upstreamResponse.js";
 
 const TEAM = "team-a" as TeamId;
-const SETTLE_STEP_MS = 10_000;
-const MAX_SETTLE_STEPS = 60;
+const JOB_END_STEP_MS = 10_000;
+const MAX_JOB_END_STEPS = 60;
 
 interface OutputLine {
     custom_id: string;
@@ -19,38 +19,42 @@
 }
 
 /** Ends all faults, lets the jobs end and compares their results with what was submitted. */
-export async function checkOutcome(world: FuzzWorld): Promise<void> {
-    world.fleet.heal();
-    await settle(world);
-    await world.oracle.check();
-    for (const submission of world.oracle.submissions) {
-        await checkSubmission(world, submission);
+export async function checkOutcome(fuzzCase: FuzzCase): Promise<void> {
+    fuzzCase.fleet.clearFaults();
+    await waitForJobEnds(fuzzCase);
+    await fuzzCase.oracle.check();
+    for (const submission of fuzzCase.oracle.submissions) {
+        await checkSubmission(fuzzCase, submission);
     }
-    checkKeyedCalls(world);
-    await world.checkCancel();
+    checkKeyedCalls(fuzzCase);
+    await fuzzCase.runCancelWithoutFaults();
 }
 
-async function settle(world: FuzzWorld): Promise<void> {
-    for (let step = 0; step < MAX_SETTLE_STEPS; step++) {
-        await world.fleet.advance(SETTLE_STEP_MS);
-        await world.oracle.check();
-        const jobs = await Promise.all(world.oracle.acknowledged().map(submission => jobOf(world, submission)));
+async function waitForJobEnds(fuzzCase: FuzzCase): Promise<void> {
+    for (let step = 0; step < MAX_JOB_END_STEPS; step++) {
+        await fuzzCase.fleet.advance(JOB_END_STEP_MS);
+        await fuzzCase.oracle.check();
+        const jobs = await Promise.all(
+            fuzzCase.oracle.acknowledgedSubmissions().map(submission => readJob(fuzzCase, submission)),
+        );
         if (step > 0 && jobs.every(job => ["completed", "cancelled", "failed"].includes(job.state))) {
             return;
         }
     }
-    const states = await Promise.all(world.oracle.acknowledged().map(submission => jobOf(world, submission)));
+    const states = await Promise.all(
+        fuzzCase.oracle.acknowledgedSubmissions().map(submission => readJob(fuzzCase, submission)),
+    );
     throw promiseViolation("accepted jobs come to their end", states);
 }
 
-async function checkSubmission(world: FuzzWorld, submission: Submission): Promise<void> {
+async function checkSubmission(fuzzCase: FuzzCase, submission: Submission): Promise<void> {
     if (submission.jobId === undefined) {
-        await checkRefused(world, submission);
+        await checkRejectedSubmission(fuzzCase, submission);
         return;
     }
-    const job = await jobOf(world, submission);
-    const output = await world.fleet.complete(readLines(world, job.outputFileId));
-    const errors = await world.fleet.complete(readLines(world, job.errorFileId));
+    const job = await readJob(fuzzCase, submission);
+    const output = await fuzzCase.fleet.runUntilSettled(readLines(fuzzCase, job.outputFileId));
+    const errors = await fuzzCase.fleet.runUntilSettled(readLines(fuzzCase, job.errorFileId));
     const customIds = [...output, ...errors].map(line => line.custom_id);
     const expected = submission.bodies.map((_, index) => `c${index}`);
     if (new Set(customIds).size !== customIds.length) {
@@ -70,7 +74,7 @@
 
 function checkOutputLine(submission: Submission, line: OutputLine): void {
     const body = submission.bodies[Number(line.custom_id.slice(1))];
-    if (JSON.stringify(line.response?.body) !== JSON.stringify(answerOf(body))) {
+    if (JSON.stringify(line.response?.body) !== JSON.stringify(upstreamResponse(body))) {
         throw promiseViolation("each item has its own answer", { line, body });
     }
 }
@@ -78,10 +82,10 @@
 function checkErrorLine(submission: Submission, line: OutputLine): void {
     const index = Number(line.custom_id.slice(1));
     const { behaviour } = submission.bodies[index];
-    const isLedger = submission.endpoint.startsWith("/services/");
-    const isUnknown = isLedger && line.error?.code === "outcome_unknown";
-    const isCrashed = line.error?.code === "upstreams_lost" || line.error?.code === "attempts_exhausted";
-    const isExpected = behaviour !== "answer" || isUnknown || isCrashed;
+    const isNonRepeatable = submission.endpoint.startsWith("/services/");
+    const isOutcomeUnknown = isNonRepeatable && line.error?.code === "outcome_unknown";
+    const isUpstreamLost = line.error?.code === "upstreams_lost" || line.error?.code === "attempts_exhausted";
+    const isExpected = behaviour !== "answer" || isOutcomeUnknown || isUpstreamLost;
     if (!isExpected) {
         throw promiseViolation("a good item does not fail", { line });
     }
@@ -95,11 +99,11 @@
 }
 
 /** A job of which each request was refused as not run must not exist. */
-async function checkRefused(world: FuzzWorld, submission: Submission): Promise<void> {
+async function checkRejectedSubmission(fuzzCase: FuzzCase, submission: Submission): Promise<void> {
     if (submission.sentCount !== submission.notRunCount) {
         return;
     }
-    const jobs = await serviceOf(world).listJobs({ teamId: TEAM, limit: 200 });
+    const jobs = await batchServiceOf(fuzzCase).listJobs({ teamId: TEAM, limit: 200 });
     const found = jobs.find(job => job.inputFileId === submission.inputFileId);
     if (found !== undefined) {
         throw promiseViolation("a job refused as not run was not accepted", found);
@@ -107,39 +111,39 @@
 }
 
 /** A call of which each attempt was refused as not run must not have run. */
-function checkKeyedCalls(world: FuzzWorld): void {
-    const keys = new Set(world.oracle.keyedCalls.map(call => call.key));
+function checkKeyedCalls(fuzzCase: FuzzCase): void {
+    const keys = new Set(fuzzCase.oracle.keyedCalls.map(call => call.key));
     keys.forEach(key => {
-        const calls = world.oracle.keyedCalls.filter(call => call.key === key);
-        const runCount = world.fleet.platform.upstreams.countOf(`keyed/${key}`);
+        const calls = fuzzCase.oracle.keyedCalls.filter(call => call.key === key);
+        const runCount = fuzzCase.fleet.platform.upstreams.executionCount(`keyed/${key}`);
         if (runCount === 0 && calls.some(call => call.outcome === "answered")) {
             throw promiseViolation("an answer comes from a run", { key, calls });
         }
     });
 }
 
-async function readLines(world: FuzzWorld, fileId: FileId | undefined): Promise<OutputLine[]> {
+async function readLines(fuzzCase: FuzzCase, fileId: FileId | undefined): Promise<OutputLine[]> {
     if (fileId === undefined) {
         return [];
     }
     const chunks: Uint8Array[] = [];
-    for await (const chunk of serviceOf(world).readFile({ teamId: TEAM, fileId })) {
+    for await (const chunk of batchServiceOf(fuzzCase).readFile({ teamId: TEAM, fileId })) {
         chunks.push(chunk);
     }
     const text = Buffer.concat(chunks).toString("utf8").trimEnd();
     return text.split("\n").map(line => JSON.parse(line) as OutputLine);
 }
 
-function jobOf(world: FuzzWorld, submission: Submission): Promise<JobRecord> {
+function readJob(fuzzCase: FuzzCase, submission: Submission): Promise<JobRecord> {
     const { jobId } = submission;
     if (jobId === undefined) {
         throw promiseViolation("an acknowledged job has an id", submission);
     }
-    return serviceOf(world).getJob({ teamId: TEAM, jobId });
+    return batchServiceOf(fuzzCase).getJob({ teamId: TEAM, jobId });
 }
 
-function serviceOf(world: FuzzWorld): KeyValueBatchService {
-    const entry = world.fleet.liveEntry(1);
+function batchServiceOf(fuzzCase: FuzzCase): KeyValueBatchService {
+    const entry = fuzzCase.fleet.availableEntry(1);
     if (entry === undefined) {
         throw promiseViolation("replaced entries live", {});
     }
--- a/fuzz/promises/src/checkProgress.ts
+++ b/fuzz/promises/src/checkProgress.ts
@@ -8,7 +8,7 @@
 export function checkProgress(jobId: string, before: JobSnapshot | undefined, after: JobProgress): void {
     const finished = new ItemSet(after.finished);
     const resultCount = after.results.reduce((sum, segment) => sum + segment.lineCount, 0);
-    expect("each finished item has one result", jobId, [
+    requireAll("each finished item has one result", jobId, [
         finished.size === resultCount,
         finished.size === after.completedCount + after.failedCount,
         finished.size <= after.totalCount,
@@ -16,23 +16,23 @@
     if (before === undefined || before.progress.writeId === after.writeId) {
         return;
     }
-    const earlier = before.progress;
-    expect("a final job does not change", jobId, [!jobChart.isFinal(earlier.state)], after);
-    expect("committed results stay", jobId, [
-        earlier.finished.every(range => finished.has(range.first) && finished.has(range.last)),
-        finished.size >= new ItemSet(earlier.finished).size,
+    const previousProgress = before.progress;
+    requireAll("a final job does not change", jobId, [!jobChart.isFinal(previousProgress.state)], after);
+    requireAll("committed results stay", jobId, [
+        previousProgress.finished.every(range => finished.has(range.first) && finished.has(range.last)),
+        finished.size >= new ItemSet(previousProgress.finished).size,
     ], after);
-    expect("a cancelled job does not go on", jobId, [
-        earlier.state !== "cancelling" || (["cancelling", "cancelled"].includes(after.state)
-            && finished.size === new ItemSet(earlier.finished).size),
+    requireAll("a cancelled job does not go on", jobId, [
+        previousProgress.state !== "cancelling" || (["cancelling", "cancelled"].includes(after.state)
+            && finished.size === new ItemSet(previousProgress.finished).size),
     ], after);
-    const isByOwner = !after.writeId.startsWith("cancel-");
-    expect("an earlier owner commits nothing", jobId, [
-        !isByOwner || after.fencingNumber >= before.partitionFencingNumber,
+    const isOwnerWrite = !after.writeId.startsWith("cancel-");
+    requireAll("an earlier owner commits nothing", jobId, [
+        !isOwnerWrite || after.fencingNumber >= before.partitionFencingNumber,
     ], { fencingNumber: after.fencingNumber, expected: before.partitionFencingNumber });
 }
 
-function expect(promise: string, jobId: string, conditions: boolean[], details: unknown): void {
+function requireAll(promise: string, jobId: string, conditions: boolean[], details: unknown): void {
     if (!conditions.every(Boolean)) {
         throw promiseViolation(promise, { jobId, details });
     }
--- a/fuzz/promises/src/fleet.ts
+++ b/fuzz/promises/src/fleet.ts
@@ -7,10 +7,10 @@
 
 const START_MS = 1_700_000_000_000;
 const ENTRY_COUNT = 3;
-const SERVICES = ["chat", "chat", "chat", "ledger", "ledger"];
-const RESTART_MS = 1500;
-const COMPLETE_STEP_MS = 100;
-const MAX_COMPLETE_STEPS = 1000;
+const SIDE_SERVICES = ["chat", "chat", "chat", "ledger", "ledger"];
+const RESTART_DELAY_MS = 1500;
+const SETTLE_STEP_MS = 100;
+const MAX_SETTLE_STEPS = 1000;
 
 /** A simulated fleet: three entries in three zones and five sides. Processes that end are replaced. */
 export class Fleet {
@@ -20,7 +20,7 @@
     readonly entries: SimulatedEntry[];
     readonly sides: SimulatedSide[];
     private readonly seed: number;
-    private startCount = 0;
+    private incarnationCount = 0;
 
     constructor(opts: { seed: number; options: SimulationOptions; }) {
         this.seed = opts.seed;
@@ -33,7 +33,7 @@
                 zone: entry.zone,
                 address: entry.address,
             }));
-        this.sides = SERVICES.map((_, index) => this.createSide(index));
+        this.sides = SIDE_SERVICES.map((_, index) => this.createSide(index));
         this.entries.forEach(entry => entry.start());
         this.sides.forEach(side => side.start());
     }
@@ -47,30 +47,30 @@
     }
 
     /** Lets time pass until `work` is done. */
-    async complete<Value>(work: Promise<Value>): Promise<Value> {
+    async runUntilSettled<Value>(work: Promise<Value>): Promise<Value> {
         const progress = { isDone: false };
         const marked = work.finally(() => progress.isDone = true);
         marked.catch(() => undefined);
-        for (let step = 0; !progress.isDone && step < MAX_COMPLETE_STEPS; step++) {
-            await this.advance(COMPLETE_STEP_MS);
+        for (let step = 0; !progress.isDone && step < MAX_SETTLE_STEPS; step++) {
+            await this.advance(SETTLE_STEP_MS);
         }
         return await marked;
     }
 
     /** An entry that can take a call now. */
-    liveEntry(preferred: number): SimulatedEntry | undefined {
+    availableEntry(preferred: number): SimulatedEntry | undefined {
         const order = this.entries.map((_, offset) => this.entries[(preferred + offset) % ENTRY_COUNT]);
         return order.find(entry => !entry.lifecycle.dead && !entry.lifecycle.paused);
     }
 
     crashEntry(index: number): void {
         this.entries[index].crash();
-        this.clock.setTimer(RESTART_MS, () => this.replaceEntry(index));
+        this.clock.setTimer(RESTART_DELAY_MS, () => this.replaceEntry(index));
     }
 
     async stopEntry(index: number): Promise<void> {
         await this.entries[index].stop();
-        this.clock.setTimer(RESTART_MS, () => this.replaceEntry(index));
+        this.clock.setTimer(RESTART_DELAY_MS, () => this.replaceEntry(index));
     }
 
     crashSide(index: number): void {
@@ -78,18 +78,18 @@
             return;
         }
         this.sides[index].crash();
-        this.clock.setTimer(RESTART_MS, () => {
+        this.clock.setTimer(RESTART_DELAY_MS, () => {
             this.sides[index] = this.createSide(index);
             this.sides[index].start();
         });
     }
 
     /** Ends all faults. */
-    heal(): void {
+    clearFaults(): void {
         this.platform.keyValue.faults.outage = false;
         this.platform.keyValue.faults.loseNextAnswers(0);
         this.platform.keyValue.faults.delayMs = 0;
-        this.platform.network.heal();
+        this.platform.network.clearFaults();
         this.dataFolders.forEach(folder => folder.isFull = false);
         this.entries.forEach(entry => entry.lifecycle.resume());
         this.sides.forEach(side => side.lifecycle.resume());
@@ -106,7 +106,7 @@
         return new SimulatedEntry({
             platform: this.platform,
             index,
-            incarnation: this.startCount++,
+            incarnation: this.incarnationCount++,
             seed: this.nextSeed(),
             dataFolder: this.dataFolders[index],
         });
@@ -116,8 +116,8 @@
         return new SimulatedSide({
             platform: this.platform,
             index,
-            incarnation: this.startCount++,
-            service: SERVICES[index],
+            incarnation: this.incarnationCount++,
+            service: SIDE_SERVICES[index],
             seed: this.nextSeed(),
             entries: () => this.entries.filter(entry => !entry.lifecycle.dead).map(entry => entry.address),
             onCrash: () => this.crashSide(index),
@@ -125,6 +125,6 @@
     }
 
     private nextSeed(): number {
-        return this.seed * 1000 + this.startCount;
+        return this.seed * 1000 + this.incarnationCount;
     }
 }
--- a/fuzz/promises/src/fuzzCase.ts
+++ b/fuzz/promises/src/fuzzCase.ts
@@ -7,19 +7,19 @@
 import type { Step } from "./step.js";
 import type { Submission } from "./submission.js";
 
-const START_UP_MS = 4000;
+const STARTUP_MS = 4000;
 const STEP_MS = 150;
 const CANCEL_AFTER_MS = 3500;
 /** How long a fault may show after it has ended. */
-const AFTERMATH_MS = 8000;
+const FAULT_EFFECT_MS = 8000;
 
 /** A simulated fleet with its callers and its oracle. */
-export class FuzzWorld {
+export class FuzzCase {
     readonly fleet: Fleet;
     readonly oracle: Oracle;
     private readonly jobs: JobClient;
     private readonly calls: KeyedCaller;
-    private hasTornFolder = false;
+    private hasTruncatedFolder = false;
 
     constructor(opts: { seed: number; options: SimulationOptions; }) {
         this.fleet = new Fleet(opts);
@@ -29,24 +29,24 @@
     }
 
     start(): Promise<void> {
-        return this.fleet.advance(START_UP_MS);
+        return this.fleet.advance(STARTUP_MS);
     }
 
     /** Takes one step and checks the promises after it. */
-    async take(step: Step): Promise<void> {
+    async runStep(step: Step): Promise<void> {
         await this.apply(step);
         await this.fleet.advance(step.kind === "wait" ? step.durationMs : STEP_MS);
         await this.oracle.check();
     }
 
     /** Cancels a job of long streams without any fault about. */
-    async checkCancel(): Promise<void> {
+    async runCancelWithoutFaults(): Promise<void> {
         this.oracle.faultsUntilMs = 0;
         const behaviours = Array.from({ length: 6 }, () => "slow" as const);
-        await this.take({ kind: "submit", entry: 0, key: 0, service: "chat", behaviours, twice: false });
-        await this.take({ kind: "wait", durationMs: CANCEL_AFTER_MS });
-        await this.take({ kind: "cancel", entry: 1, job: this.oracle.submissions.length - 1 });
-        await this.take({ kind: "wait", durationMs: CANCEL_AFTER_MS });
+        await this.runStep({ kind: "submit", entry: 0, key: 0, service: "chat", behaviours, twice: false });
+        await this.runStep({ kind: "wait", durationMs: CANCEL_AFTER_MS });
+        await this.runStep({ kind: "cancel", entry: 1, job: this.oracle.submissions.length - 1 });
+        await this.runStep({ kind: "wait", durationMs: CANCEL_AFTER_MS });
     }
 
     private async apply(step: Step): Promise<void> {
@@ -54,89 +54,92 @@
         const { keyValue, network } = fleet.platform;
         switch (step.kind) {
             case "submit":
-                return this.background(
+                return this.startRequest(
                     step.entry,
-                    entry => this.jobs.submit(entry, { ...step, other: this.otherEntry(step) }),
+                    entry => this.jobs.submit(entry, { ...step, secondEntry: this.secondEntry(step) }),
                 );
             case "resend":
-                return this.withJob(step, (entry, submission) => this.jobs.send(entry, submission));
+                return this.startJobRequest(step, (entry, submission) => this.jobs.send(entry, submission));
             case "cancel":
-                return this.withJob(step, (entry, submission) => this.jobs.cancel(entry, submission));
+                return this.startJobRequest(step, (entry, submission) => this.jobs.cancel(entry, submission));
             case "read":
-                return this.withJob(step, () => Promise.resolve());
+                return this.startJobRequest(step, () => Promise.resolve());
             case "keyed-call":
-                return this.entriesOf(step).forEach(preferred =>
-                    this.background(preferred, entry => this.calls.call(entry, { ...step, key: `key-${step.key}` }))
+                return this.targetEntries(step).forEach(preferred =>
+                    this.startRequest(preferred, entry => this.calls.call(entry, { ...step, key: `key-${step.key}` }))
                 );
             case "wait":
                 return;
             case "crash-entry":
-                this.noteFault(0);
-                return this.withEntry(step.entry, index => fleet.crashEntry(index));
+                this.recordFault(0);
+                return this.withLiveEntry(step.entry, index => fleet.crashEntry(index));
             case "stop-entry":
-                this.noteFault(0);
-                return this.withEntry(step.entry, index => void fleet.stopEntry(index));
+                this.recordFault(0);
+                return this.withLiveEntry(step.entry, index => void fleet.stopEntry(index));
             case "pause-entry":
-                return this.withEntry(step.entry, index => this.pause(fleet.entries[index].lifecycle, step.durationMs));
+                return this.withLiveEntry(
+                    step.entry,
+                    index => this.pause(fleet.entries[index].lifecycle, step.durationMs),
+                );
             case "crash-side":
-                this.noteFault(0);
+                this.recordFault(0);
                 return fleet.crashSide(step.side % fleet.sides.length);
             case "pause-side":
                 return this.pause(fleet.sides[step.side % fleet.sides.length].lifecycle, step.durationMs);
             case "outage":
                 keyValue.faults.outage = true;
-                return this.endLater(step.durationMs, () => keyValue.faults.outage = false);
+                return this.endFaultAfter(step.durationMs, () => keyValue.faults.outage = false);
             case "slow-writes":
                 keyValue.faults.delayMs = step.delayMs;
-                return this.endLater(step.durationMs, () => keyValue.faults.delayMs = 0);
+                return this.endFaultAfter(step.durationMs, () => keyValue.faults.delayMs = 0);
             case "lose-write-answers":
-                this.noteFault(0);
+                this.recordFault(0);
                 return keyValue.faults.loseNextAnswers(step.count);
             case "lose-call-answers":
-                this.noteFault(0);
-                return network.loseNextAnswers(step.count);
+                this.recordFault(0);
+                return network.loseNextResponses(step.count);
             case "duplicate-calls":
-                this.noteFault(0);
+                this.recordFault(0);
                 return network.duplicateNextCalls(step.count);
             case "silence":
-                this.noteFault(step.durationMs);
-                return this.withEntry(step.entry, index => {
+                this.recordFault(step.durationMs);
+                return this.withLiveEntry(step.entry, index => {
                     const side = `side-${step.side % fleet.sides.length}:1`;
                     network.silence(fleet.entries[index].address, side, step.durationMs);
                 });
             case "lapse-leases":
-                this.noteFault(0);
-                return this.lapseLeases();
+                this.recordFault(0);
+                return this.expireLeases();
             case "fill-disk": {
                 const folder = fleet.dataFolders[step.entry % fleet.dataFolders.length];
                 folder.isFull = true;
-                return this.endLater(step.durationMs, () => folder.isFull = false);
+                return this.endFaultAfter(step.durationMs, () => folder.isFull = false);
             }
             case "tear-folder":
-                this.tearFolder();
+                this.truncateFolder();
                 return;
         }
     }
 
-    private withJob(
+    private startJobRequest(
         step: { entry: number; job: number; },
         action: (entry: SimulatedEntry, submission: Submission) => Promise<void>,
     ): void {
         const { submissions } = this.oracle;
         if (submissions.length > 0) {
-            this.background(step.entry, entry => action(entry, submissions[step.job % submissions.length]));
+            this.startRequest(step.entry, entry => action(entry, submissions[step.job % submissions.length]));
         }
     }
 
     /** Starts a request that may hang; a violation that it sees is reported at the next check. */
-    private background(preferred: number, action: (entry: SimulatedEntry) => Promise<void>): void {
-        const entry = this.fleet.liveEntry(preferred % this.fleet.entries.length);
+    private startRequest(preferred: number, action: (entry: SimulatedEntry) => Promise<void>): void {
+        const entry = this.fleet.availableEntry(preferred % this.fleet.entries.length);
         if (entry !== undefined) {
-            action(entry).catch((error: unknown) => this.oracle.report(error));
+            action(entry).catch((error: unknown) => this.oracle.recordViolation(error));
         }
     }
 
-    private withEntry(preferred: number, action: (index: number) => void): void {
+    private withLiveEntry(preferred: number, action: (index: number) => void): void {
         const index = preferred % this.fleet.entries.length;
         if (!this.fleet.entries[index].lifecycle.dead) {
             action(index);
@@ -145,40 +148,40 @@
 
     private pause(lifecycle: { pause(): void; resume(): void; }, durationMs: number): void {
         lifecycle.pause();
-        this.endLater(durationMs, () => lifecycle.resume());
+        this.endFaultAfter(durationMs, () => lifecycle.resume());
     }
 
-    private endLater(durationMs: number, end: () => void): void {
-        this.noteFault(durationMs);
+    private endFaultAfter(durationMs: number, end: () => void): void {
+        this.recordFault(durationMs);
         this.fleet.clock.setTimer(durationMs, end);
     }
 
-    private noteFault(durationMs: number): void {
-        const untilMs = this.fleet.clock.nowMs() + durationMs + AFTERMATH_MS;
+    private recordFault(durationMs: number): void {
+        const untilMs = this.fleet.clock.nowMs() + durationMs + FAULT_EFFECT_MS;
         this.oracle.faultsUntilMs = Math.max(this.oracle.faultsUntilMs, untilMs);
     }
 
     /** The entries that a request goes to at once. */
-    private entriesOf(step: { entry: number; twice: boolean; }): number[] {
+    private targetEntries(step: { entry: number; twice: boolean; }): number[] {
         return step.twice ? [step.entry, step.entry + 1] : [step.entry];
     }
 
-    private otherEntry(step: { entry: number; twice: boolean; }): SimulatedEntry | undefined {
-        return step.twice ? this.fleet.liveEntry((step.entry + 1) % this.fleet.entries.length) : undefined;
+    private secondEntry(step: { entry: number; twice: boolean; }): SimulatedEntry | undefined {
+        return step.twice ? this.fleet.availableEntry((step.entry + 1) % this.fleet.entries.length) : undefined;
     }
 
     /** Ends the leases of all owners at once. They learn it later. */
-    private lapseLeases(): void {
+    private expireLeases(): void {
         const { keyValue } = this.fleet.platform;
         this.fleet.leaseIds().forEach(leaseId => keyValue.faults.lapseLease(leaseId));
     }
 
     /** Only one folder is torn in a case: two copies bear the loss of one. */
-    private tearFolder(): void {
-        if (!this.hasTornFolder) {
-            this.hasTornFolder = true;
-            this.noteFault(0);
-            this.fleet.dataFolders[0].tear();
+    private truncateFolder(): void {
+        if (!this.hasTruncatedFolder) {
+            this.hasTruncatedFolder = true;
+            this.recordFault(0);
+            this.fleet.dataFolders[0].truncateSegments();
         }
     }
 }
--- a/fuzz/promises/src/fuzzCommand.ts
+++ b/fuzz/promises/src/fuzzCommand.ts
@@ -1,9 +1,9 @@
 import type fc from "fast-check";
-import type { FuzzWorld } from "./fuzzCase.js";
+import type { FuzzCase } from "./fuzzCase.js";
 import type { Step } from "./step.js";
 
 /** One step, as fast-check runs and shrinks it. */
-export class FuzzCommand implements fc.AsyncCommand<object, FuzzWorld> {
+export class FuzzCommand implements fc.AsyncCommand<object, FuzzCase> {
     private readonly step: Step;
 
     constructor(step: Step) {
@@ -14,8 +14,8 @@
         return true;
     }
 
-    run(_model: object, world: FuzzWorld): Promise<void> {
-        return world.take(this.step);
+    run(_model: object, fuzzCase: FuzzCase): Promise<void> {
+        return fuzzCase.runStep(this.step);
     }
 
     toString(): string {
--- a/fuzz/promises/src/fuzzPromises.ts
+++ b/fuzz/promises/src/fuzzPromises.ts
@@ -1,9 +1,9 @@
 import fc from "fast-check";
 import { checkOutcome } from "./checkOutcome.js";
 import { defaultSimulationOptions } from "./defaultSimulationOptions.js";
+import { FuzzCase } from "./fuzzCase.js";
 import { FuzzCommand } from "./fuzzCommand.js";
 import type { FuzzReport } from "./fuzzReport.js";
-import { FuzzWorld } from "./fuzzCase.js";
 import type { SimulationOptions } from "./simulationOptions.js";
 import { stepArbitraries } from "./stepArbitraries.js";
 
@@ -23,11 +23,11 @@
         maxCommands: MAX_COMMANDS,
         size: "max",
     });
-    const property = fc.asyncProperty(fc.nat({ max: MAX_SEED }), commands, async (worldSeed, steps) => {
-        const world = new FuzzWorld({ seed: worldSeed, options: opts.options ?? defaultSimulationOptions });
-        await world.start();
-        await fc.asyncModelRun(() => ({ model: {}, real: world }), steps);
-        await checkOutcome(world);
+    const property = fc.asyncProperty(fc.nat({ max: MAX_SEED }), commands, async (caseSeed, steps) => {
+        const fuzzCase = new FuzzCase({ seed: caseSeed, options: opts.options ?? defaultSimulationOptions });
+        await fuzzCase.start();
+        await fc.asyncModelRun(() => ({ model: {}, real: fuzzCase }), steps);
+        await checkOutcome(fuzzCase);
     });
     const details = await fc.check(property, {
         seed: opts.seed,
--- a/fuzz/promises/src/jobClient.ts
+++ b/fuzz/promises/src/jobClient.ts
@@ -9,7 +9,7 @@
 import type { Submission } from "./submission.js";
 
 const TEAM = "team-a" as TeamId;
-const DUE_MS = 60_000;
+const JOB_DUE_MS = 60_000;
 const UPLOAD_ATTEMPTS = 3;
 const ENDPOINTS = { chat: "/v1/chat/completions", ledger: "/services/ledger/receipts" };
 
@@ -29,14 +29,14 @@
             key: number;
             service: "chat" | "ledger";
             behaviours: ItemBehaviour[];
-            other: SimulatedEntry | undefined;
+            secondEntry: SimulatedEntry | undefined;
         },
     ): Promise<void> {
         const endpoint = ENDPOINTS[opts.service];
-        const number = this.oracle.submissions.length;
+        const jobNumber = this.oracle.submissions.length;
         const bodies = opts.behaviours.map((behaviour, index) => ({
             model: "demo",
-            text: `job ${number} item ${index}`,
+            text: `job ${jobNumber} item ${index}`,
             behaviour,
         }));
         const content = bodies.map((body, index) =>
@@ -47,7 +47,7 @@
             return;
         }
         const submission: Submission = {
-            idempotencyKey: `job-${number}-${opts.key}` as IdempotencyKey,
+            idempotencyKey: `job-${jobNumber}-${opts.key}` as IdempotencyKey,
             endpoint,
             inputFileId,
             bodies,
@@ -58,8 +58,8 @@
             cancelWasSent: false,
         };
         this.oracle.submissions.push(submission);
-        const entries = [entry, opts.other].filter(receiver => receiver !== undefined);
-        await Promise.all(entries.map(receiver => this.send(receiver, submission)));
+        const entries = [entry, opts.secondEntry].filter(target => target !== undefined);
+        await Promise.all(entries.map(target => this.send(target, submission)));
     }
 
     async send(entry: SimulatedEntry, submission: Submission): Promise<void> {
@@ -72,9 +72,9 @@
                 endpoint,
                 metadata: {},
                 idempotencyKey,
-                dueMs: DUE_MS,
+                dueMs: JOB_DUE_MS,
             });
-            this.oracle.acknowledge(submission, job.jobId);
+            this.oracle.recordAcknowledgement(submission, job.jobId);
         }
         catch (error) {
             submission.notRunCount += Number(error instanceof KnapweedError && error.outcome === "not-run");
--- a/fuzz/promises/src/keyedCaller.ts
+++ b/fuzz/promises/src/keyedCaller.ts
@@ -25,7 +25,7 @@
             return;
         }
         this.oracle.keyedCalls.push(call);
-        this.checkAnswer(call);
+        this.checkResponse(call);
         if (call.outcome === "unknown" && this.fleet.platform.options.retriesUnknown) {
             this.execute(opts.key);
         }
@@ -54,7 +54,7 @@
                 case "recorded":
                     return { key, outcome: "answered", body: Buffer.from(claim.answer.body).toString("utf8") };
                 case "conflict":
-                    this.oracle.report(promiseViolation("a resend is not a conflict", { key }));
+                    this.oracle.recordViolation(promiseViolation("a resend is not a conflict", { key }));
                     return undefined;
                 default:
                     return { key, outcome: claim.kind, body: undefined };
@@ -90,13 +90,13 @@
     private execute(key: string): string {
         const { upstreams } = this.fleet.platform;
         const call = `keyed/${key}`;
-        upstreams.add({ service: "ledger", call, repeatable: false, atMs: this.fleet.clock.nowMs() });
-        return `receipt ${key} run ${upstreams.countOf(call)}`;
+        upstreams.addExecution({ service: "ledger", call, repeatable: false, atMs: this.fleet.clock.nowMs() });
+        return `receipt ${key} run ${upstreams.executionCount(call)}`;
     }
 
-    private checkAnswer(call: KeyedCall): void {
+    private checkResponse(call: KeyedCall): void {
         if (call.outcome === "answered" && call.body !== `receipt ${call.key} run 1`) {
-            this.oracle.report(promiseViolation("a resend gets the recorded answer", call));
+            this.oracle.recordViolation(promiseViolation("a resend gets the recorded answer", call));
         }
     }
 }
--- a/fuzz/promises/src/memoryEndpoint.ts
+++ b/fuzz/promises/src/memoryEndpoint.ts
@@ -9,8 +9,8 @@
 import { MemoryLink } from "./memoryLink.js";
 import type { MemoryNetwork } from "./memoryNetwork.js";
 
-type AnyHandler = CallHandler<unknown, unknown>;
-type AnyReceiver = (message: unknown, peer: PeerIdentity) => void;
+type AnyCallHandler = CallHandler<unknown, unknown>;
+type AnyNotificationHandler = (message: unknown, peer: PeerIdentity) => void;
 
 /** The links of one simulated process. */
 export class MemoryEndpoint implements LinkEndpoint {
@@ -18,10 +18,12 @@
     readonly address: string;
     readonly lifecycle: InstanceLifecycle;
     private readonly network: MemoryNetwork;
-    private readonly handlers = new Map<string, AnyHandler>();
-    private readonly receivers = new Map<string, AnyReceiver>();
+    private readonly callHandlers = new Map<string, AnyCallHandler>();
+    private readonly notificationHandlers = new Map<string, AnyNotificationHandler>();
 
-    constructor(opts: { identity: PeerIdentity; address: string; lifecycle: InstanceLifecycle; network: MemoryNetwork; }) {
+    constructor(
+        opts: { identity: PeerIdentity; address: string; lifecycle: InstanceLifecycle; network: MemoryNetwork; },
+    ) {
         this.identity = opts.identity;
         this.address = opts.address;
         this.lifecycle = opts.lifecycle;
@@ -34,14 +36,14 @@
     }
 
     handle<Request, Frame>(definition: CallDefinition<Request, Frame>, handler: CallHandler<Request, Frame>): void {
-        this.handlers.set(definition.name, handler as AnyHandler);
+        this.callHandlers.set(definition.name, handler as AnyCallHandler);
     }
 
     handleNotification<Message>(
         definition: NotificationDefinition<Message>,
-        receiver: (message: Message, peer: PeerIdentity) => void,
+        handler: (message: Message, peer: PeerIdentity) => void,
     ): void {
-        this.receivers.set(definition.name, receiver as AnyReceiver);
+        this.notificationHandlers.set(definition.name, handler as AnyNotificationHandler);
     }
 
     connect(address: string): Link {
@@ -49,8 +51,10 @@
     }
 
     links(): Link[] {
-        return this.network.all()
-            .filter(other => other !== this && !other.lifecycle.dead && !this.network.isSilent(this.address, other.address))
+        return this.network.allEndpoints()
+            .filter(other =>
+                other !== this && !other.lifecycle.dead && !this.network.isSilent(this.address, other.address)
+            )
             .map(other => this.connect(other.address));
     }
 
@@ -60,9 +64,9 @@
     }
 
     /** Runs the handler of a call. */
-    async answer(name: string, request: unknown, peer: PeerIdentity): Promise<unknown[]> {
+    async handleCall(name: string, request: unknown, peer: PeerIdentity): Promise<unknown[]> {
         await this.lifecycle.whenRunning();
-        const handler = this.handlers.get(name);
+        const handler = this.callHandlers.get(name);
         if (handler === undefined) {
             throw new KnapweedError("LINK_NO_HANDLER", `No handler for ${name}`, { outcome: "not-run" });
         }
@@ -75,7 +79,7 @@
         return frames;
     }
 
-    deliver(name: string, message: unknown, peer: PeerIdentity): void {
-        this.lifecycle.run(() => this.receivers.get(name)?.(message, peer));
+    handleMessage(name: string, message: unknown, peer: PeerIdentity): void {
+        this.lifecycle.run(() => this.notificationHandlers.get(name)?.(message, peer));
     }
 }
--- a/fuzz/promises/src/memoryLink.ts
+++ b/fuzz/promises/src/memoryLink.ts
@@ -18,7 +18,7 @@
     }
 
     get peer(): PeerIdentity | undefined {
-        return this.opts.network.at(this.opts.address)?.identity;
+        return this.opts.network.endpointAt(this.opts.address)?.identity;
     }
 
     get state(): Link["state"] {
@@ -27,27 +27,34 @@
 
     async *call<Request, Frame>(definition: CallDefinition<Request, Frame>, request: Request): AsyncIterable<Frame> {
         const { from, network } = this.opts;
-        const target = network.at(this.opts.address);
+        const target = network.endpointAt(this.opts.address);
         if (target === undefined || target.lifecycle.dead || !this.isReachable()) {
             await sleep(network.clock, 1);
             await from.lifecycle.whenRunning();
             throw new KnapweedError("LINK_CLOSED", "The process can't be reached", { outcome: "not-run" });
         }
         const copy = structuredClone(request);
-        if (network.takeDuplicate()) {
-            target.answer(definition.name, structuredClone(copy), from.identity).catch(() => undefined);
+        if (network.consumeDuplication()) {
+            target.handleCall(definition.name, structuredClone(copy), from.identity).catch(() => undefined);
         }
-        const frames = await Promise.race([target.answer(definition.name, copy, from.identity), this.timeOut()]);
+        const frames = await Promise.race([
+            target.handleCall(definition.name, copy, from.identity),
+            this.rejectAfterTimeout(),
+        ]);
         await from.lifecycle.whenRunning();
-        if (network.takeLostAnswer() || !this.isReachable()) {
-            throw lost();
+        if (network.consumeResponseLoss() || !this.isReachable()) {
+            throw responseLostError();
         }
         yield* frames as Frame[];
     }
 
     notify<Message>(definition: NotificationDefinition<Message>, message: Message): void {
         if (this.isReachable()) {
-            this.opts.network.at(this.opts.address)?.deliver(definition.name, message, this.opts.from.identity);
+            this.opts.network.endpointAt(this.opts.address)?.handleMessage(
+                definition.name,
+                message,
+                this.opts.from.identity,
+            );
         }
     }
 
@@ -59,13 +66,13 @@
         return !this.opts.network.isSilent(this.opts.from.address, this.opts.address);
     }
 
-    private async timeOut(): Promise<never> {
+    private async rejectAfterTimeout(): Promise<never> {
         await sleep(this.opts.network.clock, CALL_TIMEOUT_MS);
         await this.opts.from.lifecycle.whenRunning();
-        throw lost();
+        throw responseLostError();
     }
 }
 
-function lost(): KnapweedError {
+function responseLostError(): KnapweedError {
     return new KnapweedError("LINK_ANSWER_LOST", "The answer was lost", { outcome: "unknown" });
 }
--- a/fuzz/promises/src/memoryNetwork.ts
+++ b/fuzz/promises/src/memoryNetwork.ts
@@ -5,8 +5,8 @@
 export class MemoryNetwork {
     readonly clock: Clock;
     private readonly endpoints = new Map<string, MemoryEndpoint>();
-    private readonly silent = new Map<string, number>();
-    private answersToLose = 0;
+    private readonly silentUntilMs = new Map<string, number>();
+    private responsesToLose = 0;
     private callsToDuplicate = 0;
 
     constructor(opts: { clock: Clock; }) {
@@ -21,27 +21,27 @@
         this.endpoints.delete(address);
     }
 
-    at(address: string): MemoryEndpoint | undefined {
+    endpointAt(address: string): MemoryEndpoint | undefined {
         return this.endpoints.get(address);
     }
 
-    all(): MemoryEndpoint[] {
+    allEndpoints(): MemoryEndpoint[] {
         return [...this.endpoints.values()];
     }
 
     /** Calls between two processes neither arrive nor fail before `durationMs` have passed. */
     silence(from: string, to: string, durationMs: number): void {
         const untilMs = this.clock.nowMs() + durationMs;
-        this.silent.set(pairOf(from, to), untilMs);
+        this.silentUntilMs.set(pairKey(from, to), untilMs);
     }
 
     isSilent(from: string, to: string): boolean {
-        return (this.silent.get(pairOf(from, to)) ?? 0) > this.clock.nowMs();
+        return (this.silentUntilMs.get(pairKey(from, to)) ?? 0) > this.clock.nowMs();
     }
 
     /** The next `count` calls run, but their answers are lost. */
-    loseNextAnswers(count: number): void {
-        this.answersToLose = count;
+    loseNextResponses(count: number): void {
+        this.responsesToLose = count;
     }
 
     /** The next `count` calls arrive twice. */
@@ -49,25 +49,25 @@
         this.callsToDuplicate = count;
     }
 
-    takeLostAnswer(): boolean {
-        const isLost = this.answersToLose > 0;
-        this.answersToLose -= Number(isLost);
+    consumeResponseLoss(): boolean {
+        const isLost = this.responsesToLose > 0;
+        this.responsesToLose -= Number(isLost);
         return isLost;
     }
 
-    takeDuplicate(): boolean {
+    consumeDuplication(): boolean {
         const isDuplicate = this.callsToDuplicate > 0;
         this.callsToDuplicate -= Number(isDuplicate);
         return isDuplicate;
     }
 
-    heal(): void {
-        this.silent.clear();
-        this.answersToLose = 0;
+    clearFaults(): void {
+        this.silentUntilMs.clear();
+        this.responsesToLose = 0;
         this.callsToDuplicate = 0;
     }
 }
 
-function pairOf(from: string, to: string): string {
+function pairKey(from: string, to: string): string {
     return [from, to].toSorted().join(" ");
 }
--- a/fuzz/promises/src/memorySegmentStore.ts
+++ b/fuzz/promises/src/memorySegmentStore.ts
@@ -42,7 +42,7 @@
     }
 
     /** Cuts the copies short, as a torn write does. */
-    tear(): void {
+    truncateSegments(): void {
         this.segments.forEach((bytes, digest) => this.segments.set(digest, bytes.subarray(0, bytes.length >> 1)));
     }
 
--- a/fuzz/promises/src/oracle.ts
+++ b/fuzz/promises/src/oracle.ts
@@ -12,9 +12,9 @@
 import type { Submission } from "./submission.js";
 
 const PARTITION_COUNT = 2;
-const CANCEL_LIMIT_MS = 2000;
+const MAX_CANCEL_DELAY_MS = 2000;
 /** An item that a side has begun to run may end after the cancel. */
-const RUN_LIMIT_MS = 400;
+const MAX_ITEM_RUN_MS = 400;
 
 /** Knows what was promised and compares it with what happened. */
 export class Oracle {
@@ -31,7 +31,7 @@
     }
 
     /** Notes a violation that was seen beside the steps. */
-    report(violation: unknown): void {
+    recordViolation(violation: unknown): void {
         this.violation ??= violation;
     }
 
@@ -49,27 +49,29 @@
         const { delayMs } = faults;
         faults.delayMs = 0;
         try {
-            await Promise.all(this.acknowledged().map(submission => this.checkJob(submission.jobId as JobId)));
+            await Promise.all(
+                this.acknowledgedSubmissions().map(submission => this.checkJob(submission.jobId as JobId)),
+            );
         }
         finally {
             faults.delayMs = delayMs;
         }
     }
 
-    acknowledged(): Submission[] {
+    acknowledgedSubmissions(): Submission[] {
         return this.submissions.filter(submission => submission.jobId !== undefined);
     }
 
-    acknowledge(submission: Submission, jobId: JobId): void {
+    recordAcknowledgement(submission: Submission, jobId: JobId): void {
         if (submission.jobId !== undefined && submission.jobId !== jobId) {
-            this.report(promiseViolation("a resend gives the same job", { jobId, earlier: submission.jobId }));
+            this.recordViolation(promiseViolation("a resend gives the same job", { jobId, earlier: submission.jobId }));
         }
         submission.jobId ??= jobId;
     }
 
     private checkExecutions(): void {
         const counts = new Map<string, number>();
-        this.platform.upstreams.all()
+        this.platform.upstreams.allExecutions()
             .filter(execution => !execution.repeatable)
             .forEach(execution => counts.set(execution.call, (counts.get(execution.call) ?? 0) + 1));
         const repeated = [...counts].filter(([, count]) => count > 1);
@@ -79,16 +81,16 @@
     }
 
     private checkCancels(): void {
-        this.acknowledged().forEach(({ jobId, cancelledAtMs }) => {
+        this.acknowledgedSubmissions().forEach(({ jobId, cancelledAtMs }) => {
             if (cancelledAtMs === undefined || cancelledAtMs < this.faultsUntilMs) {
                 return;
             }
-            const limitMs = cancelledAtMs + CANCEL_LIMIT_MS + RUN_LIMIT_MS;
+            const limitMs = cancelledAtMs + MAX_CANCEL_DELAY_MS + MAX_ITEM_RUN_MS;
             const lastChunkAtMs = this.platform.upstreams.lastChunkAtMs(jobId ?? "") ?? 0;
             if (lastChunkAtMs > limitMs) {
                 throw promiseViolation("a cancelled job's streams end", { jobId, cancelledAtMs, lastChunkAtMs });
             }
-            const late = this.platform.upstreams.all()
+            const late = this.platform.upstreams.allExecutions()
                 .filter(execution => execution.call.startsWith(`${jobId}/`) && execution.atMs > limitMs);
             if (late.length > 0) {
                 throw promiseViolation("a cancelled job stops", { jobId, cancelledAtMs, late: late[0] });
--- a/fuzz/promises/src/simulatedEntry.ts
+++ b/fuzz/promises/src/simulatedEntry.ts
@@ -10,11 +10,11 @@
 import { SeededRandom } from "@knapweedwood/core.random/seededRandom";
 import { silentLogger } from "@knapweedwood/observability.logs/silentLogger";
 import { silentMetrics } from "@knapweedwood/observability.metrics/silentMetrics";
-import { PausableClock } from "./pausableClock.js";
-import { PausableKeyValueService } from "./pausableKeyValueService.js";
 import { InstanceLifecycle } from "./instanceLifecycle.js";
 import { MemoryEndpoint } from "./memoryEndpoint.js";
 import type { MemorySegmentStore } from "./memorySegmentStore.js";
+import { PausableClock } from "./pausableClock.js";
+import { PausableKeyValueService } from "./pausableKeyValueService.js";
 import { simulatedServices } from "./simulatedServices.js";
 import type { SimulationPlatform } from "./simulationPlatform.js";
 
@@ -75,7 +75,7 @@
             holders: () => platform.holders(),
             copyCount: platform.options.copyCount,
         });
-        const shared = {
+        const sharedOptions = {
             instanceId: this.instanceId,
             address: () => this.address,
             clock,
@@ -88,14 +88,14 @@
             metrics: silentMetrics,
         };
         this.role = new BatchRole({
-            ...shared,
+            ...sharedOptions,
             services: simulatedServices,
             teamWeight: () => 1,
             partitionCount: PARTITION_COUNT,
         });
-        this.claims = new ClaimService({ ...shared, shardCount: SHARD_COUNT });
+        this.claims = new ClaimService({ ...sharedOptions, shardCount: SHARD_COUNT });
         this.batchService = new KeyValueBatchService({
-            ...shared,
+            ...sharedOptions,
             onCancelled: jobId => this.role.notifyCancelled(jobId),
         });
     }
@@ -118,18 +118,18 @@
 
     /** A planned stop: what is owned is handed over first. */
     async stop(): Promise<void> {
-        await this.platform.instanceList.announce({ ...this.record(), state: "leaving" });
+        await this.platform.instanceList.announce({ ...this.instanceRecord(), state: "leaving" });
         await Promise.all([this.role.stop(), this.claims.stop()]);
         await this.platform.instanceList.withdraw(this.instanceId);
         this.crash();
     }
 
     private announce(): void {
-        void this.platform.instanceList.announce(this.record());
+        void this.platform.instanceList.announce(this.instanceRecord());
         this.clock.setTimer(HEARTBEAT_MS, () => this.announce());
     }
 
-    private record(): Parameters<SimulationPlatform["instanceList"]["announce"]>[0] {
+    private instanceRecord(): Parameters<SimulationPlatform["instanceList"]["announce"]>[0] {
         return {
             instanceId: this.instanceId,
             kind: "entry",
--- a/fuzz/promises/src/simulatedSide.ts
+++ b/fuzz/promises/src/simulatedSide.ts
@@ -10,16 +10,16 @@
 import type { ServiceName } from "@knapweedwood/core.ids/serviceName";
 import type { ZoneName } from "@knapweedwood/core.ids/zoneName";
 import { SeededRandom } from "@knapweedwood/core.random/seededRandom";
-import { answerOf } from "./upstreamResponse.js";
-import { PausableClock } from "./pausableClock.js";
 import { InstanceLifecycle } from "./instanceLifecycle.js";
 import { MemoryEndpoint } from "./memoryEndpoint.js";
+import { PausableClock } from "./pausableClock.js";
 import type { SimulationPlatform } from "./simulationPlatform.js";
+import { upstreamResponse } from "./upstreamResponse.js";
 
 const PULL_INTERVAL_MS = 300;
 const PULL_COUNT = 4;
 const MAX_RUN_MS = 400;
-const SLOW_CHUNKS = 16;
+const SLOW_CHUNK_COUNT = 16;
 const SLOW_CHUNK_MS = 300;
 
 /** One side process with its upstream: pulls items, runs them and reports their results. */
@@ -31,7 +31,7 @@
     private readonly random: SeededRandom;
     private readonly source: LinkBatchSource;
     private readonly address: string;
-    private readonly cancelled = new Set<JobId>();
+    private readonly cancelledJobs = new Set<JobId>();
     private readonly onCrash: () => void;
 
     constructor(opts: {
@@ -63,7 +63,7 @@
             network: opts.platform.network,
         });
         endpoint.handleNotification(cancelJobNotification, ({ jobId }) => {
-            this.cancelled.add(jobId);
+            this.cancelledJobs.add(jobId);
         });
         this.source = new LinkBatchSource({
             endpoint,
@@ -75,7 +75,7 @@
     }
 
     start(): void {
-        this.pullAgain();
+        this.schedulePull();
     }
 
     crash(): void {
@@ -83,9 +83,9 @@
         this.platform.network.remove(this.address);
     }
 
-    private pullAgain(): void {
+    private schedulePull(): void {
         this.clock.setTimer(PULL_INTERVAL_MS, () => {
-            void this.pull().finally(() => this.pullAgain());
+            void this.pull().finally(() => this.schedulePull());
         });
     }
 
@@ -101,13 +101,13 @@
 
     private async run(item: BatchItem): Promise<BatchResult | undefined> {
         await sleep(this.clock, this.random.nextInteger(MAX_RUN_MS));
-        if (this.cancelled.has(item.jobId) && !this.platform.options.ignoresCancel) {
+        if (this.cancelledJobs.has(item.jobId) && !this.platform.options.ignoresCancel) {
             return undefined;
         }
         const runCount = this.platform.options.repeatsItems && this.random.nextInteger(4) === 0 ? 2 : 1;
         Array.from({ length: runCount }).forEach(() => this.execute(item));
         const { jobId, itemIndex, attempt } = item;
-        if (item.body.behaviour === "slow" && !await this.runSlowly(item)) {
+        if (item.body.behaviour === "slow" && !await this.runSlowStream(item)) {
             return undefined;
         }
         const outcome = this.outcomeOf(item);
@@ -116,19 +116,19 @@
     }
 
     /** A long stream, cancelled with its job. @returns whether it came to its end */
-    private async runSlowly(item: BatchItem): Promise<boolean> {
-        for (let chunk = 0; chunk < SLOW_CHUNKS; chunk++) {
+    private async runSlowStream(item: BatchItem): Promise<boolean> {
+        for (let chunk = 0; chunk < SLOW_CHUNK_COUNT; chunk++) {
             await sleep(this.clock, SLOW_CHUNK_MS);
-            if (this.cancelled.has(item.jobId) && !this.platform.options.ignoresCancel) {
+            if (this.cancelledJobs.has(item.jobId) && !this.platform.options.ignoresCancel) {
                 return false;
             }
-            this.platform.upstreams.noteChunk({ jobId: item.jobId, atMs: this.clock.nowMs() });
+            this.platform.upstreams.recordChunk({ jobId: item.jobId, atMs: this.clock.nowMs() });
         }
         return true;
     }
 
     private execute(item: BatchItem): void {
-        this.platform.upstreams.add({
+        this.platform.upstreams.addExecution({
             service: item.service,
             call: `${item.jobId}/${item.itemIndex}`,
             repeatable: item.repeatable,
@@ -146,7 +146,7 @@
                 this.onCrash();
                 return undefined;
             default:
-                return { kind: "completed", statusCode: 200, body: answerOf(item.body) };
+                return { kind: "completed", statusCode: 200, body: upstreamResponse(item.body) };
         }
     }
 }
--- a/fuzz/promises/src/simulationPlatform.ts
+++ b/fuzz/promises/src/simulationPlatform.ts
@@ -4,7 +4,7 @@
 import { MemoryKeyValueService } from "@knapweedwood/standins.key-value/memoryKeyValueService";
 import { MemoryNetwork } from "./memoryNetwork.js";
 import type { SimulationOptions } from "./simulationOptions.js";
-import { UpstreamRecord } from "./upstreamHistory.js";
+import { UpstreamHistory } from "./upstreamHistory.js";
 
 /** The platform below a simulated fleet. */
 export class SimulationPlatform {
@@ -13,7 +13,7 @@
     readonly keyValue: MemoryKeyValueService;
     readonly instanceList: MemoryInstanceList;
     readonly network: MemoryNetwork;
-    readonly upstreams = new UpstreamRecord();
+    readonly upstreams = new UpstreamHistory();
     /** Live instances with a data folder. */
     holders: () => SegmentHolder[] = () => [];
 
--- a/fuzz/promises/test/batchPath.test.ts
+++ b/fuzz/promises/test/batchPath.test.ts
@@ -2,9 +2,9 @@
 import type { TeamId } from "@knapweedwood/core.ids/teamId";
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { answerOf } from "../src/upstreamResponse.js";
 import { defaultSimulationOptions } from "../src/defaultSimulationOptions.js";
 import { Fleet } from "../src/fleet.js";
+import { upstreamResponse } from "../src/upstreamResponse.js";
 
 const teamId = "team-a" as TeamId;
 const endpoint = "/v1/chat/completions";
@@ -33,9 +33,9 @@
     const request = { teamId, inputFileId: file.fileId, endpoint, metadata: {}, idempotencyKey, dueMs: 600_000 };
     const job = await entry.batchService.createJob(request);
     assert.equal((await other.batchService.createJob(request)).jobId, job.jobId);
-    let minutes = 0;
+    let stepCount = 0;
     let current = job;
-    while (current.state !== "completed" && minutes++ < 20) {
+    while (current.state !== "completed" && stepCount++ < 20) {
         await fleet.advance(10_000);
         current = await other.batchService.getJob({ teamId, jobId: job.jobId });
     }
@@ -49,5 +49,5 @@
     const output = Buffer.concat(chunks).toString("utf8").trimEnd().split("\n").map(line => JSON.parse(line));
     const expected = bodies.flatMap((body, index) => body.behaviour === "answer" ? [{ index, body }] : []);
     assert.deepEqual(output.map(line => line.custom_id), expected.map(({ index }) => `c${index}`));
-    assert.deepEqual(output.map(line => line.response.body), expected.map(({ body }) => answerOf(body)));
+    assert.deepEqual(output.map(line => line.response.body), expected.map(({ body }) => upstreamResponse(body)));
 });
--- a/fuzz/promises/test/claims.test.ts
+++ b/fuzz/promises/test/claims.test.ts
@@ -22,10 +22,10 @@
 });
 
 function claim(fleet: Fleet, entry: number, key: string, requestDigest?: string): Promise<ClaimResult> {
-    return fleet.complete(fleet.entries[entry].claims.claim(requestOf(key, requestDigest)));
+    return fleet.runUntilSettled(fleet.entries[entry].claims.claim(requestOf(key, requestDigest)));
 }
 
-const answer = { statusCode: 201, headers: { "content-type": "text/plain" }, body: Buffer.from("receipt 1") };
+const recordedResponse = { statusCode: 201, headers: { "content-type": "text/plain" }, body: Buffer.from("receipt 1") };
 
 test("many claims are packed into few writes, and each key is granted once", async () => {
     const fleet = await startFleet(1);
@@ -33,7 +33,7 @@
     const writesBefore = counters.writes;
     const keys = Array.from({ length: 300 }, (_, index) => `key-${index % 150}`);
     const claims = keys.map((key, index) => fleet.entries[index % 3].claims.claim(requestOf(key)));
-    const results = await fleet.complete(Promise.all(claims));
+    const results = await fleet.runUntilSettled(Promise.all(claims));
     assert.equal(results.filter(result => result.kind === "granted").length, 150);
     assert.equal(results.filter(result => result.kind === "in-progress").length, 150);
     assert.ok(counters.writes - writesBefore <= 20, String(counters.writes - writesBefore));
@@ -44,11 +44,11 @@
     const first = await claim(fleet, 0, "a");
     assert.equal(first.kind, "granted");
     assert.ok(first.kind === "granted");
-    await fleet.complete(fleet.entries[0].claims.record(first.token, answer));
-    for (const lost of [1, 2]) {
-        fleet.crashEntry(lost);
+    await fleet.runUntilSettled(fleet.entries[0].claims.record(first.token, recordedResponse));
+    for (const crashedEntry of [1, 2]) {
+        fleet.crashEntry(crashedEntry);
         await fleet.advance(8000);
-        const resent = await claim(fleet, lost, "a");
+        const resent = await claim(fleet, crashedEntry, "a");
         assert.ok(resent.kind === "recorded", resent.kind);
         assert.equal(Buffer.from(resent.answer.body).toString(), "receipt 1");
         assert.equal(resent.answer.statusCode, 201);
@@ -71,10 +71,10 @@
     const fleet = await startFleet(4);
     const first = await claim(fleet, 0, "c");
     assert.ok(first.kind === "granted");
-    await fleet.complete(fleet.entries[0].claims.release(first.token));
+    await fleet.runUntilSettled(fleet.entries[0].claims.release(first.token));
     const second = await claim(fleet, 1, "c");
     assert.ok(second.kind === "granted");
-    await fleet.complete(fleet.entries[0].claims.release(first.token));
+    await fleet.runUntilSettled(fleet.entries[0].claims.release(first.token));
     assert.equal((await claim(fleet, 2, "c")).kind, "in-progress", "an old token releases nothing");
 });
 
@@ -88,13 +88,13 @@
 });
 
 /** A page that could not be written makes the owner read its log again. */
-async function failOneClaim(fleet: Fleet): Promise<void> {
+async function failClaimWrites(fleet: Fleet): Promise<void> {
     const { faults } = fleet.platform.keyValue;
     const claims = ["f0", "f1", "f2", "f3"].map(key => fleet.entries[0].claims.claim(requestOf(key)));
     faults.outage = true;
     await fleet.advance(1000);
     faults.outage = false;
-    await fleet.complete(Promise.allSettled(claims));
+    await fleet.runUntilSettled(Promise.allSettled(claims));
     await fleet.advance(20_000);
 }
 
@@ -102,11 +102,11 @@
     const fleet = await startFleet(6);
     for (let index = 0; index < 90; index++) {
         if (index === 30) {
-            await failOneClaim(fleet);
+            await failClaimWrites(fleet);
         }
         const granted = await claim(fleet, index % 3, `e${index}`);
         assert.ok(granted.kind === "granted");
-        await fleet.complete(fleet.entries[index % 3].claims.record(granted.token, answer));
+        await fleet.runUntilSettled(fleet.entries[index % 3].claims.record(granted.token, recordedResponse));
     }
     const pages = await fleet.platform.keyValue.list("/claims/log/");
     assert.ok(pages.length <= 2 * 34, String(pages.length));
--- a/fuzz/promises/test/mutantKeyValueService.ts
+++ b/fuzz/promises/test/mutantKeyValueService.ts
@@ -12,7 +12,7 @@
     /** Puts of keys that contain this are made without their lease. */
     dropsLeases?: string;
     /** What a lost answer is taken for. */
-    lostAnswer?: "not-run" | "succeeded";
+    assumedOutcome?: "not-run" | "succeeded";
     /** Takes a write of keys that contain this as done without making it. */
     skipsWrites?: string;
 }
@@ -36,9 +36,9 @@
     }
 
     async transact(compares: KeyValueCompare[], operations: KeyValueOperation[]): Promise<TransactionResult> {
-        const { dropsCompares = [], dropsLeases, lostAnswer, skipsWrites } = this.mutation;
-        const kept = compares.filter(compare => !dropsCompares.some(part => compare.key.includes(part)));
-        const changed = operations.map(operation =>
+        const { dropsCompares = [], dropsLeases, assumedOutcome, skipsWrites } = this.mutation;
+        const keptCompares = compares.filter(compare => !dropsCompares.some(part => compare.key.includes(part)));
+        const changedOperations = operations.map(operation =>
             operation.kind === "put" && dropsLeases !== undefined && operation.key.includes(dropsLeases)
                 ? { ...operation, leaseId: undefined }
                 : operation
@@ -47,13 +47,13 @@
             return { succeeded: true, revision: 1, current: [] };
         }
         try {
-            return await this.service.transact(kept, changed);
+            return await this.service.transact(keptCompares, changedOperations);
         }
         catch (error) {
-            if (lostAnswer === undefined || !(error instanceof KnapweedError) || error.outcome !== "unknown") {
+            if (assumedOutcome === undefined || !(error instanceof KnapweedError) || error.outcome !== "unknown") {
                 throw error;
             }
-            if (lostAnswer === "succeeded") {
+            if (assumedOutcome === "succeeded") {
                 return { succeeded: true, revision: 1, current: [] };
             }
             throw new KnapweedError("KEY_VALUE_UNAVAILABLE", "assumed not run", { outcome: "not-run" });
--- a/fuzz/promises/test/recovery.test.ts
+++ b/fuzz/promises/test/recovery.test.ts
@@ -58,7 +58,7 @@
 async function runToEnd(fleet: Fleet, job: JobRecord): Promise<JobRecord> {
     for (let step = 0; step < 600; step++) {
         await fleet.advance(2000);
-        const entry = fleet.liveEntry(0);
+        const entry = fleet.availableEntry(0);
         const current = await entry?.batchService.getJob({ teamId, jobId: job.jobId });
         if (current?.state === "completed") {
             return current;
@@ -67,7 +67,7 @@
     throw new Error("the job did not end");
 }
 
-const ownersOf = (fleet: Fleet) =>
+const readOwners = (fleet: Fleet) =>
     Promise.all(
         partitionIds.map(partitionId =>
             readRecord<PartitionRecord>(fleet.platform.keyValue, partitionKeys.owner("batch", partitionId))
@@ -77,11 +77,11 @@
 test("the partitions of a crashed entry have a new owner within 5 s of model time", async () => {
     for (const seed of [1, 2, 3, 4, 5]) {
         const fleet = await startFleet(seed);
-        const [record] = await ownersOf(fleet);
-        const victim = fleet.entries.findIndex(entry => entry.instanceId === record?.value.instanceId);
-        fleet.entries[victim].crash();
+        const [record] = await readOwners(fleet);
+        const ownerIndex = fleet.entries.findIndex(entry => entry.instanceId === record?.value.instanceId);
+        fleet.entries[ownerIndex].crash();
         await fleet.advance(5000);
-        const owners = (await ownersOf(fleet)).map(owner => owner?.value.instanceId);
+        const owners = (await readOwners(fleet)).map(owner => owner?.value.instanceId);
         const live = fleet.entries.filter(entry => !entry.lifecycle.dead).map(entry => entry.instanceId);
         owners.forEach(owner => assert.ok(owner !== undefined && live.includes(owner), `seed ${seed}: ${owner}`));
     }
@@ -89,21 +89,21 @@
 
 const plannedStopSeeds = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10];
 
-const plannedStop = async (seed: number) => {
+const runPlannedStop = async (seed: number) => {
     const fleet = await startFleet(seed);
     const job = await submit(fleet, 200);
     await fleet.advance(4000);
-    const [record] = await ownersOf(fleet);
-    const leaving = fleet.entries.findIndex(entry => entry.instanceId === record?.value.instanceId);
-    await fleet.complete(fleet.stopEntry(leaving));
+    const [record] = await readOwners(fleet);
+    const ownerIndex = fleet.entries.findIndex(entry => entry.instanceId === record?.value.instanceId);
+    await fleet.runUntilSettled(fleet.stopEntry(ownerIndex));
     const ended = await runToEnd(fleet, job);
     assert.deepEqual(ended.itemCounts, { total: 200, completed: 200, failed: 0 });
-    assert.equal(fleet.platform.upstreams.all().length, 200, `seed ${seed}`);
+    assert.equal(fleet.platform.upstreams.allExecutions().length, 200, `seed ${seed}`);
 };
 
 test("a planned stop hands the partitions over and redoes nothing", async () => {
     for (const seed of plannedStopSeeds) {
-        await plannedStop(seed);
+        await runPlannedStop(seed);
     }
 });
 
@@ -119,9 +119,9 @@
         const job = await submit(fleet, 400);
         await fleet.advance(5000);
         fleet.platform.keyValue.faults.outage = true;
-        const before = fleet.platform.upstreams.all().length;
+        const before = fleet.platform.upstreams.allExecutions().length;
         await fleet.advance(30 * MINUTE_MS);
-        const during = fleet.platform.upstreams.all().length;
+        const during = fleet.platform.upstreams.allExecutions().length;
         assert.ok(during > before, "accepted jobs go on");
         fleet.platform.keyValue.faults.outage = false;
         const callsBefore = fleet.platform.keyValue.counters.reads + fleet.platform.keyValue.counters.writes;
@@ -130,7 +130,7 @@
         assert.ok(calls <= 100, `${calls} calls in the first second`);
         const ended = await runToEnd(fleet, job);
         assert.deepEqual(ended.itemCounts, { total: 400, completed: 400, failed: 0 });
-        assert.equal(fleet.platform.upstreams.all().length, 400);
+        assert.equal(fleet.platform.upstreams.allExecutions().length, 400);
     });
 });
 
@@ -140,7 +140,7 @@
     assert.ok(ended.outputFileId);
     fleet.dataFolders[0].clear();
     const { keyValue, clock } = fleet.platform;
-    const sweep = new SegmentScan({
+    const scan = new SegmentScan({
         keyValue,
         clock,
         segmentStore: fleet.entries[1].segmentStore,
@@ -149,13 +149,13 @@
         logger: silentLogger,
         metrics: silentMetrics,
     });
-    const report = await fleet.complete(sweep.run());
+    const report = await fleet.runUntilSettled(scan.run());
     assert.ok(report.checkedCount > 0);
     assert.deepEqual([report.singleCopy, report.lost], [[], []]);
     fleet.dataFolders[1].clear();
     const chunks: Uint8Array[] = [];
     const file = fleet.entries[2].batchService.readFile({ teamId, fileId: ended.outputFileId });
-    await fleet.complete((async () => {
+    await fleet.runUntilSettled((async () => {
         for await (const chunk of file) {
             chunks.push(chunk);
         }
@@ -169,12 +169,12 @@
     const running = await submit(fleet, 300);
     const { keyValue, clock } = fleet.platform;
     const retention = new JobRetention({ keyValue, clock, partitionCount: 2, retentionMs: 0, isOwned: () => true });
-    assert.equal(await fleet.complete(retention.run()), 1);
+    assert.equal(await fleet.runUntilSettled(retention.run()), 1);
     const { batchService } = fleet.entries[1];
     await assert.rejects(batchService.getJob({ teamId, jobId: ended.jobId }), { code: "ERR_KNAPWEED_JOB_NOT_FOUND" });
     assert.equal((await batchService.getJob({ teamId, jobId: running.jobId })).jobId, running.jobId);
-    const left = await keyValue.list("/batch/");
-    assert.deepEqual(left.filter(entry => entry.key.includes(ended.jobId)), []);
+    const remainingEntries = await keyValue.list("/batch/");
+    assert.deepEqual(remainingEntries.filter(entry => entry.key.includes(ended.jobId)), []);
 });
 
 test("the writes of a job grow with the logarithm of its running time, not with its items", async () => {
@@ -186,8 +186,8 @@
         const durationSeconds = ((ended.finishedAtMs ?? 0) - ended.createdAtMs) / 1000;
         jobs.push({ checkpointCount: progress?.value.checkpointCount ?? Number.NaN, durationSeconds });
     }
-    const bound = (seconds: number) => 32 + 16 + 16 * Math.log(Math.max(1, seconds / 32));
-    jobs.forEach(job => assert.ok(job.checkpointCount <= bound(job.durationSeconds), JSON.stringify(jobs)));
-    const growth = 16 * Math.log(jobs[1].durationSeconds / jobs[0].durationSeconds);
-    assert.ok(jobs[1].checkpointCount - jobs[0].checkpointCount <= growth + 4, JSON.stringify(jobs));
+    const checkpointBound = (seconds: number) => 32 + 16 + 16 * Math.log(Math.max(1, seconds / 32));
+    jobs.forEach(job => assert.ok(job.checkpointCount <= checkpointBound(job.durationSeconds), JSON.stringify(jobs)));
+    const allowedGrowth = 16 * Math.log(jobs[1].durationSeconds / jobs[0].durationSeconds);
+    assert.ok(jobs[1].checkpointCount - jobs[0].checkpointCount <= allowedGrowth + 4, JSON.stringify(jobs));
 });
