--- a/fuzz/promises/src/checkOutcome.ts
+++ b/fuzz/promises/src/checkOutcome.ts
@@ -18,7 +18,11 @@
     error: { code: string; } | null;
 }
 
-/** Ends all faults, lets the jobs end and compares their results with what was submitted. */
+/**
+ * Ends all faults, waits for the jobs to end and compares their results with the submitted items.
+ *
+ * Then it cancels one job without faults. Rejects with `PROMISE_BROKEN` where a promise doesn't hold.
+ */
 export async function checkOutcome(fuzzCase: FuzzCase): Promise<void> {
     fuzzCase.fleet.clearFaults();
     await waitForJobEnds(fuzzCase);
@@ -98,7 +102,7 @@
     }
 }
 
-/** A job of which each request was refused as not run must not exist. */
+/** Checks that a job doesn't exist if every request for it was rejected as not run. */
 async function checkRejectedSubmission(fuzzCase: FuzzCase, submission: Submission): Promise<void> {
     if (submission.sentCount !== submission.notRunCount) {
         return;
@@ -110,7 +114,7 @@
     }
 }
 
-/** A call of which each attempt was refused as not run must not have run. */
+/** Checks that a keyed call with an `answered` outcome has run at its upstream. */
 function checkKeyedCalls(fuzzCase: FuzzCase): void {
     const keys = new Set(fuzzCase.oracle.keyedCalls.map(call => call.key));
     keys.forEach(key => {
--- a/fuzz/promises/src/checkProgress.ts
+++ b/fuzz/promises/src/checkProgress.ts
@@ -4,7 +4,11 @@
 import type { JobSnapshot } from "./jobSnapshot.js";
 import { promiseViolation } from "./promiseViolation.js";
 
-/** Checks what was committed for a job since it was last seen. */
+/**
+ * Checks a job's committed progress, also against the snapshot taken at the previous check.
+ *
+ * Throws `PROMISE_BROKEN` where a promise doesn't hold. Without a snapshot, only the counts are checked.
+ */
 export function checkProgress(jobId: string, before: JobSnapshot | undefined, after: JobProgress): void {
     const finished = new ItemSet(after.finished);
     const resultCount = after.results.reduce((sum, segment) => sum + segment.lineCount, 0);
--- a/fuzz/promises/src/defaultSimulationOptions.ts
+++ b/fuzz/promises/src/defaultSimulationOptions.ts
@@ -1,6 +1,6 @@
 import type { SimulationOptions } from "./simulationOptions.js";
 
-/** A simulation without mutants. */
+/** The options of a simulation without mutations: every component follows its protocol. */
 export const defaultSimulationOptions: SimulationOptions = {
     wrapKeyValue: keyValue => keyValue,
     copyCount: undefined,
--- a/fuzz/promises/src/execution.ts
+++ b/fuzz/promises/src/execution.ts
@@ -1,8 +1,9 @@
-/** One run of a call, as the upstream itself recorded it. */
+/** One execution of a call, recorded at the upstream itself. */
 export interface Execution {
     service: string;
-    /** Names the call: the job and item, or the idempotency key. */
+    /** Identifies the call: `jobId/itemIndex`, or `keyed/` and the idempotency key. */
     call: string;
+    /** Whether the call may run more than once. */
     repeatable: boolean;
     atMs: number;
 }
--- a/fuzz/promises/src/fleet.ts
+++ b/fuzz/promises/src/fleet.ts
@@ -12,7 +12,11 @@
 const SETTLE_STEP_MS = 100;
 const MAX_SETTLE_STEPS = 1000;
 
-/** A simulated fleet: three entries in three zones and five sides. Processes that end are replaced. */
+/**
+ * A simulated fleet on a manual clock: three entries, each in its own availability zone, and five sides.
+ *
+ * A process that ends is replaced after 1.5 s of simulated time. An entry's replacement keeps its data folder.
+ */
 export class Fleet {
     readonly clock = new ManualClock(START_MS);
     readonly platform: SimulationPlatform;
@@ -38,15 +42,17 @@
         this.sides.forEach(side => side.start());
     }
 
+    /** Advances the simulated time by `durationMs` milliseconds. */
     advance(durationMs: number): Promise<void> {
         return this.clock.advance(durationMs);
     }
 
+    /** Returns the leases ever granted to the live entries. */
     leaseIds(): string[] {
         return this.entries.filter(entry => !entry.lifecycle.dead).flatMap(entry => [...entry.leaseIds]);
     }
 
-    /** Lets time pass until `work` is done. */
+    /** Advances the simulated time until `work` settles, by 100 s at most. @returns its result */
     async runUntilSettled<Value>(work: Promise<Value>): Promise<Value> {
         const progress = { isDone: false };
         const marked = work.finally(() => progress.isDone = true);
@@ -57,7 +63,7 @@
         return await marked;
     }
 
-    /** An entry that can take a call now. */
+    /** Returns the first entry from `preferred` on that is neither dead nor paused, if any. */
     availableEntry(preferred: number): SimulatedEntry | undefined {
         const order = this.entries.map((_, offset) => this.entries[(preferred + offset) % ENTRY_COUNT]);
         return order.find(entry => !entry.lifecycle.dead && !entry.lifecycle.paused);
@@ -84,7 +90,7 @@
         });
     }
 
-    /** Ends all faults. */
+    /** Ends all faults: of the key-value service, the network, the disks and the instances. */
     clearFaults(): void {
         this.platform.keyValue.faults.outage = false;
         this.platform.keyValue.faults.loseNextAnswers(0);
--- a/fuzz/promises/src/fuzzCase.ts
+++ b/fuzz/promises/src/fuzzCase.ts
@@ -10,10 +10,10 @@
 const STARTUP_MS = 4000;
 const STEP_MS = 150;
 const CANCEL_AFTER_MS = 3500;
-/** How long a fault may show after it has ended. */
+/** How long a fault may have effects after its end. */
 const FAULT_EFFECT_MS = 8000;
 
-/** A simulated fleet with its callers and its oracle. */
+/** One fuzz case: a simulated fleet with its callers and its oracle. */
 export class FuzzCase {
     readonly fleet: Fleet;
     readonly oracle: Oracle;
@@ -28,18 +28,19 @@
         this.calls = new KeyedCaller({ fleet: this.fleet, oracle: this.oracle });
     }
 
+    /** Advances the simulated time until the fleet has started. */
     start(): Promise<void> {
         return this.fleet.advance(STARTUP_MS);
     }
 
-    /** Takes one step and checks the promises after it. */
+    /** Runs one step, then checks the promises. Rejects with the first violation. */
     async runStep(step: Step): Promise<void> {
         await this.apply(step);
         await this.fleet.advance(step.kind === "wait" ? step.durationMs : STEP_MS);
         await this.oracle.check();
     }
 
-    /** Cancels a job of long streams without any fault about. */
+    /** Cancels a job of slow streams while no fault is active. Checks that its streams end in time. */
     async runCancelWithoutFaults(): Promise<void> {
         this.oracle.faultsUntilMs = 0;
         const behaviours = Array.from({ length: 6 }, () => "slow" as const);
@@ -131,7 +132,7 @@
         }
     }
 
-    /** Starts a request that may hang; a violation that it sees is reported at the next check. */
+    /** Starts a request without waiting for it, as it may hang. Its rejection fails the next check. */
     private startRequest(preferred: number, action: (entry: SimulatedEntry) => Promise<void>): void {
         const entry = this.fleet.availableEntry(preferred % this.fleet.entries.length);
         if (entry !== undefined) {
@@ -161,7 +162,7 @@
         this.oracle.faultsUntilMs = Math.max(this.oracle.faultsUntilMs, untilMs);
     }
 
-    /** The entries that a request goes to at once. */
+    /** Returns the entries that receive the request concurrently. */
     private targetEntries(step: { entry: number; twice: boolean; }): number[] {
         return step.twice ? [step.entry, step.entry + 1] : [step.entry];
     }
@@ -170,13 +171,13 @@
         return step.twice ? this.fleet.availableEntry((step.entry + 1) % this.fleet.entries.length) : undefined;
     }
 
-    /** Ends the leases of all owners at once. They learn it later. */
+    /** Expires the leases of all live entries at once. The owners notice only later. */
     private expireLeases(): void {
         const { keyValue } = this.fleet.platform;
         this.fleet.leaseIds().forEach(leaseId => keyValue.faults.lapseLease(leaseId));
     }
 
-    /** Only one folder is torn in a case: two copies bear the loss of one. */
+    /** Truncates the segments of one data folder, once a case: with two copies, only one may be lost. */
     private truncateFolder(): void {
         if (!this.hasTruncatedFolder) {
             this.hasTruncatedFolder = true;
--- a/fuzz/promises/src/fuzzCommand.ts
+++ b/fuzz/promises/src/fuzzCommand.ts
@@ -2,7 +2,7 @@
 import type { FuzzCase } from "./fuzzCase.js";
 import type { Step } from "./step.js";
 
-/** One step, as fast-check runs and shrinks it. */
+/** Runs one step as a fast-check command. Its text is the step as JSON, which failure reports print. */
 export class FuzzCommand implements fc.AsyncCommand<object, FuzzCase> {
     private readonly step: Step;
 
--- a/fuzz/promises/src/fuzzPromises.ts
+++ b/fuzz/promises/src/fuzzPromises.ts
@@ -10,13 +10,18 @@
 const MAX_COMMANDS = 40;
 const MAX_SEED = 1_000_000;
 
-/** Runs random cases against the real components and checks the promises step by step. */
+/**
+ * Runs `runs` random cases against the real components and checks the promises after each step and at the end.
+ *
+ * The same seed gives the same cases. A broken promise doesn't reject; the report holds it.
+ */
 export async function fuzzPromises(opts: {
     seed: number;
     runs: number;
     options?: SimulationOptions;
-    /** Path of a shrunk case, to replay just that one. */
+    /** The path of a shrunk case, to replay only that case. */
     path?: string;
+    /** Whether a failing case is shrunk; true by default. */
     shrinks?: boolean;
 }): Promise<FuzzReport> {
     const commands = fc.commands(stepArbitraries.map(steps => steps.map(step => new FuzzCommand(step))), {
--- a/fuzz/promises/src/instanceLifecycle.ts
+++ b/fuzz/promises/src/instanceLifecycle.ts
@@ -1,4 +1,4 @@
-/** Stops everything that an instance does while it is paused, and for good once it is dead. */
+/** Controls whether a simulated instance runs: a pause defers its actions, death drops them for good. */
 export class InstanceLifecycle {
     private isPaused = false;
     private isDead = false;
@@ -16,6 +16,7 @@
         this.isPaused = true;
     }
 
+    /** Ends a pause and runs the deferred actions in their order. */
     resume(): void {
         this.isPaused = false;
         const actions = this.deferredActions;
@@ -23,12 +24,13 @@
         actions.forEach(action => this.run(action));
     }
 
+    /** Ends the instance for good and drops its deferred actions. */
     kill(): void {
         this.isDead = true;
         this.deferredActions = [];
     }
 
-    /** Runs `action` now, once the instance is resumed, or never. */
+    /** Runs `action` at once; at the end of the pause while paused; never once the instance is dead. */
     run(action: () => void): void {
         if (this.isDead) {
             return;
@@ -40,7 +42,7 @@
         action();
     }
 
-    /** Resolves once the instance runs; never where it is dead. */
+    /** Resolves once the instance is not paused. Never settles where it is dead. */
     whenRunning(): Promise<void> {
         return new Promise(resolve => this.run(resolve));
     }
--- a/fuzz/promises/src/jobClient.ts
+++ b/fuzz/promises/src/jobClient.ts
@@ -13,7 +13,7 @@
 const UPLOAD_ATTEMPTS = 3;
 const ENDPOINTS = { chat: "/v1/chat/completions", ledger: "/services/ledger/receipts" };
 
-/** A caller that sends and cancels jobs. Its requests run beside the steps, as they may hang. */
+/** A simulated caller that submits and cancels jobs. Its requests run concurrently with the steps, as they may hang. */
 export class JobClient {
     private readonly fleet: Fleet;
     private readonly oracle: Oracle;
@@ -23,6 +23,7 @@
         this.oracle = opts.oracle;
     }
 
+    /** Uploads the items and creates the job at `entry` and, if given, at `secondEntry` concurrently. */
     async submit(
         entry: SimulatedEntry,
         opts: {
@@ -62,6 +63,7 @@
         await Promise.all(entries.map(target => this.send(target, submission)));
     }
 
+    /** Sends the request that creates the job, for the first time or again with the same idempotency key. */
     async send(entry: SimulatedEntry, submission: Submission): Promise<void> {
         submission.sentCount += 1;
         const { idempotencyKey, endpoint, inputFileId } = submission;
@@ -81,6 +83,7 @@
         }
     }
 
+    /** Cancels the job if its creation is acknowledged, and records when the cancel was. */
     async cancel(entry: SimulatedEntry, submission: Submission): Promise<void> {
         const { jobId } = submission;
         if (jobId === undefined) {
--- a/fuzz/promises/src/jobSnapshot.ts
+++ b/fuzz/promises/src/jobSnapshot.ts
@@ -1,6 +1,6 @@
 import type { JobProgress } from "@knapweedwood/batch.jobs/jobProgress";
 
-/** What the oracle saw of a job's committed progress, and the fencing number of its partition then. */
+/** A job's committed progress at a check of the oracle, with its partition's fencing number read after it. */
 export interface JobSnapshot {
     progress: JobProgress;
     partitionFencingNumber: number;
--- a/fuzz/promises/src/keyedCaller.ts
+++ b/fuzz/promises/src/keyedCaller.ts
@@ -9,7 +9,11 @@
 import { promiseViolation } from "./promiseViolation.js";
 import type { SimulatedEntry } from "./simulatedEntry.js";
 
-/** Sends calls with an idempotency key, as an entry does for a caller: claim, run once, record. */
+/**
+ * Makes calls with an idempotency key as an entry does for a caller.
+ *
+ * It claims the key, runs the call once and records the response.
+ */
 export class KeyedCaller {
     private readonly fleet: Fleet;
     private readonly oracle: Oracle;
@@ -19,6 +23,11 @@
         this.oracle = opts.oracle;
     }
 
+    /**
+     * Makes one attempt and gives its result to the oracle, unless the entry has died.
+     *
+     * The call runs for `runMs` milliseconds. With `loseAnswer`, its response is lost and nothing is recorded.
+     */
     async call(entry: SimulatedEntry, opts: { key: string; runMs: number; loseAnswer: boolean; }): Promise<void> {
         const call = await this.attempt(entry, opts);
         if (call === undefined || entry.lifecycle.dead) {
@@ -86,7 +95,7 @@
         return { key, outcome: "answered", body };
     }
 
-    /** Runs the call at the upstream. The answer tells which run it was. */
+    /** Runs the call at the upstream. @returns a response that contains the number of the run */
     private execute(key: string): string {
         const { upstreams } = this.fleet.platform;
         const call = `keyed/${key}`;
--- a/fuzz/promises/src/memoryEndpoint.ts
+++ b/fuzz/promises/src/memoryEndpoint.ts
@@ -12,7 +12,7 @@
 type AnyCallHandler = CallHandler<unknown, unknown>;
 type AnyNotificationHandler = (message: unknown, peer: PeerIdentity) => void;
 
-/** The links of one simulated process. */
+/** The link endpoint of one simulated process, in memory. */
 export class MemoryEndpoint implements LinkEndpoint {
     readonly identity: PeerIdentity;
     readonly address: string;
@@ -63,12 +63,18 @@
         return Promise.resolve();
     }
 
-    /** Runs the handler of a call. */
+    /**
+     * Runs the handler of a call, and holds the request and the frames back while the process is paused.
+     *
+     * @returns all frames of the response; rejects with `LINK_NO_HANDLER` for an unknown call
+     */
     async handleCall(name: string, request: unknown, peer: PeerIdentity): Promise<unknown[]> {
         await this.lifecycle.whenRunning();
         const handler = this.callHandlers.get(name);
         if (handler === undefined) {
-            throw new KnapweedError("LINK_NO_HANDLER", `No handler for ${name}`, { outcome: "not-run" });
+            throw new KnapweedError("LINK_NO_HANDLER", `No handler is registered for the call ${name}`, {
+                outcome: "not-run",
+            });
         }
         const context = { peer, signal: new AbortController().signal, deadlineMs: undefined, traceParent: undefined };
         const frames: unknown[] = [];
@@ -79,6 +85,7 @@
         return frames;
     }
 
+    /** Runs the handler of a notification; during a pause, at its end. */
     handleMessage(name: string, message: unknown, peer: PeerIdentity): void {
         this.lifecycle.run(() => this.notificationHandlers.get(name)?.(message, peer));
     }
--- a/fuzz/promises/src/memoryLink.ts
+++ b/fuzz/promises/src/memoryLink.ts
@@ -9,7 +9,7 @@
 
 const CALL_TIMEOUT_MS = 2000;
 
-/** A link between two simulated processes. */
+/** An in-memory link between two simulated processes. A call without a response fails after 2 s, outcome unknown. */
 export class MemoryLink implements Link {
     private readonly opts: { from: MemoryEndpoint; address: string; network: MemoryNetwork; };
 
@@ -31,7 +31,7 @@
         if (target === undefined || target.lifecycle.dead || !this.isReachable()) {
             await sleep(network.clock, 1);
             await from.lifecycle.whenRunning();
-            throw new KnapweedError("LINK_CLOSED", "The process can't be reached", { outcome: "not-run" });
+            throw new KnapweedError("LINK_CLOSED", "The target process is unreachable", { outcome: "not-run" });
         }
         const copy = structuredClone(request);
         if (network.consumeDuplication()) {
@@ -59,7 +59,7 @@
     }
 
     close(): void {
-        // Links of the simulation hold nothing.
+        // A simulated link has no resources to release.
     }
 
     private isReachable(): boolean {
@@ -74,5 +74,5 @@
 }
 
 function responseLostError(): KnapweedError {
-    return new KnapweedError("LINK_ANSWER_LOST", "The answer was lost", { outcome: "unknown" });
+    return new KnapweedError("LINK_ANSWER_LOST", "The response was lost", { outcome: "unknown" });
 }
--- a/fuzz/promises/src/memoryNetwork.ts
+++ b/fuzz/promises/src/memoryNetwork.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "@knapweedwood/core.clock/clock";
 import type { MemoryEndpoint } from "./memoryEndpoint.js";
 
-/** Connects the endpoints of a simulated fleet. */
+/** Connects the endpoints of a simulated fleet, and injects faults into their calls. */
 export class MemoryNetwork {
     readonly clock: Clock;
     private readonly endpoints = new Map<string, MemoryEndpoint>();
@@ -29,7 +29,7 @@
         return [...this.endpoints.values()];
     }
 
-    /** Calls between two processes neither arrive nor fail before `durationMs` have passed. */
+    /** Makes two processes unreachable from each other for `durationMs` milliseconds. */
     silence(from: string, to: string, durationMs: number): void {
         const untilMs = this.clock.nowMs() + durationMs;
         this.silentUntilMs.set(pairKey(from, to), untilMs);
@@ -39,28 +39,31 @@
         return (this.silentUntilMs.get(pairKey(from, to)) ?? 0) > this.clock.nowMs();
     }
 
-    /** The next `count` calls run, but their answers are lost. */
+    /** Loses the responses of the next `count` calls, which do run. */
     loseNextResponses(count: number): void {
         this.responsesToLose = count;
     }
 
-    /** The next `count` calls arrive twice. */
+    /** Delivers the next `count` calls twice. */
     duplicateNextCalls(count: number): void {
         this.callsToDuplicate = count;
     }
 
+    /** Returns whether the current response is to be lost, and counts it. */
     consumeResponseLoss(): boolean {
         const isLost = this.responsesToLose > 0;
         this.responsesToLose -= Number(isLost);
         return isLost;
     }
 
+    /** Returns whether the current call is to be delivered twice, and counts it. */
     consumeDuplication(): boolean {
         const isDuplicate = this.callsToDuplicate > 0;
         this.callsToDuplicate -= Number(isDuplicate);
         return isDuplicate;
     }
 
+    /** Ends all faults of the network. */
     clearFaults(): void {
         this.silentUntilMs.clear();
         this.responsesToLose = 0;
--- a/fuzz/promises/src/memorySegmentStore.ts
+++ b/fuzz/promises/src/memorySegmentStore.ts
@@ -7,17 +7,21 @@
 
 const MAX_SEGMENT_BYTES = 2000;
 
-/** A data folder in memory. It outlives the process, as a disk does. */
+/** A data folder in memory. Like a disk, it outlives the process. `get` rejects for missing and corrupt segments. */
 export class MemorySegmentStore implements SegmentStore {
     readonly maxSegmentBytes = MAX_SEGMENT_BYTES;
     readonly copyCount = 1;
-    /** While true, nothing can be written. */
+    /** While true, `put` rejects with `SEGMENT_NOT_KEPT`. */
     isFull = false;
     private readonly segments = new Map<SegmentDigest, Uint8Array>();
 
     put(bytes: Uint8Array): Promise<SegmentDigest> {
         if (this.isFull) {
-            return Promise.reject(new KnapweedError("SEGMENT_NOT_KEPT", "The disk is full", { outcome: "not-run" }));
+            return Promise.reject(
+                new KnapweedError("SEGMENT_NOT_KEPT", "The segment was not stored: the disk is full", {
+                    outcome: "not-run",
+                }),
+            );
         }
         const digest = digestOf(bytes);
         this.segments.set(digest, Buffer.from(bytes));
@@ -41,11 +45,12 @@
         return this.get(digest).then(() => 1, () => 0);
     }
 
-    /** Cuts the copies short, as a torn write does. */
+    /** Truncates every segment to half its length, as torn writes do. */
     truncateSegments(): void {
         this.segments.forEach((bytes, digest) => this.segments.set(digest, bytes.subarray(0, bytes.length >> 1)));
     }
 
+    /** Deletes all segments, as the loss of a disk does. */
     clear(): void {
         this.segments.clear();
     }
--- a/fuzz/promises/src/oracle.ts
+++ b/fuzz/promises/src/oracle.ts
@@ -13,14 +13,14 @@
 
 const PARTITION_COUNT = 2;
 const MAX_CANCEL_DELAY_MS = 2000;
-/** An item that a side has begun to run may end after the cancel. */
+/** A side may still finish an item that it was running when the job was cancelled. */
 const MAX_ITEM_RUN_MS = 400;
 
-/** Knows what was promised and compares it with what happened. */
+/** Records the promises made to callers, and compares them with the upstreams' history and the stored state. */
 export class Oracle {
     readonly submissions: Submission[] = [];
     readonly keyedCalls: KeyedCall[] = [];
-    /** Until when faults may have lasted. */
+    /** The end of the last fault's effects. A cancel before it has no time limit. */
     faultsUntilMs = 0;
     private readonly platform: SimulationPlatform;
     private readonly snapshots = new Map<JobId, JobSnapshot>();
@@ -30,12 +30,12 @@
         this.platform = platform;
     }
 
-    /** Notes a violation that was seen beside the steps. */
+    /** Records a violation found between checks. The next check rejects with the first one recorded. */
     recordViolation(violation: unknown): void {
         this.violation ??= violation;
     }
 
-    /** Checks what must hold at any moment. */
+    /** Checks the promises that hold at any time. During an outage of the key-value service, jobs aren't checked. */
     async check(): Promise<void> {
         if (this.violation !== undefined) {
             throw this.violation;
@@ -58,10 +58,12 @@
         }
     }
 
+    /** Returns the submissions whose job was acknowledged to the caller. */
     acknowledgedSubmissions(): Submission[] {
         return this.submissions.filter(submission => submission.jobId !== undefined);
     }
 
+    /** Records the job acknowledged for a submission. Another job than before is a violation. */
     recordAcknowledgement(submission: Submission, jobId: JobId): void {
         if (submission.jobId !== undefined && submission.jobId !== jobId) {
             this.recordViolation(promiseViolation("a resend gives the same job", { jobId, earlier: submission.jobId }));
--- a/fuzz/promises/src/pausableClock.ts
+++ b/fuzz/promises/src/pausableClock.ts
@@ -2,7 +2,7 @@
 import type { Timer } from "@knapweedwood/core.clock/timer";
 import type { InstanceLifecycle } from "./instanceLifecycle.js";
 
-/** The clock of an instance: its timers fire late while the instance is paused. */
+/** The clock of a simulated instance. Timers that are due during a pause fire at its end; after death, none fires. */
 export class PausableClock implements Clock {
     private readonly opts: { clock: Clock; lifecycle: InstanceLifecycle; };
 
--- a/fuzz/promises/src/pausableKeyValueService.ts
+++ b/fuzz/promises/src/pausableKeyValueService.ts
@@ -2,9 +2,13 @@
 import type { WatchBatch } from "@knapweedwood/core.key-value/watchBatch";
 import type { InstanceLifecycle } from "./instanceLifecycle.js";
 
-/** The key-value service as an instance reaches it: neither calls nor answers pass while the instance is paused. */
+/**
+ * The key-value service as one simulated instance uses it.
+ *
+ * Calls, responses and watch batches are held back while the instance is paused, and never delivered once it is dead.
+ */
 export class PausableKeyValueService implements KeyValueService {
-    /** Leases granted to this instance. */
+    /** The leases granted to this instance, including revoked and expired ones. */
     readonly leaseIds: string[] = [];
     private readonly opts: { keyValue: KeyValueService; lifecycle: InstanceLifecycle; };
 
--- a/fuzz/promises/src/promiseViolation.ts
+++ b/fuzz/promises/src/promiseViolation.ts
@@ -1,6 +1,6 @@
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 
-/** The error for a promise that was broken. */
+/** Returns the error for a broken promise, `PROMISE_BROKEN`, with `details` as JSON in its message. */
 export function promiseViolation(promise: string, details: unknown): KnapweedError {
     return new KnapweedError("PROMISE_BROKEN", `${promise}: ${JSON.stringify(details)}`);
 }
--- a/fuzz/promises/src/simulatedEntry.ts
+++ b/fuzz/promises/src/simulatedEntry.ts
@@ -23,7 +23,7 @@
 const PARTITION_COUNT = 2;
 const SHARD_COUNT = 2;
 
-/** One entry process of the simulation: the real batch components over an in-memory platform. */
+/** A simulated entry process: the real batch components on an in-memory platform. */
 export class SimulatedEntry {
     readonly lifecycle = new InstanceLifecycle();
     readonly instanceId: InstanceId;
@@ -100,23 +100,25 @@
         });
     }
 
+    /** Returns the leases ever granted to this entry. */
     get leaseIds(): readonly string[] {
         return this.pausableKeyValue.leaseIds;
     }
 
+    /** Announces the entry and starts its batch role and claims. */
     start(): void {
         this.announce();
         this.role.start();
         this.claims.start();
     }
 
-    /** Ends the process without a word. */
+    /** Ends the process without a handover. */
     crash(): void {
         this.lifecycle.kill();
         this.platform.network.remove(this.address);
     }
 
-    /** A planned stop: what is owned is handed over first. */
+    /** Stops the process as planned: hands its partitions and claim shards over first. */
     async stop(): Promise<void> {
         await this.platform.instanceList.announce({ ...this.instanceRecord(), state: "leaving" });
         await Promise.all([this.role.stop(), this.claims.stop()]);
--- a/fuzz/promises/src/simulatedServices.ts
+++ b/fuzz/promises/src/simulatedServices.ts
@@ -5,7 +5,7 @@
 const chat: ServiceView = { name: "chat" as ServiceName, kind: "model-engine", repeatable: true };
 const ledger: ServiceView = { name: "ledger" as ServiceName, kind: "plain", repeatable: false };
 
-/** The services of the simulation: `chat` may be repeated, `ledger` may not. */
+/** Looks up the services of the simulation: calls to `chat` may be repeated, calls to `ledger` may not. */
 export const simulatedServices: ServiceLookup = {
     isReady: () => true,
     findByModel: model => model === "demo" ? chat : undefined,
--- a/fuzz/promises/src/simulatedSide.ts
+++ b/fuzz/promises/src/simulatedSide.ts
@@ -22,7 +22,7 @@
 const SLOW_CHUNK_COUNT = 16;
 const SLOW_CHUNK_MS = 300;
 
-/** One side process with its upstream: pulls items, runs them and reports their results. */
+/** A simulated side process with its upstream: pulls items, runs them and reports their results. */
 export class SimulatedSide {
     readonly lifecycle = new InstanceLifecycle();
     readonly service: ServiceName;
@@ -41,7 +41,7 @@
         service: string;
         seed: number;
         entries: () => string[];
-        /** Called where an item brings the upstream down. */
+        /** Called when an item crashes the upstream. */
         onCrash: () => void;
     }) {
         this.platform = opts.platform;
@@ -74,10 +74,12 @@
         });
     }
 
+    /** Starts pulling items. */
     start(): void {
         this.schedulePull();
     }
 
+    /** Ends the process at once. */
     crash(): void {
         this.lifecycle.kill();
         this.platform.network.remove(this.address);
@@ -115,7 +117,7 @@
         return outcome && { jobId, itemIndex, attempt, outcome };
     }
 
-    /** A long stream, cancelled with its job. @returns whether it came to its end */
+    /** Runs a slow stream, which stops when its job is cancelled. @returns whether it ran to its end */
     private async runSlowStream(item: BatchItem): Promise<boolean> {
         for (let chunk = 0; chunk < SLOW_CHUNK_COUNT; chunk++) {
             await sleep(this.clock, SLOW_CHUNK_MS);
--- a/fuzz/promises/src/simulationPlatform.ts
+++ b/fuzz/promises/src/simulationPlatform.ts
@@ -6,7 +6,7 @@
 import type { SimulationOptions } from "./simulationOptions.js";
 import { UpstreamHistory } from "./upstreamHistory.js";
 
-/** The platform below a simulated fleet. */
+/** The in-memory platform of a simulated fleet: clock, key-value service, instance list, network and upstreams. */
 export class SimulationPlatform {
     readonly clock: ManualClock;
     readonly options: SimulationOptions;
@@ -14,7 +14,7 @@
     readonly instanceList: MemoryInstanceList;
     readonly network: MemoryNetwork;
     readonly upstreams = new UpstreamHistory();
-    /** Live instances with a data folder. */
+    /** Returns the live instances that have a data folder. */
     holders: () => SegmentHolder[] = () => [];
 
     constructor(opts: { clock: ManualClock; options: SimulationOptions; }) {
--- a/fuzz/promises/src/step.ts
+++ b/fuzz/promises/src/step.ts
@@ -1,7 +1,7 @@
 /** How an item of a submitted job behaves at its upstream. */
 export type ItemBehaviour = "answer" | "slow" | "reject" | "fail" | "crash";
 
-/** One step of a fuzz case. Indexes are taken modulo what there is. */
+/** One step of a fuzz case. An index beyond the last entry, side, folder or job wraps around. */
 export type Step =
     | {
         kind: "submit";
--- a/fuzz/promises/src/stepArbitraries.ts
+++ b/fuzz/promises/src/stepArbitraries.ts
@@ -21,7 +21,11 @@
     return fc.record({ kind: fc.constant(kind), ...fields }) as unknown as fc.Arbitrary<Step>;
 }
 
-/** Steps of a fuzz case, work more often than faults. Shape [kinds]. */
+/**
+ * The generators of the steps of a fuzz case, each drawn with the same probability. Shape [generators].
+ *
+ * Submissions, keyed calls and waits are listed twice, so that work is more frequent than any one fault.
+ */
 export const stepArbitraries: fc.Arbitrary<Step>[] = [
     stepArbitrary("submit", {
         entry: index,
--- a/fuzz/promises/src/upstreamHistory.ts
+++ b/fuzz/promises/src/upstreamHistory.ts
@@ -1,17 +1,17 @@
 import type { Execution } from "./execution.js";
 import type { StreamChunk } from "./streamChunk.js";
 
-/** What the upstreams have run. */
+/** The history of the calls that the upstreams ran. */
 export class UpstreamHistory {
     private readonly lastChunkTimesMs = new Map<string, number>();
     private readonly executions: Execution[] = [];
 
-    /** Notes that a stream of a job's item still runs. */
+    /** Records a chunk of the stream of a job's item. */
     recordChunk(chunk: StreamChunk): void {
         this.lastChunkTimesMs.set(chunk.jobId, chunk.atMs);
     }
 
-    /** When a stream of the job has last run. */
+    /** Returns the time of the job's last stream chunk, if any. */
     lastChunkAtMs(jobId: string): number | undefined {
         return this.lastChunkTimesMs.get(jobId);
     }
@@ -24,6 +24,7 @@
         return this.executions;
     }
 
+    /** Returns how often the call has run. */
     executionCount(call: string): number {
         return this.executions.filter(execution => execution.call === call).length;
     }
--- a/fuzz/promises/src/upstreamResponse.ts
+++ b/fuzz/promises/src/upstreamResponse.ts
@@ -1,6 +1,6 @@
 import type { JsonObject } from "@knapweedwood/engines.model-engine/jsonObject";
 
-/** The answer that an upstream gives to a body: a function of it, so that a swapped answer is seen. */
+/** Returns the upstream's response to a request body. It depends on the body only, so that swapped responses show. */
 export function upstreamResponse(body: JsonObject): JsonObject {
     return { echo: JSON.stringify(body) };
 }
--- a/fuzz/promises/test/batchPath.test.ts
+++ b/fuzz/promises/test/batchPath.test.ts
@@ -9,7 +9,7 @@
 const teamId = "team-a" as TeamId;
 const endpoint = "/v1/chat/completions";
 
-test("a job runs to its end and its results stand in the items' order", async () => {
+test("a job runs to its end and its results are in item order", async () => {
     const fleet = new Fleet({ seed: 1, options: defaultSimulationOptions });
     await fleet.advance(5000);
     const [entry, other] = fleet.entries;
--- a/fuzz/promises/test/claims.test.ts
+++ b/fuzz/promises/test/claims.test.ts
@@ -27,7 +27,7 @@
 
 const recordedResponse = { statusCode: 201, headers: { "content-type": "text/plain" }, body: Buffer.from("receipt 1") };
 
-test("many claims are packed into few writes, and each key is granted once", async () => {
+test("many claims are batched into few writes, and each key is granted once", async () => {
     const fleet = await startFleet(1);
     const { counters } = fleet.platform.keyValue;
     const writesBefore = counters.writes;
@@ -39,7 +39,7 @@
     assert.ok(counters.writes - writesBefore <= 20, String(counters.writes - writesBefore));
 });
 
-test("a recorded answer is given to a resend at any entry, also after the loss of the shard's owner", async () => {
+test("a resend at any entry gets the recorded response, also after the shard's owner crashed", async () => {
     const fleet = await startFleet(2);
     const first = await claim(fleet, 0, "a");
     assert.equal(first.kind, "granted");
@@ -56,7 +56,7 @@
     assert.equal((await claim(fleet, 1, "a", "another digest")).kind, "conflict");
 });
 
-test("a claim whose executor is lost becomes unknown and is never granted again", async () => {
+test("a claim whose executor crashed becomes unknown and is never granted again", async () => {
     const fleet = await startFleet(3);
     assert.equal((await claim(fleet, 0, "b")).kind, "granted");
     assert.equal((await claim(fleet, 1, "b")).kind, "in-progress");
@@ -67,7 +67,7 @@
     assert.equal((await claim(fleet, 2, "b")).kind, "unknown");
 });
 
-test("only a released claim is granted anew", async () => {
+test("only a released claim is granted again", async () => {
     const fleet = await startFleet(4);
     const first = await claim(fleet, 0, "c");
     assert.ok(first.kind === "granted");
@@ -78,7 +78,7 @@
     assert.equal((await claim(fleet, 2, "c")).kind, "in-progress", "an old token releases nothing");
 });
 
-test("without the key-value service a claim is refused as not run", async () => {
+test("a claim is rejected as not run while the key-value service is unavailable", async () => {
     const fleet = await startFleet(5);
     fleet.platform.keyValue.faults.outage = true;
     await assert.rejects(claim(fleet, 0, "d"), { code: "ERR_KNAPWEED_CLAIM_UNAVAILABLE", outcome: "not-run" });
@@ -87,7 +87,7 @@
     assert.equal((await claim(fleet, 1, "d")).kind, "granted");
 });
 
-/** A page that could not be written makes the owner read its log again. */
+/** Makes a write of claims fail during an outage, after which the owner reads its log again. */
 async function failClaimWrites(fleet: Fleet): Promise<void> {
     const { faults } = fleet.platform.keyValue;
     const claims = ["f0", "f1", "f2", "f3"].map(key => fleet.entries[0].claims.claim(requestOf(key)));
@@ -98,7 +98,7 @@
     await fleet.advance(20_000);
 }
 
-test("a long log is compacted and still known to the next owner", async () => {
+test("a long log is compacted, and the next owner still reads its claims", async () => {
     const fleet = await startFleet(6);
     for (let index = 0; index < 90; index++) {
         if (index === 30) {
--- a/fuzz/promises/test/mutantKeyValueService.ts
+++ b/fuzz/promises/test/mutantKeyValueService.ts
@@ -7,17 +7,17 @@
 import type { WatchBatch } from "@knapweedwood/core.key-value/watchBatch";
 
 interface Mutation {
-    /** Comparisons of keys that contain one of these are dropped. */
+    /** Drops the comparisons of keys that contain one of these. */
     dropsCompares?: string[];
-    /** Puts of keys that contain this are made without their lease. */
+    /** Makes puts of keys that contain this without their lease. */
     dropsLeases?: string;
-    /** What a lost answer is taken for. */
+    /** The outcome reported in place of an unknown one. */
     assumedOutcome?: "not-run" | "succeeded";
-    /** Takes a write of keys that contain this as done without making it. */
+    /** Reports a write of keys that contain this as succeeded without making it. */
     skipsWrites?: string;
 }
 
-/** A key-value service as a faulty component would use it. */
+/** A key-value service that drops, changes or misreports transactions, as a faulty component would use it. */
 export class MutantKeyValueService implements KeyValueService {
     private readonly service: KeyValueService;
     private readonly mutation: Mutation;
@@ -56,7 +56,11 @@
             if (assumedOutcome === "succeeded") {
                 return { succeeded: true, revision: 1, current: [] };
             }
-            throw new KnapweedError("KEY_VALUE_UNAVAILABLE", "assumed not run", { outcome: "not-run" });
+            throw new KnapweedError(
+                "KEY_VALUE_UNAVAILABLE",
+                "The response was lost; the mutant assumes that the write has not run",
+                { outcome: "not-run" },
+            );
         }
     }
 
--- a/fuzz/promises/test/mutants.ts
+++ b/fuzz/promises/test/mutants.ts
@@ -19,7 +19,7 @@
     ...options,
 });
 
-/** Promises broken on purpose, each with the seed that catches it. */
+/** Deliberate faults, each with a seed whose cases reveal it. */
 export const mutants: Mutant[] = [
     { name: "fencing check dropped", seed: 7, options: withKeyValue({ dropsCompares: ["/partitions/"] }) },
     { name: "progress written without comparison", seed: 8, options: withKeyValue({ dropsCompares: ["/progress/"] }) },
--- a/fuzz/promises/test/recovery.test.ts
+++ b/fuzz/promises/test/recovery.test.ts
@@ -64,7 +64,7 @@
             return current;
         }
     }
-    throw new Error("the job did not end");
+    throw new Error("the job did not complete within 600 steps of 2 s");
 }
 
 const readOwners = (fleet: Fleet) =>
@@ -74,7 +74,7 @@
         ),
     );
 
-test("the partitions of a crashed entry have a new owner within 5 s of model time", async () => {
+test("the partitions of a crashed entry have a new owner within 5 s of simulated time", async () => {
     for (const seed of [1, 2, 3, 4, 5]) {
         const fleet = await startFleet(seed);
         const [record] = await readOwners(fleet);
@@ -101,7 +101,7 @@
     assert.equal(fleet.platform.upstreams.allExecutions().length, 200, `seed ${seed}`);
 };
 
-test("a planned stop hands the partitions over and redoes nothing", async () => {
+test("a planned stop hands the partitions over, and no item runs again", async () => {
     for (const seed of plannedStopSeeds) {
         await runPlannedStop(seed);
     }
@@ -122,7 +122,7 @@
         const before = fleet.platform.upstreams.allExecutions().length;
         await fleet.advance(30 * MINUTE_MS);
         const during = fleet.platform.upstreams.allExecutions().length;
-        assert.ok(during > before, "accepted jobs go on");
+        assert.ok(during > before, "accepted jobs continue during the outage");
         fleet.platform.keyValue.faults.outage = false;
         const callsBefore = fleet.platform.keyValue.counters.reads + fleet.platform.keyValue.counters.writes;
         await fleet.advance(1000);
@@ -134,7 +134,7 @@
     });
 });
 
-test("the sweep re-copies what a lost data folder held", async () => {
+test("the segment scan restores the copies of a lost data folder", async () => {
     const fleet = await startFleet(8);
     const ended = await runToEnd(fleet, await submit(fleet, 50));
     assert.ok(ended.outputFileId);
@@ -163,7 +163,7 @@
     assert.equal(Buffer.concat(chunks).toString().trimEnd().split("\n").length, 50);
 });
 
-test("retention removes whole jobs only, and none that runs", async () => {
+test("retention removes whole jobs, and no running job", async () => {
     const fleet = await startFleet(9);
     const ended = await runToEnd(fleet, await submit(fleet, 20));
     const running = await submit(fleet, 300);
@@ -177,7 +177,7 @@
     assert.deepEqual(remainingEntries.filter(entry => entry.key.includes(ended.jobId)), []);
 });
 
-test("the writes of a job grow with the logarithm of its running time, not with its items", async () => {
+test("the checkpoints of a job grow with the logarithm of its running time, not with its item count", async () => {
     const jobs: { checkpointCount: number; durationSeconds: number; }[] = [];
     for (const itemCount of [2000, 4000]) {
         const fleet = await startFleet(10);
