--- a/fuzz/promises/src/checkOutcome.ts
+++ b/fuzz/promises/src/checkOutcome.ts
@@ -119,7 +119,7 @@
     const keys = new Set(fuzzCase.oracle.keyedCalls.map(call => call.key));
     keys.forEach(key => {
         const calls = fuzzCase.oracle.keyedCalls.filter(call => call.key === key);
-        const runCount = fuzzCase.fleet.platform.upstreams.executionCount(`keyed/${key}`);
+        const runCount = fuzzCase.fleet.platform.upstreams.countOf(`keyed/${key}`);
         if (runCount === 0 && calls.some(call => call.outcome === "answered")) {
             throw promiseViolation("an answer comes from a run", { key, calls });
         }
--- a/fuzz/promises/src/keyedCaller.ts
+++ b/fuzz/promises/src/keyedCaller.ts
@@ -99,8 +99,8 @@
     private execute(key: string): string {
         const { upstreams } = this.fleet.platform;
         const call = `keyed/${key}`;
-        upstreams.addExecution({ service: "ledger", call, repeatable: false, atMs: this.fleet.clock.nowMs() });
-        return `receipt ${key} run ${upstreams.executionCount(call)}`;
+        upstreams.add({ service: "ledger", call, repeatable: false, atMs: this.fleet.clock.nowMs() });
+        return `receipt ${key} run ${upstreams.countOf(call)}`;
     }
 
     private checkResponse(call: KeyedCall): void {
--- a/fuzz/promises/src/simulatedSide.ts
+++ b/fuzz/promises/src/simulatedSide.ts
@@ -130,7 +130,7 @@
     }
 
     private execute(item: BatchItem): void {
-        this.platform.upstreams.addExecution({
+        this.platform.upstreams.add({
             service: item.service,
             call: `${item.jobId}/${item.itemIndex}`,
             repeatable: item.repeatable,
--- a/fuzz/promises/src/stepArbitraries.ts
+++ b/fuzz/promises/src/stepArbitraries.ts
@@ -14,7 +14,7 @@
     { minLength: 1, maxLength: 16 },
 );
 
-function stepArbitrary<Kind extends Step["kind"]>(
+function stepOf<Kind extends Step["kind"]>(
     kind: Kind,
     fields: { [Field in Exclude<keyof Extract<Step, { kind: Kind; }>, "kind">]: fc.Arbitrary<unknown>; },
 ): fc.Arbitrary<Step> {
@@ -27,45 +27,45 @@
  * Submissions, keyed calls and waits are listed twice, so that work is more frequent than any one fault.
  */
 export const stepArbitraries: fc.Arbitrary<Step>[] = [
-    stepArbitrary("submit", {
+    stepOf("submit", {
         entry: index,
         key,
         service: fc.constantFrom("chat", "ledger"),
         behaviours,
         twice: fc.boolean(),
     }),
-    stepArbitrary("submit", {
+    stepOf("submit", {
         entry: index,
         key,
         service: fc.constantFrom("chat", "ledger"),
         behaviours,
         twice: fc.boolean(),
     }),
-    stepArbitrary("resend", { entry: index, job: index }),
-    stepArbitrary("cancel", { entry: index, job: index }),
-    stepArbitrary("read", { entry: index, job: index }),
-    stepArbitrary("keyed-call", { entry: index, key, runMs: shortMs, loseAnswer: fc.boolean(), twice: fc.boolean() }),
-    stepArbitrary("keyed-call", {
+    stepOf("resend", { entry: index, job: index }),
+    stepOf("cancel", { entry: index, job: index }),
+    stepOf("read", { entry: index, job: index }),
+    stepOf("keyed-call", { entry: index, key, runMs: shortMs, loseAnswer: fc.boolean(), twice: fc.boolean() }),
+    stepOf("keyed-call", {
         entry: index,
         key,
         runMs: shortMs,
         loseAnswer: fc.constant(false),
         twice: fc.boolean(),
     }),
-    stepArbitrary("crash-entry", { entry: index }),
-    stepArbitrary("stop-entry", { entry: index }),
-    stepArbitrary("pause-entry", { entry: index, durationMs: longMs }),
-    stepArbitrary("crash-side", { side: index }),
-    stepArbitrary("pause-side", { side: index, durationMs: longMs }),
-    stepArbitrary("outage", { durationMs: longMs }),
-    stepArbitrary("slow-writes", { delayMs: fc.integer({ min: 20, max: 400 }), durationMs: longMs }),
-    stepArbitrary("lose-write-answers", { count }),
-    stepArbitrary("lose-call-answers", { count }),
-    stepArbitrary("duplicate-calls", { count }),
-    stepArbitrary("silence", { entry: index, side: index, durationMs: longMs }),
-    stepArbitrary("lapse-leases", {}),
-    stepArbitrary("fill-disk", { entry: index, durationMs: longMs }),
-    stepArbitrary("tear-folder", {}),
-    stepArbitrary("wait", { durationMs: shortMs }),
-    stepArbitrary("wait", { durationMs: longMs }),
+    stepOf("crash-entry", { entry: index }),
+    stepOf("stop-entry", { entry: index }),
+    stepOf("pause-entry", { entry: index, durationMs: longMs }),
+    stepOf("crash-side", { side: index }),
+    stepOf("pause-side", { side: index, durationMs: longMs }),
+    stepOf("outage", { durationMs: longMs }),
+    stepOf("slow-writes", { delayMs: fc.integer({ min: 20, max: 400 }), durationMs: longMs }),
+    stepOf("lose-write-answers", { count }),
+    stepOf("lose-call-answers", { count }),
+    stepOf("duplicate-calls", { count }),
+    stepOf("silence", { entry: index, side: index, durationMs: longMs }),
+    stepOf("lapse-leases", {}),
+    stepOf("fill-disk", { entry: index, durationMs: longMs }),
+    stepOf("tear-folder", {}),
+    stepOf("wait", { durationMs: shortMs }),
+    stepOf("wait", { durationMs: longMs }),
 ];
--- a/fuzz/promises/src/upstreamHistory.ts
+++ b/fuzz/promises/src/upstreamHistory.ts
@@ -16,7 +16,7 @@
         return this.lastChunkTimesMs.get(jobId);
     }
 
-    addExecution(execution: Execution): void {
+    add(execution: Execution): void {
         this.executions.push(execution);
     }
 
@@ -25,7 +25,7 @@
     }
 
     /** Returns how often the call has run. */
-    executionCount(call: string): number {
+    countOf(call: string): number {
         return this.executions.filter(execution => execution.call === call).length;
     }
 }
