--- a/fuzz/promises/src/jobClient.ts
+++ b/fuzz/promises/src/jobClient.ts
@@ -9,11 +9,11 @@
 import type { Submission } from "./submission.js";
 
 const TEAM = "team-a" as TeamId;
-const DUE_MS = 60_000;
+const JOB_DUE_MS = 60_000;
 const UPLOAD_ATTEMPTS = 3;
 const ENDPOINTS = { chat: "/v1/chat/completions", ledger: "/services/ledger/receipts" };
 
-/** A caller that sends and cancels jobs. Its requests run beside the steps, as they may hang. */
+/** A simulated caller that submits and cancels jobs. Its requests run concurrently with the steps, as they may hang. */
 export class JobClient {
     private readonly fleet: Fleet;
     private readonly oracle: Oracle;
@@ -23,20 +23,21 @@
         this.oracle = opts.oracle;
     }
 
+    /** Uploads the items and creates the job at `entry` and, if given, at `secondEntry` concurrently. */
     async submit(
         entry: SimulatedEntry,
         opts: {
             key: number;
             service: "chat" | "ledger";
             behaviours: ItemBehaviour[];
-            other: SimulatedEntry | undefined;
+            secondEntry: SimulatedEntry | undefined;
         },
     ): Promise<void> {
         const endpoint = ENDPOINTS[opts.service];
-        const number = this.oracle.submissions.length;
+        const jobNumber = this.oracle.submissions.length;
         const bodies = opts.behaviours.map((behaviour, index) => ({
             model: "demo",
-            text: `job ${number} item ${index}`,
+            text: `job ${jobNumber} item ${index}`,
             behaviour,
         }));
         const content = bodies.map((body, index) =>
@@ -47,7 +48,7 @@
             return;
         }
         const submission: Submission = {
-            idempotencyKey: `job-${number}-${opts.key}` as IdempotencyKey,
+            idempotencyKey: `job-${jobNumber}-${opts.key}` as IdempotencyKey,
             endpoint,
             inputFileId,
             bodies,
@@ -58,10 +59,11 @@
             cancelWasSent: false,
         };
         this.oracle.submissions.push(submission);
-        const entries = [entry, opts.other].filter(receiver => receiver !== undefined);
-        await Promise.all(entries.map(receiver => this.send(receiver, submission)));
+        const entries = [entry, opts.secondEntry].filter(target => target !== undefined);
+        await Promise.all(entries.map(target => this.send(target, submission)));
     }
 
+    /** Sends the request that creates the job, for the first time or again with the same idempotency key. */
     async send(entry: SimulatedEntry, submission: Submission): Promise<void> {
         submission.sentCount += 1;
         const { idempotencyKey, endpoint, inputFileId } = submission;
@@ -72,15 +74,16 @@
                 endpoint,
                 metadata: {},
                 idempotencyKey,
-                dueMs: DUE_MS,
+                dueMs: JOB_DUE_MS,
             });
-            this.oracle.acknowledge(submission, job.jobId);
+            this.oracle.recordAcknowledgement(submission, job.jobId);
         }
         catch (error) {
             submission.notRunCount += Number(error instanceof KnapweedError && error.outcome === "not-run");
         }
     }
 
+    /** Cancels the job if its creation is acknowledged, and records when the cancel was. */
     async cancel(entry: SimulatedEntry, submission: Submission): Promise<void> {
         const { jobId } = submission;
         if (jobId === undefined) {
--- a/fuzz/promises/src/keyedCaller.ts
+++ b/fuzz/promises/src/keyedCaller.ts
@@ -9,7 +9,11 @@
 import { promiseViolation } from "./promiseViolation.js";
 import type { SimulatedEntry } from "./simulatedEntry.js";
 
-/** Sends calls with an idempotency key, as an entry does for a caller: claim, run once, record. */
+/**
+ * Makes calls with an idempotency key as an entry does for a caller.
+ *
+ * It claims the key, runs the call once and records the response.
+ */
 export class KeyedCaller {
     private readonly fleet: Fleet;
     private readonly oracle: Oracle;
@@ -19,13 +23,18 @@
         this.oracle = opts.oracle;
     }
 
+    /**
+     * Makes one attempt and gives its result to the oracle, unless the entry has died.
+     *
+     * The call runs for `runMs` milliseconds. With `loseAnswer`, its response is lost and nothing is recorded.
+     */
     async call(entry: SimulatedEntry, opts: { key: string; runMs: number; loseAnswer: boolean; }): Promise<void> {
         const call = await this.attempt(entry, opts);
-        if (call === undefined || entry.gate.dead) {
+        if (call === undefined || entry.lifecycle.dead) {
             return;
         }
         this.oracle.keyedCalls.push(call);
-        this.checkAnswer(call);
+        this.checkResponse(call);
         if (call.outcome === "unknown" && this.fleet.platform.options.retriesUnknown) {
             this.execute(opts.key);
         }
@@ -47,14 +56,14 @@
                 requestDigest: key,
                 timeoutMs: 20_000,
             });
-            await entry.gate.pass();
+            await entry.lifecycle.whenRunning();
             switch (claim.kind) {
                 case "granted":
                     return await this.run(entry, { ...opts, token: claim.token });
                 case "recorded":
                     return { key, outcome: "answered", body: Buffer.from(claim.answer.body).toString("utf8") };
                 case "conflict":
-                    this.oracle.report(promiseViolation("a resend is not a conflict", { key }));
+                    this.oracle.recordViolation(promiseViolation("a resend is not a conflict", { key }));
                     return undefined;
                 default:
                     return { key, outcome: claim.kind, body: undefined };
@@ -78,7 +87,7 @@
         const { key } = opts;
         const body = this.execute(key);
         await sleep(this.fleet.clock, opts.runMs);
-        await entry.gate.pass();
+        await entry.lifecycle.whenRunning();
         if (opts.loseAnswer) {
             return { key, outcome: "unknown", body: undefined };
         }
@@ -86,7 +95,7 @@
         return { key, outcome: "answered", body };
     }
 
-    /** Runs the call at the upstream. The answer tells which run it was. */
+    /** Runs the call at the upstream. @returns a response that contains the number of the run */
     private execute(key: string): string {
         const { upstreams } = this.fleet.platform;
         const call = `keyed/${key}`;
@@ -94,9 +103,9 @@
         return `receipt ${key} run ${upstreams.countOf(call)}`;
     }
 
-    private checkAnswer(call: KeyedCall): void {
+    private checkResponse(call: KeyedCall): void {
         if (call.outcome === "answered" && call.body !== `receipt ${call.key} run 1`) {
-            this.oracle.report(promiseViolation("a resend gets the recorded answer", call));
+            this.oracle.recordViolation(promiseViolation("a resend gets the recorded answer", call));
         }
     }
 }
--- a/fuzz/promises/src/memoryEndpoint.ts
+++ b/fuzz/promises/src/memoryEndpoint.ts
@@ -5,26 +5,28 @@
 import type { LinkEndpoint } from "@knapweedwood/links.calls/linkEndpoint";
 import type { NotificationDefinition } from "@knapweedwood/links.calls/notificationDefinition";
 import type { PeerIdentity } from "@knapweedwood/links.calls/peerIdentity";
-import type { InstanceGate } from "./instanceGate.js";
+import type { InstanceLifecycle } from "./instanceLifecycle.js";
 import { MemoryLink } from "./memoryLink.js";
 import type { MemoryNetwork } from "./memoryNetwork.js";
 
-type AnyHandler = CallHandler<unknown, unknown>;
-type AnyReceiver = (message: unknown, peer: PeerIdentity) => void;
+type AnyCallHandler = CallHandler<unknown, unknown>;
+type AnyNotificationHandler = (message: unknown, peer: PeerIdentity) => void;
 
-/** The links of one simulated process. */
+/** The link endpoint of one simulated process, in memory. */
 export class MemoryEndpoint implements LinkEndpoint {
     readonly identity: PeerIdentity;
     readonly address: string;
-    readonly gate: InstanceGate;
+    readonly lifecycle: InstanceLifecycle;
     private readonly network: MemoryNetwork;
-    private readonly handlers = new Map<string, AnyHandler>();
-    private readonly receivers = new Map<string, AnyReceiver>();
+    private readonly callHandlers = new Map<string, AnyCallHandler>();
+    private readonly notificationHandlers = new Map<string, AnyNotificationHandler>();
 
-    constructor(opts: { identity: PeerIdentity; address: string; gate: InstanceGate; network: MemoryNetwork; }) {
+    constructor(
+        opts: { identity: PeerIdentity; address: string; lifecycle: InstanceLifecycle; network: MemoryNetwork; },
+    ) {
         this.identity = opts.identity;
         this.address = opts.address;
-        this.gate = opts.gate;
+        this.lifecycle = opts.lifecycle;
         this.network = opts.network;
         opts.network.add(this);
     }
@@ -34,14 +36,14 @@
     }
 
     handle<Request, Frame>(definition: CallDefinition<Request, Frame>, handler: CallHandler<Request, Frame>): void {
-        this.handlers.set(definition.name, handler as AnyHandler);
+        this.callHandlers.set(definition.name, handler as AnyCallHandler);
     }
 
     handleNotification<Message>(
         definition: NotificationDefinition<Message>,
-        receiver: (message: Message, peer: PeerIdentity) => void,
+        handler: (message: Message, peer: PeerIdentity) => void,
     ): void {
-        this.receivers.set(definition.name, receiver as AnyReceiver);
+        this.notificationHandlers.set(definition.name, handler as AnyNotificationHandler);
     }
 
     connect(address: string): Link {
@@ -49,8 +51,10 @@
     }
 
     links(): Link[] {
-        return this.network.all()
-            .filter(other => other !== this && !other.gate.dead && !this.network.isSilent(this.address, other.address))
+        return this.network.allEndpoints()
+            .filter(other =>
+                other !== this && !other.lifecycle.dead && !this.network.isSilent(this.address, other.address)
+            )
             .map(other => this.connect(other.address));
     }
 
@@ -59,23 +63,30 @@
         return Promise.resolve();
     }
 
-    /** Runs the handler of a call. */
-    async answer(name: string, request: unknown, peer: PeerIdentity): Promise<unknown[]> {
-        await this.gate.pass();
-        const handler = this.handlers.get(name);
+    /**
+     * Runs the handler of a call, and holds the request and the frames back while the process is paused.
+     *
+     * @returns all frames of the response; rejects with `LINK_NO_HANDLER` for an unknown call
+     */
+    async handleCall(name: string, request: unknown, peer: PeerIdentity): Promise<unknown[]> {
+        await this.lifecycle.whenRunning();
+        const handler = this.callHandlers.get(name);
         if (handler === undefined) {
-            throw new KnapweedError("LINK_NO_HANDLER", `No handler for ${name}`, { outcome: "not-run" });
+            throw new KnapweedError("LINK_NO_HANDLER", `No handler is registered for the call ${name}`, {
+                outcome: "not-run",
+            });
         }
         const context = { peer, signal: new AbortController().signal, deadlineMs: undefined, traceParent: undefined };
         const frames: unknown[] = [];
         for await (const frame of handler(request, context)) {
             frames.push(frame);
         }
-        await this.gate.pass();
+        await this.lifecycle.whenRunning();
         return frames;
     }
 
-    deliver(name: string, message: unknown, peer: PeerIdentity): void {
-        this.gate.run(() => this.receivers.get(name)?.(message, peer));
+    /** Runs the handler of a notification; during a pause, at its end. */
+    handleMessage(name: string, message: unknown, peer: PeerIdentity): void {
+        this.lifecycle.run(() => this.notificationHandlers.get(name)?.(message, peer));
     }
 }
--- a/fuzz/promises/src/memoryLink.ts
+++ b/fuzz/promises/src/memoryLink.ts
@@ -9,7 +9,7 @@
 
 const CALL_TIMEOUT_MS = 2000;
 
-/** A link between two simulated processes. */
+/** An in-memory link between two simulated processes. A call without a response fails after 2 s, outcome unknown. */
 export class MemoryLink implements Link {
     private readonly opts: { from: MemoryEndpoint; address: string; network: MemoryNetwork; };
 
@@ -18,7 +18,7 @@
     }
 
     get peer(): PeerIdentity | undefined {
-        return this.opts.network.at(this.opts.address)?.identity;
+        return this.opts.network.endpointAt(this.opts.address)?.identity;
     }
 
     get state(): Link["state"] {
@@ -27,45 +27,52 @@
 
     async *call<Request, Frame>(definition: CallDefinition<Request, Frame>, request: Request): AsyncIterable<Frame> {
         const { from, network } = this.opts;
-        const target = network.at(this.opts.address);
-        if (target === undefined || target.gate.dead || !this.isReachable()) {
+        const target = network.endpointAt(this.opts.address);
+        if (target === undefined || target.lifecycle.dead || !this.isReachable()) {
             await sleep(network.clock, 1);
-            await from.gate.pass();
-            throw new KnapweedError("LINK_CLOSED", "The process can't be reached", { outcome: "not-run" });
+            await from.lifecycle.whenRunning();
+            throw new KnapweedError("LINK_CLOSED", "The target process is unreachable", { outcome: "not-run" });
         }
         const copy = structuredClone(request);
-        if (network.takeDuplicate()) {
-            target.answer(definition.name, structuredClone(copy), from.identity).catch(() => undefined);
+        if (network.consumeDuplication()) {
+            target.handleCall(definition.name, structuredClone(copy), from.identity).catch(() => undefined);
         }
-        const frames = await Promise.race([target.answer(definition.name, copy, from.identity), this.timeOut()]);
-        await from.gate.pass();
-        if (network.takeLostAnswer() || !this.isReachable()) {
-            throw lost();
+        const frames = await Promise.race([
+            target.handleCall(definition.name, copy, from.identity),
+            this.rejectAfterTimeout(),
+        ]);
+        await from.lifecycle.whenRunning();
+        if (network.consumeResponseLoss() || !this.isReachable()) {
+            throw responseLostError();
         }
         yield* frames as Frame[];
     }
 
     notify<Message>(definition: NotificationDefinition<Message>, message: Message): void {
         if (this.isReachable()) {
-            this.opts.network.at(this.opts.address)?.deliver(definition.name, message, this.opts.from.identity);
+            this.opts.network.endpointAt(this.opts.address)?.handleMessage(
+                definition.name,
+                message,
+                this.opts.from.identity,
+            );
         }
     }
 
     close(): void {
-        // Links of the simulation hold nothing.
+        // A simulated link has no resources to release.
     }
 
     private isReachable(): boolean {
         return !this.opts.network.isSilent(this.opts.from.address, this.opts.address);
     }
 
-    private async timeOut(): Promise<never> {
+    private async rejectAfterTimeout(): Promise<never> {
         await sleep(this.opts.network.clock, CALL_TIMEOUT_MS);
-        await this.opts.from.gate.pass();
-        throw lost();
+        await this.opts.from.lifecycle.whenRunning();
+        throw responseLostError();
     }
 }
 
-function lost(): KnapweedError {
-    return new KnapweedError("LINK_ANSWER_LOST", "The answer was lost", { outcome: "unknown" });
+function responseLostError(): KnapweedError {
+    return new KnapweedError("LINK_ANSWER_LOST", "The response was lost", { outcome: "unknown" });
 }
--- a/fuzz/promises/src/oracle.ts
+++ b/fuzz/promises/src/oracle.ts
@@ -12,15 +12,15 @@
 import type { Submission } from "./submission.js";
 
 const PARTITION_COUNT = 2;
-const CANCEL_LIMIT_MS = 2000;
-/** An item that a side has begun to run may end after the cancel. */
-const RUN_LIMIT_MS = 400;
+const MAX_CANCEL_DELAY_MS = 2000;
+/** A side may still finish an item that it was running when the job was cancelled. */
+const MAX_ITEM_RUN_MS = 400;
 
-/** Knows what was promised and compares it with what happened. */
+/** Records the promises made to callers, and compares them with the upstreams' history and the stored state. */
 export class Oracle {
     readonly submissions: Submission[] = [];
     readonly keyedCalls: KeyedCall[] = [];
-    /** Until when faults may have lasted. */
+    /** The end of the last fault's effects. A cancel before it has no time limit. */
     faultsUntilMs = 0;
     private readonly platform: SimulationPlatform;
     private readonly snapshots = new Map<JobId, JobSnapshot>();
@@ -30,12 +30,12 @@
         this.platform = platform;
     }
 
-    /** Notes a violation that was seen beside the steps. */
-    report(violation: unknown): void {
+    /** Records a violation found between checks. The next check rejects with the first one recorded. */
+    recordViolation(violation: unknown): void {
         this.violation ??= violation;
     }
 
-    /** Checks what must hold at any moment. */
+    /** Checks the promises that hold at any time. During an outage of the key-value service, jobs aren't checked. */
     async check(): Promise<void> {
         if (this.violation !== undefined) {
             throw this.violation;
@@ -49,27 +49,31 @@
         const { delayMs } = faults;
         faults.delayMs = 0;
         try {
-            await Promise.all(this.acknowledged().map(submission => this.checkJob(submission.jobId as JobId)));
+            await Promise.all(
+                this.acknowledgedSubmissions().map(submission => this.checkJob(submission.jobId as JobId)),
+            );
         }
         finally {
             faults.delayMs = delayMs;
         }
     }
 
-    acknowledged(): Submission[] {
+    /** Returns the submissions whose job was acknowledged to the caller. */
+    acknowledgedSubmissions(): Submission[] {
         return this.submissions.filter(submission => submission.jobId !== undefined);
     }
 
-    acknowledge(submission: Submission, jobId: JobId): void {
+    /** Records the job acknowledged for a submission. Another job than before is a violation. */
+    recordAcknowledgement(submission: Submission, jobId: JobId): void {
         if (submission.jobId !== undefined && submission.jobId !== jobId) {
-            this.report(promiseViolation("a resend gives the same job", { jobId, earlier: submission.jobId }));
+            this.recordViolation(promiseViolation("a resend gives the same job", { jobId, earlier: submission.jobId }));
         }
         submission.jobId ??= jobId;
     }
 
     private checkExecutions(): void {
         const counts = new Map<string, number>();
-        this.platform.upstreams.all()
+        this.platform.upstreams.allExecutions()
             .filter(execution => !execution.repeatable)
             .forEach(execution => counts.set(execution.call, (counts.get(execution.call) ?? 0) + 1));
         const repeated = [...counts].filter(([, count]) => count > 1);
@@ -79,16 +83,16 @@
     }
 
     private checkCancels(): void {
-        this.acknowledged().forEach(({ jobId, cancelledAtMs }) => {
+        this.acknowledgedSubmissions().forEach(({ jobId, cancelledAtMs }) => {
             if (cancelledAtMs === undefined || cancelledAtMs < this.faultsUntilMs) {
                 return;
             }
-            const limitMs = cancelledAtMs + CANCEL_LIMIT_MS + RUN_LIMIT_MS;
+            const limitMs = cancelledAtMs + MAX_CANCEL_DELAY_MS + MAX_ITEM_RUN_MS;
             const lastChunkAtMs = this.platform.upstreams.lastChunkAtMs(jobId ?? "") ?? 0;
             if (lastChunkAtMs > limitMs) {
                 throw promiseViolation("a cancelled job's streams end", { jobId, cancelledAtMs, lastChunkAtMs });
             }
-            const late = this.platform.upstreams.all()
+            const late = this.platform.upstreams.allExecutions()
                 .filter(execution => execution.call.startsWith(`${jobId}/`) && execution.atMs > limitMs);
             if (late.length > 0) {
                 throw promiseViolation("a cancelled job stops", { jobId, cancelledAtMs, late: late[0] });
--- a/fuzz/promises/src/simulatedEntry.ts
+++ b/fuzz/promises/src/simulatedEntry.ts
@@ -10,11 +10,11 @@
 import { SeededRandom } from "@knapweedwood/core.random/seededRandom";
 import { silentLogger } from "@knapweedwood/observability.logs/silentLogger";
 import { silentMetrics } from "@knapweedwood/observability.metrics/silentMetrics";
-import { GatedClock } from "./gatedClock.js";
-import { GatedKeyValueService } from "./gatedKeyValueService.js";
-import { InstanceGate } from "./instanceGate.js";
+import { InstanceLifecycle } from "./instanceLifecycle.js";
 import { MemoryEndpoint } from "./memoryEndpoint.js";
 import type { MemorySegmentStore } from "./memorySegmentStore.js";
+import { PausableClock } from "./pausableClock.js";
+import { PausableKeyValueService } from "./pausableKeyValueService.js";
 import { simulatedServices } from "./simulatedServices.js";
 import type { SimulationPlatform } from "./simulationPlatform.js";
 
@@ -23,20 +23,20 @@
 const PARTITION_COUNT = 2;
 const SHARD_COUNT = 2;
 
-/** One entry process of the simulation: the real batch components over an in-memory platform. */
+/** A simulated entry process: the real batch components on an in-memory platform. */
 export class SimulatedEntry {
-    readonly gate = new InstanceGate();
+    readonly lifecycle = new InstanceLifecycle();
     readonly instanceId: InstanceId;
     readonly address: string;
     readonly batchService: KeyValueBatchService;
     readonly claims: ClaimService;
     readonly role: BatchRole;
     readonly segmentStore: ReplicatedSegmentStore;
-    private readonly gatedKeyValue: GatedKeyValueService;
+    private readonly pausableKeyValue: PausableKeyValueService;
     private readonly endpoint: MemoryEndpoint;
     private readonly platform: SimulationPlatform;
     readonly zone: ZoneName;
-    private readonly clock: GatedClock;
+    private readonly clock: PausableClock;
 
     constructor(opts: {
         platform: SimulationPlatform;
@@ -50,11 +50,11 @@
         this.instanceId = `entry-${opts.index}-${opts.incarnation}` as InstanceId;
         this.address = `entry-${opts.index}-${opts.incarnation}:1`;
         this.zone = `zone-${opts.index}` as ZoneName;
-        const clock = new GatedClock({ clock: platform.clock, gate: this.gate });
+        const clock = new PausableClock({ clock: platform.clock, lifecycle: this.lifecycle });
         this.clock = clock;
         const random = new SeededRandom(opts.seed);
-        this.gatedKeyValue = new GatedKeyValueService({ keyValue: platform.keyValue, gate: this.gate });
-        const keyValue = platform.options.wrapKeyValue(this.gatedKeyValue);
+        this.pausableKeyValue = new PausableKeyValueService({ keyValue: platform.keyValue, lifecycle: this.lifecycle });
+        const keyValue = platform.options.wrapKeyValue(this.pausableKeyValue);
         this.endpoint = new MemoryEndpoint({
             identity: {
                 instanceId: this.instanceId,
@@ -64,7 +64,7 @@
                 region: REGION,
             },
             address: this.address,
-            gate: this.gate,
+            lifecycle: this.lifecycle,
             network: platform.network,
         });
         registerSegmentHandlers({ endpoint: this.endpoint, store: opts.dataFolder });
@@ -75,7 +75,7 @@
             holders: () => platform.holders(),
             copyCount: platform.options.copyCount,
         });
-        const shared = {
+        const sharedOptions = {
             instanceId: this.instanceId,
             address: () => this.address,
             clock,
@@ -88,48 +88,50 @@
             metrics: silentMetrics,
         };
         this.role = new BatchRole({
-            ...shared,
+            ...sharedOptions,
             services: simulatedServices,
             teamWeight: () => 1,
             partitionCount: PARTITION_COUNT,
         });
-        this.claims = new ClaimService({ ...shared, shardCount: SHARD_COUNT });
+        this.claims = new ClaimService({ ...sharedOptions, shardCount: SHARD_COUNT });
         this.batchService = new KeyValueBatchService({
-            ...shared,
+            ...sharedOptions,
             onCancelled: jobId => this.role.notifyCancelled(jobId),
         });
     }
 
+    /** Returns the leases ever granted to this entry. */
     get leaseIds(): readonly string[] {
-        return this.gatedKeyValue.leaseIds;
+        return this.pausableKeyValue.leaseIds;
     }
 
+    /** Announces the entry and starts its batch role and claims. */
     start(): void {
         this.announce();
         this.role.start();
         this.claims.start();
     }
 
-    /** Ends the process without a word. */
+    /** Ends the process without a handover. */
     crash(): void {
-        this.gate.kill();
+        this.lifecycle.kill();
         this.platform.network.remove(this.address);
     }
 
-    /** A planned stop: what is owned is handed over first. */
+    /** Stops the process as planned: hands its partitions and claim shards over first. */
     async stop(): Promise<void> {
-        await this.platform.instanceList.announce({ ...this.record(), state: "leaving" });
+        await this.platform.instanceList.announce({ ...this.instanceRecord(), state: "leaving" });
         await Promise.all([this.role.stop(), this.claims.stop()]);
         await this.platform.instanceList.withdraw(this.instanceId);
         this.crash();
     }
 
     private announce(): void {
-        void this.platform.instanceList.announce(this.record());
+        void this.platform.instanceList.announce(this.instanceRecord());
         this.clock.setTimer(HEARTBEAT_MS, () => this.announce());
     }
 
-    private record(): Parameters<SimulationPlatform["instanceList"]["announce"]>[0] {
+    private instanceRecord(): Parameters<SimulationPlatform["instanceList"]["announce"]>[0] {
         return {
             instanceId: this.instanceId,
             kind: "entry",
--- a/fuzz/promises/src/simulatedSide.ts
+++ b/fuzz/promises/src/simulatedSide.ts
@@ -10,28 +10,28 @@
 import type { ServiceName } from "@knapweedwood/core.ids/serviceName";
 import type { ZoneName } from "@knapweedwood/core.ids/zoneName";
 import { SeededRandom } from "@knapweedwood/core.random/seededRandom";
-import { answerOf } from "./answerOf.js";
-import { GatedClock } from "./gatedClock.js";
-import { InstanceGate } from "./instanceGate.js";
+import { InstanceLifecycle } from "./instanceLifecycle.js";
 import { MemoryEndpoint } from "./memoryEndpoint.js";
+import { PausableClock } from "./pausableClock.js";
 import type { SimulationPlatform } from "./simulationPlatform.js";
+import { upstreamResponse } from "./upstreamResponse.js";
 
 const PULL_INTERVAL_MS = 300;
 const PULL_COUNT = 4;
 const MAX_RUN_MS = 400;
-const SLOW_CHUNKS = 16;
+const SLOW_CHUNK_COUNT = 16;
 const SLOW_CHUNK_MS = 300;
 
-/** One side process with its upstream: pulls items, runs them and reports their results. */
+/** A simulated side process with its upstream: pulls items, runs them and reports their results. */
 export class SimulatedSide {
-    readonly gate = new InstanceGate();
+    readonly lifecycle = new InstanceLifecycle();
     readonly service: ServiceName;
     private readonly platform: SimulationPlatform;
-    private readonly clock: GatedClock;
+    private readonly clock: PausableClock;
     private readonly random: SeededRandom;
     private readonly source: LinkBatchSource;
     private readonly address: string;
-    private readonly cancelled = new Set<JobId>();
+    private readonly cancelledJobs = new Set<JobId>();
     private readonly onCrash: () => void;
 
     constructor(opts: {
@@ -41,14 +41,14 @@
         service: string;
         seed: number;
         entries: () => string[];
-        /** Called where an item brings the upstream down. */
+        /** Called when an item crashes the upstream. */
         onCrash: () => void;
     }) {
         this.platform = opts.platform;
         this.onCrash = opts.onCrash;
         this.service = opts.service as ServiceName;
         this.address = `side-${opts.index}:1`;
-        this.clock = new GatedClock({ clock: opts.platform.clock, gate: this.gate });
+        this.clock = new PausableClock({ clock: opts.platform.clock, lifecycle: this.lifecycle });
         this.random = new SeededRandom(opts.seed);
         const endpoint = new MemoryEndpoint({
             identity: {
@@ -59,11 +59,11 @@
                 region: "test" as RegionName,
             },
             address: this.address,
-            gate: this.gate,
+            lifecycle: this.lifecycle,
             network: opts.platform.network,
         });
         endpoint.handleNotification(cancelJobNotification, ({ jobId }) => {
-            this.cancelled.add(jobId);
+            this.cancelledJobs.add(jobId);
         });
         this.source = new LinkBatchSource({
             endpoint,
@@ -74,18 +74,20 @@
         });
     }
 
+    /** Starts pulling items. */
     start(): void {
-        this.pullAgain();
+        this.schedulePull();
     }
 
+    /** Ends the process at once. */
     crash(): void {
-        this.gate.kill();
+        this.lifecycle.kill();
         this.platform.network.remove(this.address);
     }
 
-    private pullAgain(): void {
+    private schedulePull(): void {
         this.clock.setTimer(PULL_INTERVAL_MS, () => {
-            void this.pull().finally(() => this.pullAgain());
+            void this.pull().finally(() => this.schedulePull());
         });
     }
 
@@ -101,13 +103,13 @@
 
     private async run(item: BatchItem): Promise<BatchResult | undefined> {
         await sleep(this.clock, this.random.nextInteger(MAX_RUN_MS));
-        if (this.cancelled.has(item.jobId) && !this.platform.options.ignoresCancel) {
+        if (this.cancelledJobs.has(item.jobId) && !this.platform.options.ignoresCancel) {
             return undefined;
         }
         const runCount = this.platform.options.repeatsItems && this.random.nextInteger(4) === 0 ? 2 : 1;
         Array.from({ length: runCount }).forEach(() => this.execute(item));
         const { jobId, itemIndex, attempt } = item;
-        if (item.body.behaviour === "slow" && !await this.runSlowly(item)) {
+        if (item.body.behaviour === "slow" && !await this.runSlowStream(item)) {
             return undefined;
         }
         const outcome = this.outcomeOf(item);
@@ -115,14 +117,14 @@
         return outcome && { jobId, itemIndex, attempt, outcome };
     }
 
-    /** A long stream, cancelled with its job. @returns whether it came to its end */
-    private async runSlowly(item: BatchItem): Promise<boolean> {
-        for (let chunk = 0; chunk < SLOW_CHUNKS; chunk++) {
+    /** Runs a slow stream, which stops when its job is cancelled. @returns whether it ran to its end */
+    private async runSlowStream(item: BatchItem): Promise<boolean> {
+        for (let chunk = 0; chunk < SLOW_CHUNK_COUNT; chunk++) {
             await sleep(this.clock, SLOW_CHUNK_MS);
-            if (this.cancelled.has(item.jobId) && !this.platform.options.ignoresCancel) {
+            if (this.cancelledJobs.has(item.jobId) && !this.platform.options.ignoresCancel) {
                 return false;
             }
-            this.platform.upstreams.noteChunk({ jobId: item.jobId, atMs: this.clock.nowMs() });
+            this.platform.upstreams.recordChunk({ jobId: item.jobId, atMs: this.clock.nowMs() });
         }
         return true;
     }
@@ -146,7 +148,7 @@
                 this.onCrash();
                 return undefined;
             default:
-                return { kind: "completed", statusCode: 200, body: answerOf(item.body) };
+                return { kind: "completed", statusCode: 200, body: upstreamResponse(item.body) };
         }
     }
 }
--- a/fuzz/promises/src/simulationPlatform.ts
+++ b/fuzz/promises/src/simulationPlatform.ts
@@ -4,17 +4,17 @@
 import { MemoryKeyValueService } from "@knapweedwood/standins.key-value/memoryKeyValueService";
 import { MemoryNetwork } from "./memoryNetwork.js";
 import type { SimulationOptions } from "./simulationOptions.js";
-import { UpstreamRecord } from "./upstreamRecord.js";
+import { UpstreamHistory } from "./upstreamHistory.js";
 
-/** The platform below a simulated fleet. */
+/** The in-memory platform of a simulated fleet: clock, key-value service, instance list, network and upstreams. */
 export class SimulationPlatform {
     readonly clock: ManualClock;
     readonly options: SimulationOptions;
     readonly keyValue: MemoryKeyValueService;
     readonly instanceList: MemoryInstanceList;
     readonly network: MemoryNetwork;
-    readonly upstreams = new UpstreamRecord();
-    /** Live instances with a data folder. */
+    readonly upstreams = new UpstreamHistory();
+    /** Returns the live instances that have a data folder. */
     holders: () => SegmentHolder[] = () => [];
 
     constructor(opts: { clock: ManualClock; options: SimulationOptions; }) {
--- a/fuzz/promises/src/stepArbitrary.ts
+++ b/fuzz/promises/src/stepArbitraries.ts
@@ -21,7 +21,11 @@
     return fc.record({ kind: fc.constant(kind), ...fields }) as unknown as fc.Arbitrary<Step>;
 }
 
-/** Steps of a fuzz case, work more often than faults. Shape [kinds]. */
+/**
+ * The generators of the steps of a fuzz case, each drawn with the same probability. Shape [generators].
+ *
+ * Submissions, keyed calls and waits are listed twice, so that work is more frequent than any one fault.
+ */
 export const stepArbitraries: fc.Arbitrary<Step>[] = [
     stepOf("submit", {
         entry: index,
@@ -41,7 +45,13 @@
     stepOf("cancel", { entry: index, job: index }),
     stepOf("read", { entry: index, job: index }),
     stepOf("keyed-call", { entry: index, key, runMs: shortMs, loseAnswer: fc.boolean(), twice: fc.boolean() }),
-    stepOf("keyed-call", { entry: index, key, runMs: shortMs, loseAnswer: fc.constant(false), twice: fc.boolean() }),
+    stepOf("keyed-call", {
+        entry: index,
+        key,
+        runMs: shortMs,
+        loseAnswer: fc.constant(false),
+        twice: fc.boolean(),
+    }),
     stepOf("crash-entry", { entry: index }),
     stepOf("stop-entry", { entry: index }),
     stepOf("pause-entry", { entry: index, durationMs: longMs }),
--- a/fuzz/promises/test/mutantKeyValueService.ts
+++ b/fuzz/promises/test/mutantKeyValueService.ts
@@ -7,17 +7,17 @@
 import type { WatchBatch } from "@knapweedwood/core.key-value/watchBatch";
 
 interface Mutation {
-    /** Comparisons of keys that contain one of these are dropped. */
+    /** Drops the comparisons of keys that contain one of these. */
     dropsCompares?: string[];
-    /** Puts of keys that contain this are made without their lease. */
+    /** Makes puts of keys that contain this without their lease. */
     dropsLeases?: string;
-    /** What a lost answer is taken for. */
-    lostAnswer?: "not-run" | "succeeded";
-    /** Takes a write of keys that contain this as done without making it. */
+    /** The outcome reported in place of an unknown one. */
+    assumedOutcome?: "not-run" | "succeeded";
+    /** Reports a write of keys that contain this as succeeded without making it. */
     skipsWrites?: string;
 }
 
-/** A key-value service as a faulty component would use it. */
+/** A key-value service that drops, changes or misreports transactions, as a faulty component would use it. */
 export class MutantKeyValueService implements KeyValueService {
     private readonly service: KeyValueService;
     private readonly mutation: Mutation;
@@ -36,9 +36,9 @@
     }
 
     async transact(compares: KeyValueCompare[], operations: KeyValueOperation[]): Promise<TransactionResult> {
-        const { dropsCompares = [], dropsLeases, lostAnswer, skipsWrites } = this.mutation;
-        const kept = compares.filter(compare => !dropsCompares.some(part => compare.key.includes(part)));
-        const changed = operations.map(operation =>
+        const { dropsCompares = [], dropsLeases, assumedOutcome, skipsWrites } = this.mutation;
+        const keptCompares = compares.filter(compare => !dropsCompares.some(part => compare.key.includes(part)));
+        const changedOperations = operations.map(operation =>
             operation.kind === "put" && dropsLeases !== undefined && operation.key.includes(dropsLeases)
                 ? { ...operation, leaseId: undefined }
                 : operation
@@ -47,16 +47,20 @@
             return { succeeded: true, revision: 1, current: [] };
         }
         try {
-            return await this.service.transact(kept, changed);
+            return await this.service.transact(keptCompares, changedOperations);
         }
         catch (error) {
-            if (lostAnswer === undefined || !(error instanceof KnapweedError) || error.outcome !== "unknown") {
+            if (assumedOutcome === undefined || !(error instanceof KnapweedError) || error.outcome !== "unknown") {
                 throw error;
             }
-            if (lostAnswer === "succeeded") {
+            if (assumedOutcome === "succeeded") {
                 return { succeeded: true, revision: 1, current: [] };
             }
-            throw new KnapweedError("KEY_VALUE_UNAVAILABLE", "assumed not run", { outcome: "not-run" });
+            throw new KnapweedError(
+                "KEY_VALUE_UNAVAILABLE",
+                "The response was lost; the mutant assumes that the write has not run",
+                { outcome: "not-run" },
+            );
         }
     }
 
--- a/fuzz/promises/test/mutants.ts
+++ b/fuzz/promises/test/mutants.ts
@@ -19,7 +19,7 @@
     ...options,
 });
 
-/** Promises broken on purpose, each with the seed that catches it. */
+/** Deliberate faults, each with a seed whose cases reveal it. */
 export const mutants: Mutant[] = [
     { name: "fencing check dropped", seed: 7, options: withKeyValue({ dropsCompares: ["/partitions/"] }) },
     { name: "progress written without comparison", seed: 8, options: withKeyValue({ dropsCompares: ["/progress/"] }) },
@@ -34,8 +34,8 @@
         options: withKeyValue({ dropsCompares: ["/claims/"] }),
     },
     { name: "ownership without a lease", seed: 1, options: withKeyValue({ dropsLeases: "/partitions/" }) },
-    { name: "a lost answer taken for not run", seed: 8, options: withKeyValue({ lostAnswer: "not-run" }) },
-    { name: "a lost answer taken for success", seed: 8, options: withKeyValue({ lostAnswer: "succeeded" }) },
+    { name: "a lost answer taken for not run", seed: 8, options: withKeyValue({ assumedOutcome: "not-run" }) },
+    { name: "a lost answer taken for success", seed: 8, options: withKeyValue({ assumedOutcome: "succeeded" }) },
     { name: "a claim taken as written", seed: 1, options: withKeyValue({ skipsWrites: "/claims/log/" }) },
     { name: "acknowledged at one copy", seed: 1, options: withOptions({ copyCount: 1 }) },
     { name: "an unknown outcome retried", seed: 1, options: withOptions({ retriesUnknown: true }) },
