--- a/bench/mixed/src/batchItemMeans.ts
+++ b/bench/mixed/src/batchItemMeans.ts
@@ -1,5 +1,5 @@
 import { promptTextOf } from "@knapweedwood/engines.model-engine/promptTextOf";
-import { tokensIn } from "@knapweedwood/standins.engine/tokensIn";
+import { tokensIn } from "@knapweedwood/standins.engine/countTokens";
 import { createBatchBody } from "./createBatchBody.js";
 import { createRandom } from "./createRandom.js";
 
--- a/standins/engine/src/completionHandler.ts
+++ b/standins/engine/src/completionHandler.ts
@@ -5,12 +5,12 @@
 import { promptTextOf } from "@knapweedwood/engines.model-engine/promptTextOf";
 import type { ResumePoint } from "@knapweedwood/engines.model-engine/resumePoint";
 import type { IncomingMessage, ServerResponse } from "node:http";
-import { AnswerStream } from "./answerStream.js";
+import { AnswerStream } from "./completionWriter.js";
 import type { EngineCore } from "./engineCore.js";
 import type { EngineFaults } from "./engineFaults.js";
 import type { EngineSequence } from "./engineSequence.js";
-import { poisonOf } from "./poisonOf.js";
-import { RequestRecords } from "./requestRecords.js";
+import { poisonOf } from "./promptFaultOf.js";
+import { RequestRecords } from "./requestCounter.js";
 import { sendError } from "./sendError.js";
 
 const MS_PER_SECOND = 1000;
--- a/standins/engine/src/embeddingsOf.ts
+++ b/standins/engine/src/embeddingsOf.ts
@@ -1,6 +1,6 @@
 import { textHash } from "@knapweedwood/core.hashing/textHash";
 import type { JsonObject } from "@knapweedwood/engines.model-engine/jsonObject";
-import { tokensIn } from "./tokensIn.js";
+import { tokensIn } from "./countTokens.js";
 
 const DIMENSIONS = 8;
 const HASH_RANGE = 0x1_0000_0000;
--- a/standins/engine/src/engineCore.ts
+++ b/standins/engine/src/engineCore.ts
@@ -3,7 +3,7 @@
 import type { GenerateRequest } from "@knapweedwood/engines.model-engine/generateRequest";
 import { EngineSequence } from "./engineSequence.js";
 import type { EngineTotals } from "./engineTotals.js";
-import { LaggingLoad } from "./laggingLoad.js";
+import { LaggingLoad } from "./loadHistory.js";
 import { PrefixCache } from "./prefixCache.js";
 import type { SequenceSink } from "./sequenceSink.js";
 import type { StepModel } from "./stepModel.js";
--- a/standins/engine/src/engineSequence.ts
+++ b/standins/engine/src/engineSequence.ts
@@ -3,7 +3,7 @@
 import { promptTextOf } from "@knapweedwood/engines.model-engine/promptTextOf";
 import type { Usage } from "@knapweedwood/engines.model-engine/usage";
 import type { SequenceSink } from "./sequenceSink.js";
-import { tokensIn } from "./tokensIn.js";
+import { tokensIn } from "./countTokens.js";
 import { tokenTargetOf } from "./tokenTargetOf.js";
 import { tokenText } from "./tokenText.js";
 
--- a/standins/engine/src/engineServer.ts
+++ b/standins/engine/src/engineServer.ts
@@ -12,7 +12,7 @@
 import type { EngineServerOptions } from "./engineServerOptions.js";
 import { LoadedModels } from "./loadedModels.js";
 import { readBody } from "./readBody.js";
-import { RequestRecords } from "./requestRecords.js";
+import { RequestRecords } from "./requestCounter.js";
 import { sendError } from "./sendError.js";
 import { sendJson } from "./sendJson.js";
 import { SilentConnections } from "./silentConnections.js";
--- a/standins/engine/src/inMemoryEngine.ts
+++ b/standins/engine/src/inMemoryEngine.ts
@@ -11,7 +11,7 @@
 import { defaultStepModel } from "./defaultStepModel.js";
 import { embeddingsOf } from "./embeddingsOf.js";
 import { EngineCore } from "./engineCore.js";
-import { poisonOf } from "./poisonOf.js";
+import { poisonOf } from "./promptFaultOf.js";
 import type { StepModel } from "./stepModel.js";
 
 /** A stand-in engine within the process, for tests and simulations on a clock that is moved by hand. */
--- a/standins/instance-list/src/instanceListServer.ts
+++ b/standins/instance-list/src/instanceListServer.ts
@@ -5,7 +5,7 @@
 import { readJson } from "@knapweedwood/standins.http/readJson";
 import { sendJson } from "@knapweedwood/standins.http/sendJson";
 import type { IncomingMessage, ServerResponse } from "node:http";
-import type { InstanceListFaultOrder } from "./instanceListFaultOrder.js";
+import type { InstanceListFaultOrder } from "./instanceListFaultUpdate.js";
 import { MemoryInstanceList } from "./memoryInstanceList.js";
 
 const PATH = "/v1/instances";
--- a/standins/key-value/src/keyValueServer.ts
+++ b/standins/key-value/src/keyValueServer.ts
@@ -4,9 +4,9 @@
 import { sendJson } from "@knapweedwood/standins.http/sendJson";
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { EtcdGateway } from "./etcdGateway.js";
-import { etcdRefusal } from "./etcdRefusal.js";
-import { isAnswerLost } from "./isAnswerLost.js";
-import type { KeyValueFaultOrder } from "./keyValueFaultOrder.js";
+import { etcdRefusal } from "./etcdErrorResponse.js";
+import { isAnswerLost } from "./isResponseLost.js";
+import type { KeyValueFaultOrder } from "./keyValueFaultUpdate.js";
 import { MemoryKeyValueService } from "./memoryKeyValueService.js";
 import { streamWatch } from "./streamWatch.js";
 
--- a/standins/key-value/src/streamWatch.ts
+++ b/standins/key-value/src/streamWatch.ts
@@ -7,7 +7,7 @@
 import { unavailableError } from "@knapweedwood/core.key-value/unavailableError";
 import type { WatchBatch } from "@knapweedwood/core.key-value/watchBatch";
 import type { ServerResponse } from "node:http";
-import { etcdRefusal } from "./etcdRefusal.js";
+import { etcdRefusal } from "./etcdErrorResponse.js";
 import type { MemoryKeyValueService } from "./memoryKeyValueService.js";
 import { toKeyValue } from "./toKeyValue.js";
 
--- a/standins/service/src/serviceFaults.ts
+++ b/standins/service/src/serviceFaults.ts
@@ -1,4 +1,4 @@
-import type { ServiceFaultOrder } from "./serviceFaultOrder.js";
+import type { ServiceFaultOrder } from "./serviceFaultUpdate.js";
 
 /** Faults that await the next calls. */
 export class ServiceFaults {
--- a/standins/weight-store/src/weightStoreServer.ts
+++ b/standins/weight-store/src/weightStoreServer.ts
@@ -5,7 +5,7 @@
 import { sendJson } from "@knapweedwood/standins.http/sendJson";
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { MemoryWeightStore } from "./memoryWeightStore.js";
-import type { WeightStoreFaultOrder } from "./weightStoreFaultOrder.js";
+import type { WeightStoreFaultOrder } from "./weightStoreFaultUpdate.js";
 
 const PATH = "/v1/reservations";
 const NOT_FOUND_STATUS = 404;
