--- a/bench/mixed/src/batchItemMeans.ts
+++ b/bench/mixed/src/batchItemMeans.ts
@@ -1,5 +1,5 @@
 import { promptTextOf } from "@knapweedwood/engines.model-engine/promptTextOf";
-import { tokensIn } from "@knapweedwood/standins.engine/countTokens";
+import { countTokens } from "@knapweedwood/standins.engine/countTokens";
 import { createBatchBody } from "./createBatchBody.js";
 import { createRandom } from "./createRandom.js";
 
@@ -12,9 +12,9 @@
     const random = createRandom(SEED);
     const bodies = Array.from({ length: SAMPLES }, () => createBatchBody(random, "bench"));
     const prompts = bodies.map(promptTextOf);
-    const sharedTokens = Math.floor(tokensIn(commonPrefix(prompts)) / BLOCK_TOKENS) * BLOCK_TOKENS;
+    const sharedTokens = Math.floor(countTokens(commonPrefix(prompts)) / BLOCK_TOKENS) * BLOCK_TOKENS;
     return {
-        prefillTokens: meanOf(prompts.map(tokensIn)) - sharedTokens,
+        prefillTokens: meanOf(prompts.map(countTokens)) - sharedTokens,
         answerTokens: meanOf(bodies.map(body => Number(body.max_tokens))),
     };
 }
--- a/standins/engine/src/completionHandler.ts
+++ b/standins/engine/src/completionHandler.ts
@@ -5,12 +5,12 @@
 import { promptTextOf } from "@knapweedwood/engines.model-engine/promptTextOf";
 import type { ResumePoint } from "@knapweedwood/engines.model-engine/resumePoint";
 import type { IncomingMessage, ServerResponse } from "node:http";
-import { AnswerStream } from "./completionWriter.js";
+import { CompletionWriter } from "./completionWriter.js";
 import type { EngineCore } from "./engineCore.js";
 import type { EngineFaults } from "./engineFaults.js";
 import type { EngineSequence } from "./engineSequence.js";
-import { poisonOf } from "./promptFaultOf.js";
-import { RequestRecords } from "./requestCounter.js";
+import { promptFaultOf } from "./promptFaultOf.js";
+import { RequestCounter } from "./requestCounter.js";
 import { sendError } from "./sendError.js";
 
 const MS_PER_SECOND = 1000;
@@ -22,7 +22,7 @@
     private readonly clock: Clock;
     private readonly random: Random;
     private readonly core: EngineCore;
-    private readonly records: RequestRecords;
+    private readonly requestCounter: RequestCounter;
     private readonly faults: EngineFaults;
     private readonly readyNames: () => string[];
     private readonly sequences = new Map<string, EngineSequence>();
@@ -32,14 +32,14 @@
         clock: Clock;
         random: Random;
         core: EngineCore;
-        records: RequestRecords;
+        requestCounter: RequestCounter;
         faults: EngineFaults;
         readyNames: () => string[];
     }) {
         this.clock = opts.clock;
         this.random = opts.random;
         this.core = opts.core;
-        this.records = opts.records;
+        this.requestCounter = opts.requestCounter;
         this.faults = opts.faults;
         this.readyNames = opts.readyNames;
     }
@@ -54,8 +54,8 @@
             sendError(response, 404, "model_not_found", `The model '${String(body.model)}' is not loaded`);
             return;
         }
-        const marker = RequestRecords.markerOf(body);
-        if (this.refuseFaulty(marker, body, response)) {
+        const marker = RequestCounter.markerOf(body);
+        if (this.failIfFaulty(marker, body, response)) {
             return;
         }
         this.requestCount += 1;
@@ -73,47 +73,47 @@
         opts: { generateRequest: GenerateRequest; response: ServerResponse; marker: string; id: string; },
     ): void {
         let isFinished = false;
-        this.records.count(opts.marker, "started");
-        const stream = new AnswerStream({
+        this.requestCounter.count(opts.marker, "started");
+        const stream = new CompletionWriter({
             response: opts.response,
             request: opts.generateRequest,
             id: opts.id,
             createdAtSeconds: Math.floor(this.clock.nowMs() / MS_PER_SECOND),
             onFinish: () => {
                 isFinished = true;
-                this.records.count(opts.marker, "finished");
+                this.requestCounter.count(opts.marker, "finished");
             },
         });
         const sequence = this.core.submit(opts.generateRequest, stream);
-        this.remember(opts.id, sequence);
+        this.keepForExport(opts.id, sequence);
         opts.response.on("close", () => {
             if (!isFinished) {
                 this.core.cancel(sequence);
-                this.records.count(opts.marker, "cancelled");
+                this.requestCounter.count(opts.marker, "cancelled");
             }
         });
     }
 
-    private refuseFaulty(marker: string, body: JsonObject, response: ServerResponse): boolean {
-        const poison = poisonOf(promptTextOf(body));
-        if (poison === "malformed") {
+    private failIfFaulty(marker: string, body: JsonObject, response: ServerResponse): boolean {
+        const promptFault = promptFaultOf(promptTextOf(body));
+        if (promptFault === "malformed") {
             sendError(response, 400, "invalid_prompt", "The prompt is malformed");
             return true;
         }
-        if (poison === "crash") {
-            this.records.count(marker, "started");
+        if (promptFault === "crash") {
+            this.requestCounter.count(marker, "started");
             response.destroy();
             return true;
         }
-        if (poison === "never-completes" || this.random.next() < this.faults.errorShare) {
-            this.records.count(marker, "started");
+        if (promptFault === "never-completes" || this.random.next() < this.faults.errorShare) {
+            this.requestCounter.count(marker, "started");
             sendError(response, 500, "internal_error", "The request can't be completed");
             return true;
         }
         return false;
     }
 
-    private remember(id: string, sequence: EngineSequence): void {
+    private keepForExport(id: string, sequence: EngineSequence): void {
         this.sequences.set(id, sequence);
         const oldest = this.sequences.keys().next().value;
         if (this.sequences.size > EXPORTABLE_REQUESTS && oldest !== undefined) {
--- a/standins/engine/src/completionWriter.ts
+++ b/standins/engine/src/completionWriter.ts
@@ -4,12 +4,12 @@
 import type { SequenceSink } from "./sequenceSink.js";
 
 /** Writes the answer to a completion request as its tokens come: as chunks of a stream, or whole at the end. */
-export class AnswerStream implements SequenceSink {
+export class CompletionWriter implements SequenceSink {
     private readonly response: ServerResponse;
     private readonly isChat: boolean;
     private readonly isStreamed: boolean;
-    private readonly base: { id: string; created: number; model: string; };
-    private readonly head: string;
+    private readonly commonFields: { id: string; created: number; model: string; };
+    private readonly chunkStart: string;
     private readonly onFinish: () => void;
     private text: string;
 
@@ -25,9 +25,9 @@
         this.isStreamed = opts.request.body.stream === true;
         this.onFinish = opts.onFinish;
         this.text = opts.request.resumeFrom?.text ?? "";
-        this.base = { id: opts.id, created: opts.createdAtSeconds, model: String(opts.request.body.model) };
-        this.head = `data: ${
-            JSON.stringify({ ...this.base, object: this.chunkObject }).slice(0, -1)
+        this.commonFields = { id: opts.id, created: opts.createdAtSeconds, model: String(opts.request.body.model) };
+        this.chunkStart = `data: ${
+            JSON.stringify({ ...this.commonFields, object: this.chunkObject }).slice(0, -1)
         },"choices":[{"index":0,`;
         if (this.isStreamed) {
             opts.response.writeHead(200, { "content-type": "text/event-stream", "cache-control": "no-cache" });
@@ -42,7 +42,7 @@
         }
         const content = JSON.stringify(text);
         const part = this.isChat ? `"delta":{"content":${content}}` : `"text":${content}`;
-        this.response.write(`${this.head}${part},"finish_reason":null}]}\n\n`);
+        this.response.write(`${this.chunkStart}${part},"finish_reason":null}]}\n\n`);
     }
 
     finish(finishReason: string, usage: Usage): void {
@@ -57,11 +57,11 @@
             this.endStream(finishReason, usageObject);
             return;
         }
-        const answer = this.isChat ? { message: { role: "assistant", content: this.text } } : { text: this.text };
+        const output = this.isChat ? { message: { role: "assistant", content: this.text } } : { text: this.text };
         const object = this.isChat ? "chat.completion" : "text_completion";
-        const choices = [{ index: 0, ...answer, finish_reason: finishReason }];
+        const choices = [{ index: 0, ...output, finish_reason: finishReason }];
         this.response.writeHead(200, { "content-type": "application/json" });
-        this.response.end(JSON.stringify({ ...this.base, object, choices, usage: usageObject }));
+        this.response.end(JSON.stringify({ ...this.commonFields, object, choices, usage: usageObject }));
     }
 
     private get chunkObject(): string {
@@ -70,9 +70,9 @@
 
     private endStream(finishReason: string, usageObject: object): void {
         const part = this.isChat ? `"delta":{}` : `"text":""`;
-        const usageChunk = { ...this.base, object: this.chunkObject, choices: [], usage: usageObject };
+        const usageChunk = { ...this.commonFields, object: this.chunkObject, choices: [], usage: usageObject };
         this.response.end(
-            `${this.head}${part},"finish_reason":${JSON.stringify(finishReason)}}]}\n\n`
+            `${this.chunkStart}${part},"finish_reason":${JSON.stringify(finishReason)}}]}\n\n`
                 + `data: ${JSON.stringify(usageChunk)}\n\ndata: [DONE]\n\n`,
         );
     }
--- a/standins/engine/src/embeddingsOf.ts
+++ b/standins/engine/src/embeddingsOf.ts
@@ -1,6 +1,6 @@
 import { textHash } from "@knapweedwood/core.hashing/textHash";
 import type { JsonObject } from "@knapweedwood/engines.model-engine/jsonObject";
-import { tokensIn } from "./countTokens.js";
+import { countTokens } from "./countTokens.js";
 
 const DIMENSIONS = 8;
 const HASH_RANGE = 0x1_0000_0000;
@@ -8,7 +8,7 @@
 /** The answer to an embeddings request: each vector depends on its input only. */
 export function embeddingsOf(body: JsonObject): JsonObject {
     const inputs = (Array.isArray(body.input) ? body.input : [body.input]).map(String);
-    const promptTokens = inputs.reduce((sum, input) => sum + tokensIn(input), 0);
+    const promptTokens = inputs.reduce((sum, input) => sum + countTokens(input), 0);
     return {
         object: "list",
         model: body.model,
--- a/standins/engine/src/engineCore.ts
+++ b/standins/engine/src/engineCore.ts
@@ -3,7 +3,7 @@
 import type { GenerateRequest } from "@knapweedwood/engines.model-engine/generateRequest";
 import { EngineSequence } from "./engineSequence.js";
 import type { EngineTotals } from "./engineTotals.js";
-import { LaggingLoad } from "./loadHistory.js";
+import { LoadHistory } from "./loadHistory.js";
 import { PrefixCache } from "./prefixCache.js";
 import type { SequenceSink } from "./sequenceSink.js";
 import type { StepModel } from "./stepModel.js";
@@ -31,7 +31,7 @@
     slowFactor = 1;
     private readonly clock: Clock;
     private readonly model: StepModel;
-    private readonly laggingLoad: LaggingLoad;
+    private readonly loadHistory: LoadHistory;
     private waiting: EngineSequence[] = [];
     private running: EngineSequence[] = [];
     private isStepping = false;
@@ -46,7 +46,7 @@
     }) {
         this.clock = opts.clock;
         this.model = opts.stepModel;
-        this.laggingLoad = new LaggingLoad(opts.stepModel.loadLagMs);
+        this.loadHistory = new LoadHistory(opts.stepModel.loadLagMs);
         this.prefixCache = new PrefixCache({
             limitTokens: opts.stepModel.prefixCacheTokens,
             onChange: opts.onCacheChange ?? (() => undefined),
@@ -80,7 +80,7 @@
 
     /** The load as it was reported last. */
     reportedLoad(): EngineLoad {
-        return this.laggingLoad.at(this.clock.nowMs()) ?? this.currentLoad();
+        return this.loadHistory.reportedAt(this.clock.nowMs()) ?? this.currentLoad();
     }
 
     /** The load at this moment, which an engine doesn't tell. */
@@ -110,36 +110,36 @@
     private beginStep(): void {
         this.removeCancelled();
         this.admitWaiting();
-        this.laggingLoad.record(this.clock.nowMs(), this.currentLoad());
+        this.loadHistory.record(this.clock.nowMs(), this.currentLoad());
         this.isStepping = this.running.length > 0 && !this.isFrozen;
         if (!this.isStepping) {
             return;
         }
         const decoding = this.running.filter(sequence => sequence.prefillTokensLeft === 0);
-        const prefillTokens = this.spendPrefill();
+        const prefillTokens = this.allocatePrefill();
         const durationMs = this.slowFactor * (
             this.model.fixedMs
             + this.model.perSequenceMs * this.running.length
             + this.model.perPrefillTokenMs * prefillTokens
         );
-        this.count(durationMs, prefillTokens);
+        this.countStep(durationMs, prefillTokens);
         const startMs = Math.max(this.stepEndMs, this.clock.nowMs() - MAX_CATCH_UP_MS);
         this.stepEndMs = startMs + durationMs;
         this.clock.setTimer(Math.max(0, this.stepEndMs - this.clock.nowMs()), () => this.endStep(decoding));
     }
 
-    private count(durationMs: number, prefillTokens: number): void {
+    private countStep(durationMs: number, prefillTokens: number): void {
         this.lastStepMs = durationMs;
         this.totals.steps += 1;
         this.totals.busyMs += durationMs;
         this.totals.prefillTokens += prefillTokens;
     }
 
-    private spendPrefill(): number {
-        return this.running.reduce((spent, sequence) => {
-            const share = Math.min(sequence.prefillTokensLeft, this.model.maxPrefillTokensPerStep - spent);
+    private allocatePrefill(): number {
+        return this.running.reduce((allocated, sequence) => {
+            const share = Math.min(sequence.prefillTokensLeft, this.model.maxPrefillTokensPerStep - allocated);
             sequence.prefillTokensLeft -= share;
-            return spent + share;
+            return allocated + share;
         }, 0);
     }
 
@@ -169,13 +169,13 @@
 
     private admitWaiting(): void {
         let kvTokensUsed = this.kvTokensUsed();
-        const firstKept = this.waiting.findIndex((sequence, index) => {
+        const firstNotAdmitted = this.waiting.findIndex((sequence, index) => {
             const isFull = this.running.length + index >= this.model.maxSequences;
             kvTokensUsed += sequence.kvTokens;
             return isFull || kvTokensUsed > this.model.kvTokensLimit && this.running.length + index > 0;
         });
-        const admitted = firstKept === -1 ? this.waiting : this.waiting.slice(0, firstKept);
-        this.waiting = firstKept === -1 ? [] : this.waiting.slice(firstKept);
+        const admitted = firstNotAdmitted === -1 ? this.waiting : this.waiting.slice(0, firstNotAdmitted);
+        this.waiting = firstNotAdmitted === -1 ? [] : this.waiting.slice(firstNotAdmitted);
         admitted.forEach(sequence => sequence.beginPrefill(this.prefixCache.matchTokens(sequence.coveredText())));
         this.running = [...this.running, ...admitted];
     }
--- a/standins/engine/src/engineSequence.ts
+++ b/standins/engine/src/engineSequence.ts
@@ -2,8 +2,8 @@
 import type { GenerateRequest } from "@knapweedwood/engines.model-engine/generateRequest";
 import { promptTextOf } from "@knapweedwood/engines.model-engine/promptTextOf";
 import type { Usage } from "@knapweedwood/engines.model-engine/usage";
+import { countTokens } from "./countTokens.js";
 import type { SequenceSink } from "./sequenceSink.js";
-import { tokensIn } from "./countTokens.js";
 import { tokenTargetOf } from "./tokenTargetOf.js";
 import { tokenText } from "./tokenText.js";
 
@@ -27,7 +27,7 @@
         this.isBatch = request.body.user === "batch";
         this.prompt = promptTextOf(request.body);
         this.promptHash = textHash(this.prompt);
-        this.promptTokens = tokensIn(this.prompt);
+        this.promptTokens = countTokens(this.prompt);
         const target = tokenTargetOf(request.body);
         this.finishReason = target.finishReason;
         this.tokenTarget = target.tokenCount;
--- a/standins/engine/src/engineServer.ts
+++ b/standins/engine/src/engineServer.ts
@@ -12,7 +12,7 @@
 import type { EngineServerOptions } from "./engineServerOptions.js";
 import { LoadedModels } from "./loadedModels.js";
 import { readBody } from "./readBody.js";
-import { RequestRecords } from "./requestCounter.js";
+import { RequestCounter } from "./requestCounter.js";
 import { sendError } from "./sendError.js";
 import { sendJson } from "./sendJson.js";
 import { SilentConnections } from "./silentConnections.js";
@@ -29,7 +29,7 @@
     readonly core: EngineCore;
     private readonly server: Server;
     private readonly connections = new SilentConnections();
-    private readonly records = new RequestRecords();
+    private readonly requestCounter = new RequestCounter();
     private readonly faults: EngineFaults = { slowFactor: 1, errorShare: 0, silentConnections: false, freeze: false };
     private readonly models: LoadedModels;
     private readonly events: CacheEventFeed;
@@ -54,12 +54,12 @@
             clock: opts.clock,
             random,
             core: this.core,
-            records: this.records,
+            requestCounter: this.requestCounter,
             faults: this.faults,
             readyNames: () => this.models.readyNames(),
         });
         this.routes = this.createRoutes();
-        this.server = createServer((request, response) => void this.answer({ request, response }));
+        this.server = createServer((request, response) => void this.handle({ request, response }));
         this.server.keepAliveTimeout = KEEP_ALIVE_MS;
         this.server.on("connection", (socket: Socket) => {
             socket.setNoDelay(true);
@@ -103,7 +103,7 @@
             "GET /v1/models": (_body, { response }) => sendJson(response, 200, this.modelList()),
             "GET /load": (_body, { response }) => sendJson(response, 200, this.core.reportedLoad()),
             "GET /state": (_body, { response }) => sendJson(response, 200, this.models.state()),
-            "POST /orders": (body, { response }) => this.order(parse(body), response),
+            "POST /orders": (body, { response }) => this.handleOrder(parse(body), response),
             "GET /cache/events": (_body, { response }) => this.streamCacheEvents(response),
             "POST /cache/export": (body, { response }) => this.exportCache(parse(body), response),
             "POST /cache/import": (body, { response }) => this.importCache(body, response),
@@ -111,12 +111,12 @@
                 this.setFaults(parse(body));
                 sendJson(response, 200, this.faults);
             },
-            "GET /__record": (_body, { response }) => sendJson(response, 200, this.records.toJson()),
+            "GET /__record": (_body, { response }) => sendJson(response, 200, this.requestCounter.toJson()),
             "GET /__totals": (_body, { response }) => sendJson(response, 200, this.core.totals),
         };
     }
 
-    private async answer(exchange: Exchange): Promise<void> {
+    private async handle(exchange: Exchange): Promise<void> {
         const { request, response } = exchange;
         if (this.connections.isSilent(request.socket)) {
             return;
@@ -142,7 +142,7 @@
         };
     }
 
-    private order(order: JsonObject, response: ServerResponse): void {
+    private handleOrder(order: JsonObject, response: ServerResponse): void {
         if (this.models.accept(order as unknown as EngineOrder)) {
             sendJson(response, 200, { accepted: true });
             return;
--- a/standins/engine/src/inMemoryEngine.ts
+++ b/standins/engine/src/inMemoryEngine.ts
@@ -11,7 +11,7 @@
 import { defaultStepModel } from "./defaultStepModel.js";
 import { embeddingsOf } from "./embeddingsOf.js";
 import { EngineCore } from "./engineCore.js";
-import { poisonOf } from "./promptFaultOf.js";
+import { promptFaultOf } from "./promptFaultOf.js";
 import type { StepModel } from "./stepModel.js";
 
 /** A stand-in engine within the process, for tests and simulations on a clock that is moved by hand. */
@@ -23,25 +23,25 @@
     }
 
     async *generate(request: GenerateRequest, opts: { signal: AbortSignal; }): AsyncGenerator<GenerateEvent> {
-        refusePoisoned(request);
+        throwPromptFault(request);
         const events: GenerateEvent[] = [];
-        let wake = () => {};
+        let notifyReader = () => {};
         const publish = (event: GenerateEvent) => {
             events.push(event);
-            wake();
+            notifyReader();
         };
         const sequence = this.core.submit(request, {
             token: text => publish({ kind: "chunk", text, tokenCount: 1 }),
             finish: (finishReason, usage) => publish({ kind: "finish", finishReason, usage }),
         });
-        const onAbort = () => wake();
+        const onAbort = () => notifyReader();
         opts.signal.addEventListener("abort", onAbort);
         try {
             while (!opts.signal.aborted) {
                 const event = events.shift();
                 if (event === undefined) {
                     await new Promise<void>(resolve => {
-                        wake = resolve;
+                        notifyReader = resolve;
                     });
                     continue;
                 }
@@ -85,8 +85,8 @@
     }
 }
 
-function refusePoisoned(request: GenerateRequest): void {
-    switch (poisonOf(promptTextOf(request.body))) {
+function throwPromptFault(request: GenerateRequest): void {
+    switch (promptFaultOf(promptTextOf(request.body))) {
         case "never-completes":
             throw new KnapweedError("ENGINE_FAILED", "The item can't be completed", {
                 outcome: "unknown",
--- a/standins/engine/src/loadHistory.ts
+++ b/standins/engine/src/loadHistory.ts
@@ -1,22 +1,22 @@
 import type { EngineLoad } from "@knapweedwood/engines.model-engine/engineLoad";
 
 /** Remembers loads so that a report can be as old as the lag says. */
-export class LaggingLoad {
+export class LoadHistory {
     private readonly lagMs: number;
-    private records: { atMs: number; load: EngineLoad; }[] = [];
+    private samples: { atMs: number; load: EngineLoad; }[] = [];
 
     constructor(lagMs: number) {
         this.lagMs = lagMs;
     }
 
     record(atMs: number, load: EngineLoad): void {
-        this.records.push({ atMs, load });
-        const firstNeeded = this.records.findLastIndex(record => record.atMs <= atMs - this.lagMs);
-        this.records = firstNeeded > 0 ? this.records.slice(firstNeeded) : this.records;
+        this.samples.push({ atMs, load });
+        const firstNeeded = this.samples.findLastIndex(record => record.atMs <= atMs - this.lagMs);
+        this.samples = firstNeeded > 0 ? this.samples.slice(firstNeeded) : this.samples;
     }
 
     /** The newest load that is at least as old as the lag; undefined where none is. */
-    at(nowMs: number): EngineLoad | undefined {
-        return this.records.findLast(record => record.atMs <= nowMs - this.lagMs)?.load;
+    reportedAt(nowMs: number): EngineLoad | undefined {
+        return this.samples.findLast(record => record.atMs <= nowMs - this.lagMs)?.load;
     }
 }
--- a/standins/engine/src/loadedModels.ts
+++ b/standins/engine/src/loadedModels.ts
@@ -12,13 +12,13 @@
 export class LoadedModels {
     private readonly clock: Clock;
     private readonly opts: EngineServerOptions;
-    private readonly held: EngineState;
+    private readonly engineState: EngineState;
     private highestFencingNumber = 0;
 
     constructor(opts: EngineServerOptions) {
         this.opts = opts;
         this.clock = opts.clock;
-        this.held = {
+        this.engineState = {
             models: opts.models.map(({ model, version }) => ({
                 model: model as ModelName,
                 version: version as ModelVersion,
@@ -31,13 +31,15 @@
     }
 
     state(): EngineState {
-        return this.held;
+        return this.engineState;
     }
 
     /** Names that requests may use, shape [models + adapters]. */
     readyNames(): string[] {
-        const models = this.held.models.filter(({ state }) => state === "ready").map(({ model }) => String(model));
-        const adapters = this.held.adapters.filter(({ state }) => state === "ready").map(({ adapter }) =>
+        const models = this.engineState.models.filter(({ state }) => state === "ready").map(({ model }) =>
+            String(model)
+        );
+        const adapters = this.engineState.adapters.filter(({ state }) => state === "ready").map(({ adapter }) =>
             String(adapter)
         );
         return [...models, ...adapters];
@@ -50,45 +52,47 @@
         }
         this.highestFencingNumber = Math.max(this.highestFencingNumber, order.fencingNumber);
         if (this.opts.ignoresOrders !== true) {
-            this.carryOut(order.action);
+            this.execute(order.action);
         }
         return true;
     }
 
-    private carryOut(action: EngineOrder["action"]): void {
+    private execute(action: EngineOrder["action"]): void {
         switch (action.kind) {
             case "load-model":
                 return this.loadModel(action);
             case "unload-model":
-                this.held.models = this.held.models
+                this.engineState.models = this.engineState.models
                     .filter(({ model, version }) => model !== action.model || version !== action.version);
                 return;
             case "load-adapter":
                 return this.loadAdapter(action);
             case "unload-adapter":
-                this.held.adapters = this.held.adapters.filter(({ adapter }) => adapter !== action.adapter);
+                this.engineState.adapters = this.engineState.adapters.filter(({ adapter }) =>
+                    adapter !== action.adapter
+                );
                 return;
             case "set-role":
-                this.held.role = action.role;
+                this.engineState.role = action.role;
         }
     }
 
     private loadModel({ model, version }: { model: ModelName; version: ModelVersion; }): void {
-        if (this.held.models.some(other => other.model === model && other.version === version)) {
+        if (this.engineState.models.some(other => other.model === model && other.version === version)) {
             return;
         }
         const loading: EngineState["models"][number] = { model, version, state: "loading" };
-        this.held.models.push(loading);
-        this.becomeReadyLater(loading);
+        this.engineState.models.push(loading);
+        this.scheduleReady(loading);
     }
 
     private loadAdapter({ adapter, version }: { adapter: AdapterName; version: ModelVersion; }): void {
         const loading: EngineState["adapters"][number] = { adapter, version, state: "loading" };
-        this.held.adapters = [...this.held.adapters.filter(other => other.adapter !== adapter), loading];
-        this.becomeReadyLater(loading);
+        this.engineState.adapters = [...this.engineState.adapters.filter(other => other.adapter !== adapter), loading];
+        this.scheduleReady(loading);
     }
 
-    private becomeReadyLater(loading: { version: ModelVersion; state: "loading" | "ready" | "failed"; }): void {
+    private scheduleReady(loading: { version: ModelVersion; state: "loading" | "ready" | "failed"; }): void {
         const isUnhealthy = this.opts.unhealthyVersions?.includes(loading.version) === true;
         this.clock.setTimer(this.opts.loadDurationMs ?? DEFAULT_LOAD_DURATION_MS, () => {
             loading.state = isUnhealthy ? "failed" : "ready";
--- a/standins/engine/src/prefixCache.ts
+++ b/standins/engine/src/prefixCache.ts
@@ -36,8 +36,8 @@
         hashes.forEach(hash => this.touch(hash));
         const excess = this.leastRecentlyUsed(this.blocks.size - this.limitBlocks);
         excess.forEach(hash => this.blocks.delete(hash));
-        this.announce("stored", added);
-        this.announce("evicted", excess);
+        this.notify("stored", added);
+        this.notify("evicted", excess);
     }
 
     private leastRecentlyUsed(count: number): number[] {
@@ -49,7 +49,7 @@
         this.blocks.add(hash);
     }
 
-    private announce(kind: "stored" | "evicted", hashes: number[]): void {
+    private notify(kind: "stored" | "evicted", hashes: number[]): void {
         if (hashes.length > 0) {
             this.onChange(kind, hashes.map(String));
         }
--- a/standins/engine/src/promptFaultOf.ts
+++ b/standins/engine/src/promptFaultOf.ts
@@ -1,6 +1,6 @@
-const POISONS = ["never-completes", "crash", "malformed"] as const;
+const PROMPT_FAULTS = ["never-completes", "crash", "malformed"] as const;
 
 /** How a prompt says that it can't be answered, such as `[never-completes]`; undefined for other prompts. */
-export function poisonOf(prompt: string): typeof POISONS[number] | undefined {
-    return POISONS.find(poison => prompt.includes(`[${poison}]`));
+export function promptFaultOf(prompt: string): typeof PROMPT_FAULTS[number] | undefined {
+    return PROMPT_FAULTS.find(fault => prompt.includes(`[${fault}]`));
 }
--- a/standins/engine/src/requestCounter.ts
+++ b/standins/engine/src/requestCounter.ts
@@ -2,12 +2,12 @@
 import type { RequestCounts } from "./requestCounts.js";
 
 /** Counts, for audits, what ran at an engine by the marker that each request carries. */
-export class RequestRecords {
+export class RequestCounter {
     private readonly counts = new Map<string, RequestCounts>();
 
-    count(marker: string, what: keyof RequestCounts): void {
+    count(marker: string, event: keyof RequestCounts): void {
         const counts = this.counts.get(marker) ?? { started: 0, finished: 0, cancelled: 0 };
-        counts[what] += 1;
+        counts[event] += 1;
         this.counts.set(marker, counts);
     }
 
--- a/standins/engine/src/tokenTargetOf.ts
+++ b/standins/engine/src/tokenTargetOf.ts
@@ -2,8 +2,8 @@
 import type { JsonObject } from "@knapweedwood/engines.model-engine/jsonObject";
 import { promptTextOf } from "@knapweedwood/engines.model-engine/promptTextOf";
 
-const SHORTEST_ANSWER_TOKENS = 8;
-const ANSWER_RANGE_TOKENS = 56;
+const MIN_COMPLETION_TOKENS = 8;
+const COMPLETION_RANGE_TOKENS = 56;
 const LENGTH_SALT = 77;
 
 /** How many tokens the stand-in engine answers with: the limit that the request names, or else a function of the prompt. */
@@ -12,6 +12,6 @@
     if (typeof limit === "number") {
         return { tokenCount: limit, finishReason: "length" };
     }
-    const tokenCount = SHORTEST_ANSWER_TOKENS + textHash(promptTextOf(body), LENGTH_SALT) % ANSWER_RANGE_TOKENS;
+    const tokenCount = MIN_COMPLETION_TOKENS + textHash(promptTextOf(body), LENGTH_SALT) % COMPLETION_RANGE_TOKENS;
     return { tokenCount, finishReason: "stop" };
 }
--- a/standins/http/src/httpStandin.ts
+++ b/standins/http/src/httpStandin.ts
@@ -7,12 +7,12 @@
 export class HttpStandin {
     private readonly server: Server;
     private readonly handler: HttpHandler;
-    private readonly open = new Set<Socket>();
-    private readonly silent = new WeakSet<Socket>();
+    private readonly openSockets = new Set<Socket>();
+    private readonly silentSockets = new WeakSet<Socket>();
 
     constructor(opts: { handler: HttpHandler; }) {
         this.handler = opts.handler;
-        this.server = createServer((request, response) => this.accept(request, response));
+        this.server = createServer((request, response) => this.handleRequest(request, response));
         this.server.keepAliveTimeout = 0;
         this.server.on("connection", socket => this.track(socket));
     }
@@ -37,24 +37,24 @@
 
     /** From now on the connections that are open neither take requests nor give answers; new ones work. */
     silenceOpenConnections(): void {
-        this.open.forEach(socket => this.silence(socket));
+        this.openSockets.forEach(socket => this.silence(socket));
     }
 
     private track(socket: Socket): void {
-        this.open.add(socket);
+        this.openSockets.add(socket);
         socket.on("error", () => undefined);
         socket.once("end", () => socket.destroy());
-        socket.once("close", () => this.open.delete(socket));
+        socket.once("close", () => this.openSockets.delete(socket));
     }
 
     private silence(socket: Socket): void {
-        this.silent.add(socket);
+        this.silentSockets.add(socket);
         socket.write = () => true;
         socket.end = () => socket;
     }
 
-    private accept(request: IncomingMessage, response: ServerResponse): void {
-        if (this.silent.has(request.socket)) {
+    private handleRequest(request: IncomingMessage, response: ServerResponse): void {
+        if (this.silentSockets.has(request.socket)) {
             return;
         }
         const url = new URL(request.url ?? "/", "http://standin");
--- a/standins/service/src/serviceServer.ts
+++ b/standins/service/src/serviceServer.ts
@@ -7,9 +7,9 @@
 import { createHash } from "node:crypto";
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { pipeline } from "node:stream/promises";
-import type { ServiceFaultOrder } from "./serviceFaultUpdate.js";
-import { ServiceFaults } from "./serviceFaults.js";
 import type { ServiceRecord } from "./serviceCallRecord.js";
+import { ServiceFaults } from "./serviceFaults.js";
+import type { ServiceFaultOrder } from "./serviceFaultUpdate.js";
 
 const ERROR_STATUS = 500;
 const UNAVAILABLE_STATUS = 503;
