--- a/api/operators/test/usageMeter.test.ts
+++ b/api/operators/test/usageMeter.test.ts
@@ -23,7 +23,7 @@
     await clock.advance(40_000);
     keyValue.faults.outage = false;
     first.record({ teamId: cellar, items: 2 });
-    keyValue.faults.loseNextAnswers(1);
+    keyValue.faults.loseNextResponses(1);
     await clock.advance(40_000);
     await first.stop();
     const second = create("entry-1.2");
--- a/config/distribution/test/configurationFuzz.test.ts
+++ b/config/distribution/test/configurationFuzz.test.ts
@@ -163,7 +163,7 @@
                 return recordOutcome("", undefined, fleet.createPublisher().rollback({ revision, actor: "bob" }));
             }
             case "lose-answers":
-                return fleet.keyValue.faults.loseNextAnswers(step.count);
+                return fleet.keyValue.faults.loseNextResponses(step.count);
             case "outage":
                 fleet.keyValue.faults.outage = step.value;
                 return;
@@ -202,7 +202,7 @@
 function clearFaults(fleet: FakeFleet): void {
     fleet.keyValue.faults.outage = false;
     fleet.keyValue.faults.delayMs = 0;
-    fleet.keyValue.faults.loseNextAnswers(0);
+    fleet.keyValue.faults.loseNextResponses(0);
     Object.assign(fleet.network, { lossRate: 0, duplicationRate: 0, maxDelayMs: 5 });
     NAMES.forEach(each => fleet.network.setCut(`${each}:1`, false));
     NAMES.filter(each => !fleet.processes.has(each as InstanceId))
--- a/config/publishing/test/configurationPublisher.test.ts
+++ b/config/publishing/test/configurationPublisher.test.ts
@@ -77,7 +77,7 @@
 test("after a lost response, the changes are published once and reported as published", async () => {
     const { keyValue, publisher } = setUp();
     await publisher.publish({ actor: "ann", changes: [team("cellar")] });
-    keyValue.faults.loseNextAnswers(1);
+    keyValue.faults.loseNextResponses(1);
     const result = await publisher.publish({ actor: "ann", changes: [team("desk")] });
     assert.deepEqual([result.revision, result.published], [2, true]);
     assert.equal((await publisher.history()).length, 2);
@@ -86,7 +86,7 @@
 test("a publish with a lost response is recognized as published after another publish", async () => {
     const { keyValue, publisher } = setUp();
     await publisher.publish({ actor: "ann", changes: [team("cellar")] });
-    keyValue.faults.loseNextAnswers(1);
+    keyValue.faults.loseNextResponses(1);
     const slow = publisher.publish({ actor: "ann", changes: [team("desk")] });
     const other = await createPublisher(keyValue).publish({ actor: "bob", changes: [team("portal")] });
     assert.deepEqual([(await slow).revision as number, other.revision as number].sort(), [2, 3]);
--- a/fleet/jobs/test/jobAcceptor.test.ts
+++ b/fleet/jobs/test/jobAcceptor.test.ts
@@ -59,7 +59,7 @@
 
 test("after a lost response, the outcome is determined and the job is accepted once", async () => {
     const { service, acceptor, settle } = setUp();
-    service.faults.loseNextAnswers(1);
+    service.faults.loseNextResponses(1);
     assert.equal((await settle(acceptor().accept(route, submissionOf("j")))).kind, "accepted");
 });
 
--- a/fuzz/promises/src/fleet.ts
+++ b/fuzz/promises/src/fleet.ts
@@ -87,7 +87,7 @@
     /** Ends all faults. */
     heal(): void {
         this.platform.keyValue.faults.outage = false;
-        this.platform.keyValue.faults.loseNextAnswers(0);
+        this.platform.keyValue.faults.loseNextResponses(0);
         this.platform.keyValue.faults.delayMs = 0;
         this.platform.network.heal();
         this.dataFolders.forEach(folder => folder.isFull = false);
--- a/fuzz/promises/src/fuzzWorld.ts
+++ b/fuzz/promises/src/fuzzWorld.ts
@@ -91,7 +91,7 @@
                 return this.endLater(step.durationMs, () => keyValue.faults.delayMs = 0);
             case "lose-write-answers":
                 this.noteFault(0);
-                return keyValue.faults.loseNextAnswers(step.count);
+                return keyValue.faults.loseNextResponses(step.count);
             case "lose-call-answers":
                 this.noteFault(0);
                 return network.loseNextAnswers(step.count);
@@ -170,7 +170,7 @@
     /** Ends the leases of all owners at once. They learn it later. */
     private lapseLeases(): void {
         const { keyValue } = this.fleet.platform;
-        this.fleet.leaseIds().forEach(leaseId => keyValue.faults.lapseLease(leaseId));
+        this.fleet.leaseIds().forEach(leaseId => keyValue.faults.expireLease(leaseId));
     }
 
     /** Only one folder is torn in a case: two copies bear the loss of one. */
--- a/standins/key-value/src/changeHistory.ts
+++ b/standins/key-value/src/changeHistory.ts
@@ -7,7 +7,7 @@
 export class ChangeHistory {
     private batches: WatchBatch[] = [];
     private sizeBytes = 0;
-    private droppedRevision = 0;
+    private lastDroppedRevision = 0;
 
     push(batch: WatchBatch): void {
         this.batches.push(batch);
@@ -18,8 +18,8 @@
     }
 
     /** Whether all changes after `revision` are still here. */
-    reachesBackTo(revision: number): boolean {
-        return revision >= this.droppedRevision;
+    isCompleteAfter(revision: number): boolean {
+        return revision >= this.lastDroppedRevision;
     }
 
     /** Changes after `revision`, in order, shape [batches]. */
@@ -28,15 +28,15 @@
     }
 
     /** Drops all changes up to now. */
-    forget(): void {
-        this.droppedRevision = this.batches.at(-1)?.revision ?? this.droppedRevision;
+    clear(): void {
+        this.lastDroppedRevision = this.batches.at(-1)?.revision ?? this.lastDroppedRevision;
         this.batches = [];
         this.sizeBytes = 0;
     }
 
     private dropOlderHalf(): void {
         const dropped = this.batches.splice(0, Math.ceil(this.batches.length / 2));
-        this.droppedRevision = dropped.at(-1)?.revision ?? this.droppedRevision;
+        this.lastDroppedRevision = dropped.at(-1)?.revision ?? this.lastDroppedRevision;
         this.sizeBytes -= dropped.reduce((total, batch) => total + sizeOf(batch), 0);
     }
 }
--- a/standins/key-value/src/keyValueFaultUpdate.ts
+++ b/standins/key-value/src/keyValueFaultUpdate.ts
@@ -1,5 +1,5 @@
 /** Body of `POST /faults`: what is left out stays as it is. */
-export interface KeyValueFaultOrder {
+export interface KeyValueFaultUpdate {
     outage?: boolean;
     delayMs?: number;
     answerDelayMs?: number;
--- a/standins/key-value/src/keyValueFaults.ts
+++ b/standins/key-value/src/keyValueFaults.ts
@@ -3,50 +3,50 @@
     /** Delay of each call before it takes effect. */
     delayMs = 0;
     /** Delay of each answer after the call took effect. */
-    answerDelayMs = 0;
+    responseDelayMs = 0;
     private readonly onOutage: () => void;
-    private readonly onLapse: (leaseId: string) => void;
-    private isOut = false;
-    private answersToLose = 0;
+    private readonly onExpireLease: (leaseId: string) => void;
+    private hasOutage = false;
+    private responsesToLose = 0;
 
     /**
      * @param opts.onOutage called when an outage begins
      * @param opts.onLapse called to end a lease early
      */
-    constructor(opts: { onOutage: () => void; onLapse: (leaseId: string) => void; }) {
+    constructor(opts: { onOutage: () => void; onExpireLease: (leaseId: string) => void; }) {
         this.onOutage = opts.onOutage;
-        this.onLapse = opts.onLapse;
+        this.onExpireLease = opts.onExpireLease;
     }
 
     get outage(): boolean {
-        return this.isOut;
+        return this.hasOutage;
     }
 
     /** While true, calls are refused. Watches are lost when it begins. */
     set outage(value: boolean) {
-        const begins = value && !this.isOut;
-        this.isOut = value;
+        const begins = value && !this.hasOutage;
+        this.hasOutage = value;
         if (begins) {
             this.onOutage();
         }
     }
 
     /** The next `count` writes take effect, but their answers are lost. */
-    loseNextAnswers(count: number): void {
-        this.answersToLose = count;
+    loseNextResponses(count: number): void {
+        this.responsesToLose = count;
     }
 
     /** Whether the answer of the write that has just taken effect is lost. */
-    takeLostAnswer(): boolean {
-        if (this.answersToLose === 0) {
+    consumeLostResponse(): boolean {
+        if (this.responsesToLose === 0) {
             return false;
         }
-        this.answersToLose -= 1;
+        this.responsesToLose -= 1;
         return true;
     }
 
     /** Ends a lease now, as if its holder had been paused for too long. */
-    lapseLease(leaseId: string): void {
-        this.onLapse(leaseId);
+    expireLease(leaseId: string): void {
+        this.onExpireLease(leaseId);
     }
 }
--- a/standins/key-value/src/keyValueServer.ts
+++ b/standins/key-value/src/keyValueServer.ts
@@ -3,10 +3,10 @@
 import { readJson } from "@knapweedwood/standins.http/readJson";
 import { sendJson } from "@knapweedwood/standins.http/sendJson";
 import type { IncomingMessage, ServerResponse } from "node:http";
-import { etcdRefusal } from "./etcdErrorResponse.js";
+import { etcdErrorResponse } from "./etcdErrorResponse.js";
 import { EtcdGateway } from "./etcdGateway.js";
-import { isAnswerLost } from "./isResponseLost.js";
-import type { KeyValueFaultOrder } from "./keyValueFaultUpdate.js";
+import { isResponseLost } from "./isResponseLost.js";
+import type { KeyValueFaultUpdate } from "./keyValueFaultUpdate.js";
 import { MemoryKeyValueService } from "./memoryKeyValueService.js";
 import { streamWatch } from "./streamWatch.js";
 
@@ -37,18 +37,18 @@
         await this.http.close();
     }
 
-    applyFaults(order: KeyValueFaultOrder): void {
+    applyFaults(update: KeyValueFaultUpdate): void {
         const faults = this.service.faults;
-        faults.outage = order.outage ?? faults.outage;
-        faults.delayMs = order.delayMs ?? faults.delayMs;
-        faults.answerDelayMs = order.answerDelayMs ?? faults.answerDelayMs;
-        if (order.loseAnswers !== undefined) {
-            faults.loseNextAnswers(order.loseAnswers);
+        faults.outage = update.outage ?? faults.outage;
+        faults.delayMs = update.delayMs ?? faults.delayMs;
+        faults.responseDelayMs = update.answerDelayMs ?? faults.responseDelayMs;
+        if (update.loseAnswers !== undefined) {
+            faults.loseNextResponses(update.loseAnswers);
         }
-        if (order.lapseLease !== undefined) {
-            faults.lapseLease(order.lapseLease);
+        if (update.lapseLease !== undefined) {
+            faults.expireLease(update.lapseLease);
         }
-        if (order.silentConnections === true) {
+        if (update.silentConnections === true) {
             this.http.silenceOpenConnections();
         }
     }
@@ -59,7 +59,7 @@
             return;
         }
         if (url.pathname === "/faults") {
-            this.applyFaults(await readJson<KeyValueFaultOrder>(request));
+            this.applyFaults(await readJson<KeyValueFaultUpdate>(request));
             sendJson(response, 200, {});
             return;
         }
@@ -67,10 +67,10 @@
             await streamWatch({ service: this.service, body: await readJson(request), response });
             return;
         }
-        await this.answer(request, response, url.pathname);
+        await this.handleCall(request, response, url.pathname);
     }
 
-    private async answer(request: IncomingMessage, response: ServerResponse, path: string): Promise<void> {
+    private async handleCall(request: IncomingMessage, response: ServerResponse, path: string): Promise<void> {
         const call = this.gateway.callOf(path);
         if (call === undefined) {
             sendJson(response, NOT_FOUND_STATUS, { code: 5, message: "Not Found" });
@@ -80,12 +80,12 @@
             sendJson(response, 200, await call(await readJson(request)));
         }
         catch (error) {
-            if (isAnswerLost(error)) {
+            if (isResponseLost(error)) {
                 request.socket.destroy();
                 return;
             }
-            const refusal = etcdRefusal(error);
-            sendJson(response, refusal.statusCode, refusal.error);
+            const errorResponse = etcdErrorResponse(error);
+            sendJson(response, errorResponse.statusCode, errorResponse.error);
         }
     }
 }
--- a/standins/key-value/src/keyValueStore.ts
+++ b/standins/key-value/src/keyValueStore.ts
@@ -19,7 +19,7 @@
 
     /** @param opts.onChange called after each change, with all keys that changed together */
     constructor(opts: { clock: Clock; onChange: (batch: WatchBatch) => void; }) {
-        this.leases = new LeaseTable({ clock: opts.clock, onLapse: keys => this.deleteKeys(keys) });
+        this.leases = new LeaseTable({ clock: opts.clock, onEnd: keys => this.deleteKeys(keys) });
         this.onChange = opts.onChange;
     }
 
@@ -39,8 +39,8 @@
 
     transact(compares: KeyValueCompare[], operations: KeyValueOperation[]): TransactionResult {
         this.check(operations);
-        const holds = compares.every(compare => this.modRevisionOf(compare.key) === compare.modRevision);
-        if (!holds) {
+        const isMatch = compares.every(compare => this.modRevisionOf(compare.key) === compare.modRevision);
+        if (!isMatch) {
             const current = compares.flatMap(compare => this.entries.get(compare.key) ?? []);
             return { succeeded: false, revision: this.currentRevision, current };
         }
--- a/standins/key-value/src/keyValueWatcher.ts
+++ b/standins/key-value/src/keyValueWatcher.ts
@@ -7,7 +7,7 @@
     private queue: WatchBatch[] = [];
     private failure: KnapweedError | undefined;
     private ended = false;
-    private wake: () => void = () => undefined;
+    private notifyReader: () => void = () => undefined;
 
     constructor(prefix: string) {
         this.prefix = prefix;
@@ -19,20 +19,20 @@
         const deletedKeys = batch.deletedKeys.filter(key => key.startsWith(this.prefix));
         if (puts.length + deletedKeys.length > 0) {
             this.queue.push({ revision: batch.revision, puts, deletedKeys });
-            this.wake();
+            this.notifyReader();
         }
     }
 
     /** Makes the reader throw `error`. */
     fail(error: KnapweedError): void {
         this.failure = error;
-        this.wake();
+        this.notifyReader();
     }
 
     /** Ends the reader without an error. */
     end(): void {
         this.ended = true;
-        this.wake();
+        this.notifyReader();
     }
 
     async *batches(): AsyncIterable<WatchBatch> {
@@ -43,14 +43,14 @@
             const ready = this.queue;
             this.queue = [];
             yield* ready;
-            await this.nextWake();
+            await this.waitForChange();
         }
     }
 
-    private async nextWake(): Promise<void> {
+    private async waitForChange(): Promise<void> {
         if (this.queue.length === 0 && this.failure === undefined && !this.ended) {
             await new Promise<void>(resolve => {
-                this.wake = resolve;
+                this.notifyReader = resolve;
             });
         }
     }
--- a/standins/key-value/src/leaseTable.ts
+++ b/standins/key-value/src/leaseTable.ts
@@ -11,19 +11,19 @@
 /** Leases that lapse by a clock. */
 export class LeaseTable {
     private readonly clock: Clock;
-    private readonly onLapse: (keys: string[]) => void;
+    private readonly onEnd: (keys: string[]) => void;
     private readonly leases = new Map<string, Lease>();
-    private granted = 0;
+    private grantedCount = 0;
 
     /** @param opts.onLapse called with the keys attached to a lease that has ended, shape [keys] */
-    constructor(opts: { clock: Clock; onLapse: (keys: string[]) => void; }) {
+    constructor(opts: { clock: Clock; onEnd: (keys: string[]) => void; }) {
         this.clock = opts.clock;
-        this.onLapse = opts.onLapse;
+        this.onEnd = opts.onEnd;
     }
 
     grant(ttlMs: number): string {
-        this.granted += 1;
-        const leaseId = String(this.granted);
+        this.grantedCount += 1;
+        const leaseId = String(this.grantedCount);
         const lease: Lease = { ttlMs, expiresMs: this.clock.nowMs() + ttlMs, keys: new Set(), timer: undefined };
         this.leases.set(leaseId, lease);
         this.schedule(leaseId, lease);
@@ -60,7 +60,7 @@
         }
         lease.timer?.cancel();
         this.leases.delete(leaseId);
-        this.onLapse([...lease.keys]);
+        this.onEnd([...lease.keys]);
     }
 
     close(): void {
--- a/standins/key-value/src/memoryKeyValueService.ts
+++ b/standins/key-value/src/memoryKeyValueService.ts
@@ -20,8 +20,8 @@
 /** A key-value service in memory, with the faults of the real one. */
 export class MemoryKeyValueService implements SnapshotKeyValueService {
     readonly faults = new KeyValueFaults({
-        onOutage: () => this.loseWatches(),
-        onLapse: leaseId => this.store.endLease(leaseId),
+        onOutage: () => this.failWatches(),
+        onExpireLease: leaseId => this.store.endLease(leaseId),
     });
     /** Calls so far, refused ones included. */
     readonly counters: KeyValueCounters = { reads: 0, writes: 0, keepAlives: 0, watches: 0, activeWatches: 0 };
@@ -80,10 +80,10 @@
 
     async *watch(prefix: string, opts: { afterRevision: number; signal: AbortSignal; }): AsyncIterable<WatchBatch> {
         this.counters.watches += 1;
-        await this.begin();
+        await this.beginCall();
         const watcher = this.openWatcher(prefix, opts.afterRevision);
-        const end = () => watcher.end();
-        opts.signal.addEventListener("abort", end, { once: true });
+        const endWatcher = () => watcher.end();
+        opts.signal.addEventListener("abort", endWatcher, { once: true });
         if (opts.signal.aborted) {
             watcher.end();
         }
@@ -93,15 +93,15 @@
         }
         finally {
             this.counters.activeWatches -= 1;
-            opts.signal.removeEventListener("abort", end);
+            opts.signal.removeEventListener("abort", endWatcher);
             this.watchers.delete(watcher);
         }
     }
 
     /** Drops the history and cuts all watches. */
     compact(): void {
-        this.history.forget();
-        this.loseWatches();
+        this.history.clear();
+        this.failWatches();
     }
 
     /** Stops the timers of leases and of delays, and ends all watches. */
@@ -112,7 +112,7 @@
     }
 
     private openWatcher(prefix: string, afterRevision: number): KeyValueWatcher {
-        if (!this.history.reachesBackTo(afterRevision)) {
+        if (!this.history.isCompleteAfter(afterRevision)) {
             throw new KnapweedError(
                 "KEY_VALUE_COMPACTED",
                 `Changes after revision ${afterRevision} are no longer kept.`,
@@ -126,23 +126,23 @@
     }
 
     private async read<Value>(action: () => Value): Promise<Value> {
-        await this.begin();
+        await this.beginCall();
         const value = action();
-        await this.answer();
+        await this.delayResponse();
         return value;
     }
 
     private async write<Value>(action: () => Value): Promise<Value> {
-        await this.begin();
+        await this.beginCall();
         const value = action();
-        if (this.faults.takeLostAnswer()) {
+        if (this.faults.consumeLostResponse()) {
             throw answerLostError("The answer of the key-value service was lost.");
         }
-        await this.answer();
+        await this.delayResponse();
         return value;
     }
 
-    private async begin(): Promise<void> {
+    private async beginCall(): Promise<void> {
         if (this.faults.delayMs > 0) {
             await sleep(this.clock, this.faults.delayMs, this.closing.signal);
         }
@@ -151,9 +151,9 @@
         }
     }
 
-    private async answer(): Promise<void> {
-        if (this.faults.answerDelayMs > 0) {
-            await sleep(this.clock, this.faults.answerDelayMs, this.closing.signal);
+    private async delayResponse(): Promise<void> {
+        if (this.faults.responseDelayMs > 0) {
+            await sleep(this.clock, this.faults.responseDelayMs, this.closing.signal);
         }
     }
 
@@ -162,7 +162,7 @@
         this.watchers.forEach(watcher => watcher.push(batch));
     }
 
-    private loseWatches(): void {
+    private failWatches(): void {
         this.watchers.forEach(watcher => watcher.fail(unavailableError("The watch was lost.")));
     }
 }
--- a/standins/key-value/src/streamWatch.ts
+++ b/standins/key-value/src/streamWatch.ts
@@ -7,7 +7,7 @@
 import { unavailableError } from "@knapweedwood/core.key-value/unavailableError";
 import type { WatchBatch } from "@knapweedwood/core.key-value/watchBatch";
 import type { ServerResponse } from "node:http";
-import { etcdRefusal } from "./etcdErrorResponse.js";
+import { etcdErrorResponse } from "./etcdErrorResponse.js";
 import type { MemoryKeyValueService } from "./memoryKeyValueService.js";
 import { toKeyValue } from "./toKeyValue.js";
 
@@ -25,9 +25,9 @@
     const startRevision = Number(request.start_revision ?? 0);
     const afterRevision = startRevision > 0 ? startRevision - 1 : service.revision;
     if (service.faults.outage) {
-        const refusal = etcdRefusal(unavailableError("The key-value service is away."));
-        response.writeHead(refusal.statusCode, { "content-type": "application/json" });
-        response.end(JSON.stringify(refusal.error));
+        const errorResponse = etcdErrorResponse(unavailableError("The key-value service is away."));
+        response.writeHead(errorResponse.statusCode, { "content-type": "application/json" });
+        response.end(JSON.stringify(errorResponse.error));
         return;
     }
     const batches = service.watch(prefix, { afterRevision, signal: controller.signal });
--- a/standins/key-value/test/keyValueModel.test.ts
+++ b/standins/key-value/test/keyValueModel.test.ts
@@ -32,9 +32,9 @@
         return (this.leaseExpiryMs[lease] ?? 0) > this.nowMs;
     }
 
-    record(isPromised = true): void {
+    record(isOrderDefined = true): void {
         this.revision += 1;
-        this.history.push(isPromised ? textOf(this.entries) : undefined);
+        this.history.push(isOrderDefined ? textOf(this.entries) : undefined);
     }
 }
 
@@ -53,12 +53,12 @@
 class Transact implements Command {
     private readonly compare: { key: string; isRight: boolean; };
     private readonly changes: { key: string; text: string | undefined; lease: number | undefined; }[];
-    private readonly losesAnswer: boolean;
+    private readonly losesResponse: boolean;
 
-    constructor(compare: Transact["compare"], changes: Transact["changes"], losesAnswer: boolean) {
+    constructor(compare: Transact["compare"], changes: Transact["changes"], losesResponse: boolean) {
         this.compare = compare;
         this.changes = changes;
-        this.losesAnswer = losesAnswer;
+        this.losesResponse = losesResponse;
     }
 
     check(): boolean {
@@ -87,19 +87,19 @@
                     leaseId: change.lease === undefined ? undefined : system.leaseIds[change.lease],
                 }
         );
-        system.service.faults.loseNextAnswers(this.losesAnswer ? 1 : 0);
+        system.service.faults.loseNextResponses(this.losesResponse ? 1 : 0);
         const call = system.service.transact(compares, operations);
-        const usesLapsedLease = changes.some(change =>
+        const usesExpiredLease = changes.some(change =>
             change.text !== undefined && change.lease !== undefined && !model.isLive(change.lease)
         );
-        if (usesLapsedLease) {
+        if (usesExpiredLease) {
             await assert.rejects(call, { code: "ERR_KNAPWEED_KEY_VALUE_LEASE_NOT_FOUND" });
             return;
         }
         if (this.compare.isRight) {
             applyTo(model, changes);
         }
-        if (this.losesAnswer) {
+        if (this.losesResponse) {
             await assert.rejects(call, { code: "ERR_KNAPWEED_KEY_VALUE_ANSWER_LOST" });
             return;
         }
@@ -109,7 +109,7 @@
     }
 
     toString(): string {
-        return `transact(${JSON.stringify([this.compare, this.changes, this.losesAnswer])})`;
+        return `transact(${JSON.stringify([this.compare, this.changes, this.losesResponse])})`;
     }
 }
 
@@ -133,7 +133,7 @@
     }
 
     async run(model: Model, system: System): Promise<void> {
-        system.service.faults.loseNextAnswers(0);
+        system.service.faults.loseNextResponses(0);
         system.leaseIds.push(await system.service.grantLease(TTL_MS));
         model.leaseExpiryMs.push(model.nowMs + TTL_MS);
     }
@@ -182,15 +182,15 @@
     async run(model: Model, system: System): Promise<void> {
         await system.clock.advance(this.durationMs);
         const endMs = model.nowMs + this.durationMs;
-        const lapsing = model.leaseExpiryMs
+        const expiring = model.leaseExpiryMs
             .map((expiryMs, lease) => ({ expiryMs, lease }))
             .filter(candidate => candidate.expiryMs > model.nowMs && candidate.expiryMs <= endMs)
             .sort((left, right) => left.expiryMs - right.expiryMs || left.lease - right.lease);
         model.nowMs = endMs;
-        const heldBy = (lease: number) => [...model.entries].filter(([, entry]) => entry.lease === lease);
-        const effective = lapsing.filter(({ lease }) => heldBy(lease).length > 0);
+        const entriesOf = (lease: number) => [...model.entries].filter(([, entry]) => entry.lease === lease);
+        const effective = expiring.filter(({ lease }) => entriesOf(lease).length > 0);
         effective.forEach(({ lease, expiryMs }, index) => {
-            heldBy(lease).forEach(([key]) => model.entries.delete(key));
+            entriesOf(lease).forEach(([key]) => model.entries.delete(key));
             model.record(effective[index + 1]?.expiryMs !== expiryMs);
         });
     }
--- a/standins/key-value/test/memoryKeyValueService.test.ts
+++ b/standins/key-value/test/memoryKeyValueService.test.ts
@@ -59,7 +59,7 @@
     const leaseId = await service.grantLease(1000);
     await service.transact([], [put("a", "x", leaseId)]);
     await service.transact([], [put("a", "y")]);
-    service.faults.lapseLease(leaseId);
+    service.faults.expireLease(leaseId);
     assert.equal(await textOf(service, "a"), "y");
 });
 
@@ -93,7 +93,7 @@
 
 test("a write whose answer is lost has taken effect; one refused in an outage has not", async () => {
     const service = new MemoryKeyValueService({ clock: new ManualClock() });
-    service.faults.loseNextAnswers(1);
+    service.faults.loseNextResponses(1);
     await assert.rejects(service.transact([], [put("a", "1")]), {
         code: "ERR_KNAPWEED_KEY_VALUE_ANSWER_LOST",
         outcome: "unknown",
--- a/standins/key-value/test/settleTransaction.test.ts
+++ b/standins/key-value/test/settleTransaction.test.ts
@@ -28,7 +28,7 @@
 test("a lost answer of a write that took effect settles as succeeded, written once", async () => {
     const clock = new ManualClock();
     const service = new MemoryKeyValueService({ clock });
-    service.faults.loseNextAnswers(2);
+    service.faults.loseNextResponses(2);
     const settled = await settle({ service, clock });
     assert.deepEqual(settled, { kind: "succeeded", revision: service.revision });
     assert.equal(service.revision, 2);
@@ -46,7 +46,7 @@
 test("a write that may have been replaced after its answer was lost stays unknown", async () => {
     const clock = new ManualClock();
     const service = new MemoryKeyValueService({ clock });
-    service.faults.loseNextAnswers(1);
+    service.faults.loseNextResponses(1);
     const settled = settleTransaction({
         service,
         clock,
@@ -66,7 +66,7 @@
     service.faults.outage = true;
     await assert.rejects(settle({ service, clock }), { outcome: "not-run" });
     service.faults.outage = false;
-    service.faults.loseNextAnswers(1);
+    service.faults.loseNextResponses(1);
     clock.setTimer(1, () => {
         service.faults.outage = true;
     });
