--- a/daemons/embedded/test/plainService.test.ts
+++ b/daemons/embedded/test/plainService.test.ts
@@ -67,7 +67,8 @@
 });
 
 function countRuns(): number {
-    return demo.deployment.services.flatMap(service => service.record).filter(record => record.method !== "GET").length;
+    return demo.deployment.services.flatMap(service => service.callRecords).filter(record => record.method !== "GET")
+        .length;
 }
 
 const RECEIPT_COUNT = 20;
@@ -94,7 +95,7 @@
     }
     assert.deepEqual(batch.request_counts, { total: RECEIPT_COUNT, completed: RECEIPT_COUNT, failed: 0 });
     const digests = demo.deployment.services
-        .flatMap(service => service.record)
+        .flatMap(service => service.callRecords)
         .filter(record => record.path.endsWith("/batch-receipts"))
         .map(record => record.bodyDigest);
     assert.equal(digests.length, RECEIPT_COUNT);
--- a/fuzz/soak/src/faultInjector.ts
+++ b/fuzz/soak/src/faultInjector.ts
@@ -158,9 +158,9 @@
             return;
         }
         if (detail === "delay") {
-            relay.delay(LINK_DELAY_MS);
+            relay.setDelay(LINK_DELAY_MS);
             await pause(durationMs);
-            relay.delay(0);
+            relay.setDelay(0);
             return;
         }
         await this.cut(relay, detail === "one-way", { kind: "link-silent", atMs: 0, durationMs, target: 0.9 });
--- a/fuzz/soak/src/soakFleet.ts
+++ b/fuzz/soak/src/soakFleet.ts
@@ -116,7 +116,7 @@
         this.members.forEach(({ process, storeRelay }) => {
             process.signal("SIGCONT");
             storeRelay.silenceNew();
-            storeRelay.delay(0);
+            storeRelay.setDelay(0);
             if (!process.isRunning) {
                 process.start();
             }
@@ -124,7 +124,7 @@
         this.upstreams.forEach(upstream => {
             upstream.mood = "healthy";
             upstream.relay.silenceNew();
-            upstream.relay.delay(0);
+            upstream.relay.setDelay(0);
         });
     }
 
--- a/links/endpoint/test/linkFaults.test.ts
+++ b/links/endpoint/test/linkFaults.test.ts
@@ -112,7 +112,7 @@
 
 test("no frame is lost when the connection is cut repeatedly", async context => {
     const { counter, relay, link } = await createFixture(context);
-    relay.cutEach(3000);
+    relay.cutAfter(3000);
     relay.cut();
     const request = { count: 100, pauseMs: 1, paddingBytes: 300 };
     assertComplete(await collectFrames(link.call(countCall, request)), 100);
--- a/standins/engine/src/completionHandler.ts
+++ b/standins/engine/src/completionHandler.ts
@@ -26,7 +26,7 @@
     private readonly faults: EngineFaults;
     private readonly readyNames: () => string[];
     private readonly sequences = new Map<string, EngineSequence>();
-    private requestCount = 0;
+    private requestNumber = 0;
 
     constructor(opts: {
         clock: Clock;
@@ -58,8 +58,8 @@
         if (this.failIfFaulty(marker, body, response)) {
             return;
         }
-        this.requestCount += 1;
-        const id = String(request.headers["x-request-id"] ?? `request-${this.requestCount}`);
+        this.requestNumber += 1;
+        const id = String(request.headers["x-request-id"] ?? `request-${this.requestNumber}`);
         const generateRequest = { endpoint, body, resumeFrom: body.knapweed_resume as ResumePoint | undefined };
         this.run({ generateRequest, response, marker, id });
     }
--- a/standins/instance-list/src/instanceListFaultUpdate.ts
+++ b/standins/instance-list/src/instanceListFaultUpdate.ts
@@ -1,5 +1,5 @@
 /** Body of `POST /faults`: what is left out stays as it is. */
-export interface InstanceListFaultOrder {
+export interface InstanceListFaultUpdate {
     outage?: boolean;
     lagMs?: number;
     ttlMs?: number;
--- a/standins/instance-list/src/instanceListServer.ts
+++ b/standins/instance-list/src/instanceListServer.ts
@@ -5,7 +5,7 @@
 import { readJson } from "@knapweedwood/standins.http/readJson";
 import { sendJson } from "@knapweedwood/standins.http/sendJson";
 import type { IncomingMessage, ServerResponse } from "node:http";
-import type { InstanceListFaultOrder } from "./instanceListFaultUpdate.js";
+import type { InstanceListFaultUpdate } from "./instanceListFaultUpdate.js";
 import { MemoryInstanceList } from "./memoryInstanceList.js";
 
 const PATH = "/v1/instances";
@@ -17,7 +17,7 @@
     readonly list: MemoryInstanceList;
     private readonly counters = { reads: 0, writes: 0 };
     private readonly http: HttpStandin;
-    private isOut = false;
+    private isUnavailable = false;
 
     constructor(opts: { clock: Clock; lagMs?: number; ttlMs?: number; }) {
         this.list = new MemoryInstanceList(opts);
@@ -33,11 +33,11 @@
         return this.http.close();
     }
 
-    applyFaults(order: InstanceListFaultOrder): void {
-        this.isOut = order.outage ?? this.isOut;
-        this.list.lagMs = order.lagMs ?? this.list.lagMs;
-        this.list.ttlMs = order.ttlMs ?? this.list.ttlMs;
-        if (order.silentConnections === true) {
+    applyFaults(update: InstanceListFaultUpdate): void {
+        this.isUnavailable = update.outage ?? this.isUnavailable;
+        this.list.lagMs = update.lagMs ?? this.list.lagMs;
+        this.list.ttlMs = update.ttlMs ?? this.list.ttlMs;
+        if (update.silentConnections === true) {
             this.http.silenceOpenConnections();
         }
     }
@@ -48,11 +48,11 @@
             return;
         }
         if (url.pathname === "/faults") {
-            this.applyFaults(await readJson<InstanceListFaultOrder>(request));
+            this.applyFaults(await readJson<InstanceListFaultUpdate>(request));
             sendJson(response, 200, {});
             return;
         }
-        if (this.isOut) {
+        if (this.isUnavailable) {
             sendJson(response, UNAVAILABLE_STATUS, { error: "The instance list is away." });
             return;
         }
@@ -61,10 +61,10 @@
             sendJson(response, 200, { instances: await this.list.list() });
             return;
         }
-        await this.change(request, response, url);
+        await this.handleChange(request, response, url);
     }
 
-    private async change(request: IncomingMessage, response: ServerResponse, url: URL): Promise<void> {
+    private async handleChange(request: IncomingMessage, response: ServerResponse, url: URL): Promise<void> {
         const instanceId = decodeURIComponent(url.pathname.slice(PATH.length + 1)) as InstanceId;
         const isChange = request.method === "PUT" || request.method === "DELETE";
         if (!isChange || !url.pathname.startsWith(`${PATH}/`) || instanceId === "") {
--- a/standins/instance-list/src/memoryInstanceList.ts
+++ b/standins/instance-list/src/memoryInstanceList.ts
@@ -6,7 +6,7 @@
 const DEFAULT_LAG_MS = 1000;
 const DEFAULT_TTL_MS = 10_000;
 
-interface InstanceChange {
+interface RecordChange {
     atMs: number;
     /** Undefined where the instance was withdrawn. */
     record: InstanceRecord | undefined;
@@ -19,7 +19,7 @@
     /** Instances that were not announced for this long are no longer listed. */
     ttlMs: number;
     private readonly clock: Clock;
-    private readonly changes = new Map<InstanceId, InstanceChange[]>();
+    private readonly changes = new Map<InstanceId, RecordChange[]>();
 
     constructor(opts: { clock: Clock; lagMs?: number; ttlMs?: number; }) {
         this.clock = opts.clock;
@@ -28,39 +28,39 @@
     }
 
     list(): Promise<InstanceRecord[]> {
-        const shownMs = this.clock.nowMs() - this.lagMs;
-        this.forgetBefore(shownMs);
-        const records = [...this.changes.values()].flatMap(changes => this.recordAt(changes, shownMs) ?? []);
+        const visibleAtMs = this.clock.nowMs() - this.lagMs;
+        this.pruneChanges(visibleAtMs);
+        const records = [...this.changes.values()].flatMap(changes => this.recordAt(changes, visibleAtMs) ?? []);
         return Promise.resolve(records);
     }
 
     announce(record: InstanceRecord): Promise<void> {
-        this.add(record.instanceId, { ...record });
+        this.addChange(record.instanceId, { ...record });
         return Promise.resolve();
     }
 
     withdraw(instanceId: InstanceId): Promise<void> {
-        this.add(instanceId, undefined);
+        this.addChange(instanceId, undefined);
         return Promise.resolve();
     }
 
-    private add(instanceId: InstanceId, record: InstanceRecord | undefined): void {
+    private addChange(instanceId: InstanceId, record: InstanceRecord | undefined): void {
         const changes = this.changes.get(instanceId) ?? [];
         this.changes.set(instanceId, [...changes, { atMs: this.clock.nowMs(), record }]);
     }
 
-    private recordAt(changes: InstanceChange[], shownMs: number): InstanceRecord | undefined {
-        const shown = changes.findLast(change => change.atMs <= shownMs);
-        return shown !== undefined && shownMs - shown.atMs < this.ttlMs ? shown.record : undefined;
+    private recordAt(changes: RecordChange[], visibleAtMs: number): InstanceRecord | undefined {
+        const visible = changes.findLast(change => change.atMs <= visibleAtMs);
+        return visible !== undefined && visibleAtMs - visible.atMs < this.ttlMs ? visible.record : undefined;
     }
 
     /** Drops changes that later ones have replaced in what is shown. */
-    private forgetBefore(shownMs: number): void {
+    private pruneChanges(visibleAtMs: number): void {
         this.changes.forEach((changes, instanceId) => {
-            const shownIndex = changes.findLastIndex(change => change.atMs <= shownMs);
-            const kept = shownIndex > 0 ? changes.slice(shownIndex) : changes;
-            const isGone = kept.every(change => shownMs - change.atMs >= this.ttlMs);
-            if (isGone) {
+            const visibleIndex = changes.findLastIndex(change => change.atMs <= visibleAtMs);
+            const kept = visibleIndex > 0 ? changes.slice(visibleIndex) : changes;
+            const isExpired = kept.every(change => visibleAtMs - change.atMs >= this.ttlMs);
+            if (isExpired) {
                 this.changes.delete(instanceId);
             }
             else {
--- a/standins/network/src/tcpRelay.ts
+++ b/standins/network/src/tcpRelay.ts
@@ -2,16 +2,16 @@
 import type { NetworkDirection } from "./networkDirection.js";
 
 /** One direction of a connection. */
-interface Flow {
+interface DirectionQueue {
     /** When what was carried last arrives. */
     dueAtMs: number;
     /** What is on its way, in order. */
-    queue: (() => void)[];
+    deliveries: (() => void)[];
 }
 
 interface RelayedConnection {
-    near: Socket;
-    far: Socket;
+    client: Socket;
+    target: Socket;
     silent: Set<NetworkDirection>;
 }
 
@@ -19,14 +19,14 @@
 export class TcpRelay {
     private readonly target: { host: string; port: number; };
     private readonly server: Server;
-    private readonly pairs: RelayedConnection[] = [];
+    private readonly connections: RelayedConnection[] = [];
     private cutAfterBytes = Number.POSITIVE_INFINITY;
-    private silentFromStart: NetworkDirection[] = [];
+    private newSilentDirections: NetworkDirection[] = [];
     private delayMs = 0;
 
     constructor(target: { host: string; port: number; }) {
         this.target = target;
-        this.server = createServer({ noDelay: true }, near => this.onConnection(near));
+        this.server = createServer({ noDelay: true }, client => this.onConnection(client));
     }
 
     /** @returns the address of the relay, as `host:port` */
@@ -37,33 +37,33 @@
 
     /** From now on new connections go silent at once, too. */
     silenceNew(...directions: NetworkDirection[]): void {
-        this.silentFromStart = directions;
+        this.newSilentDirections = directions;
     }
 
     /** What is carried from now on arrives so much later. */
-    delay(delayMs: number): void {
+    setDelay(delayMs: number): void {
         this.delayMs = delayMs;
     }
 
     /** Connections accepted so far. */
     get connectionCount(): number {
-        return this.pairs.length;
+        return this.connections.length;
     }
 
     /** Lets the connections of now go silent for good: nothing passes any more, not even their end. */
     silence(...directions: NetworkDirection[]): void {
-        this.pairs.forEach(pair => directions.forEach(direction => pair.silent.add(direction)));
+        this.connections.forEach(connection => directions.forEach(direction => connection.silent.add(direction)));
     }
 
     cut(): void {
-        this.pairs.forEach(({ near, far }) => {
-            near.destroy();
-            far.destroy();
+        this.connections.forEach(({ client, target }) => {
+            client.destroy();
+            target.destroy();
         });
     }
 
     /** Cuts each connection once it has carried `bytes` bytes backward. */
-    cutEach(bytes: number): void {
+    cutAfter(bytes: number): void {
         this.cutAfterBytes = bytes;
     }
 
@@ -72,39 +72,42 @@
         this.server.close();
     }
 
-    private onConnection(near: Socket): void {
-        const far = connect({ ...this.target, noDelay: true });
-        const silent = new Set<NetworkDirection>(this.silentFromStart);
-        let carriedBytes = 0;
-        this.pairs.push({ near, far, silent });
-        const forward: Flow = { dueAtMs: 0, queue: [] };
-        const backward: Flow = { dueAtMs: 0, queue: [] };
-        near.on("data", data => silent.has("forward") || this.carry(forward, () => far.writable && far.write(data)));
-        far.on("data", data => {
-            carriedBytes += data.length;
-            if (carriedBytes > this.cutAfterBytes) {
-                near.destroy();
-                far.destroy();
+    private onConnection(client: Socket): void {
+        const target = connect({ ...this.target, noDelay: true });
+        const silent = new Set<NetworkDirection>(this.newSilentDirections);
+        let backwardBytes = 0;
+        this.connections.push({ client, target, silent });
+        const forward: DirectionQueue = { dueAtMs: 0, deliveries: [] };
+        const backward: DirectionQueue = { dueAtMs: 0, deliveries: [] };
+        client.on(
+            "data",
+            data => silent.has("forward") || this.deliver(forward, () => target.writable && target.write(data)),
+        );
+        target.on("data", data => {
+            backwardBytes += data.length;
+            if (backwardBytes > this.cutAfterBytes) {
+                client.destroy();
+                target.destroy();
             }
             else if (!silent.has("backward")) {
-                this.carry(backward, () => near.writable && near.write(data));
+                this.deliver(backward, () => client.writable && client.write(data));
             }
         });
-        near.on("close", () => silent.has("forward") || this.carry(forward, () => far.destroy()));
-        far.on("close", () => silent.has("backward") || this.carry(backward, () => near.destroy()));
-        near.on("error", () => undefined);
-        far.on("error", () => undefined);
+        client.on("close", () => silent.has("forward") || this.deliver(forward, () => target.destroy()));
+        target.on("close", () => silent.has("backward") || this.deliver(backward, () => client.destroy()));
+        client.on("error", () => undefined);
+        target.on("error", () => undefined);
     }
 
     /** Bytes and the end of a connection stay in order, also while the delay changes. */
-    private carry(flow: Flow, act: () => void): void {
+    private deliver(queue: DirectionQueue, delivery: () => void): void {
         const nowMs = Date.now();
-        flow.dueAtMs = Math.max(flow.dueAtMs, nowMs + this.delayMs);
-        if (flow.dueAtMs <= nowMs && flow.queue.length === 0) {
-            act();
+        queue.dueAtMs = Math.max(queue.dueAtMs, nowMs + this.delayMs);
+        if (queue.dueAtMs <= nowMs && queue.deliveries.length === 0) {
+            delivery();
             return;
         }
-        flow.queue.push(act);
-        setTimeout(() => flow.queue.shift()?.(), flow.dueAtMs - nowMs);
+        queue.deliveries.push(delivery);
+        setTimeout(() => queue.deliveries.shift()?.(), queue.dueAtMs - nowMs);
     }
 }
--- a/standins/service/src/serviceCallRecord.ts
+++ b/standins/service/src/serviceCallRecord.ts
@@ -1,5 +1,5 @@
 /** One call that the service ran. */
-export interface ServiceRecord {
+export interface ServiceCallRecord {
     /** Order of running, from 0. */
     sequenceNumber: number;
     method: string;
--- a/standins/service/src/serviceFaultUpdate.ts
+++ b/standins/service/src/serviceFaultUpdate.ts
@@ -1,5 +1,5 @@
 /** Body of `POST /__faults`: what is left out stays as it is. */
-export interface ServiceFaultOrder {
+export interface ServiceFaultUpdate {
     /** Delay before a call runs. */
     delayMs?: number;
     /** How many of the next calls run and are answered with status 500. */
--- a/standins/service/src/serviceFaults.ts
+++ b/standins/service/src/serviceFaults.ts
@@ -1,36 +1,36 @@
-import type { ServiceFaultOrder } from "./serviceFaultUpdate.js";
+import type { ServiceFaultUpdate } from "./serviceFaultUpdate.js";
 
 /** Faults that await the next calls. */
 export class ServiceFaults {
     delayMs = 0;
     dieAfterNextCall = false;
     private errors = 0;
-    private refusals = 0;
-    private lostAnswers = 0;
+    private rejections = 0;
+    private lostResponses = 0;
 
-    apply(order: ServiceFaultOrder): void {
-        this.delayMs = order.delayMs ?? this.delayMs;
-        this.dieAfterNextCall = order.dieAfterNextCall ?? this.dieAfterNextCall;
-        this.errors = order.errors ?? this.errors;
-        this.refusals = order.refusals ?? this.refusals;
-        this.lostAnswers = order.loseAnswers ?? this.lostAnswers;
+    apply(update: ServiceFaultUpdate): void {
+        this.delayMs = update.delayMs ?? this.delayMs;
+        this.dieAfterNextCall = update.dieAfterNextCall ?? this.dieAfterNextCall;
+        this.errors = update.errors ?? this.errors;
+        this.rejections = update.refusals ?? this.rejections;
+        this.lostResponses = update.loseAnswers ?? this.lostResponses;
     }
 
-    takeRefusal(): boolean {
-        const isTaken = this.refusals > 0;
-        this.refusals -= isTaken ? 1 : 0;
-        return isTaken;
+    consumeRejection(): boolean {
+        const isConsumed = this.rejections > 0;
+        this.rejections -= isConsumed ? 1 : 0;
+        return isConsumed;
     }
 
-    takeError(): boolean {
-        const isTaken = this.errors > 0;
-        this.errors -= isTaken ? 1 : 0;
-        return isTaken;
+    consumeError(): boolean {
+        const isConsumed = this.errors > 0;
+        this.errors -= isConsumed ? 1 : 0;
+        return isConsumed;
     }
 
-    takeLostAnswer(): boolean {
-        const isTaken = this.lostAnswers > 0;
-        this.lostAnswers -= isTaken ? 1 : 0;
-        return isTaken;
+    consumeLostResponse(): boolean {
+        const isConsumed = this.lostResponses > 0;
+        this.lostResponses -= isConsumed ? 1 : 0;
+        return isConsumed;
     }
 }
--- a/standins/service/src/serviceServer.ts
+++ b/standins/service/src/serviceServer.ts
@@ -7,9 +7,9 @@
 import { createHash } from "node:crypto";
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { pipeline } from "node:stream/promises";
-import type { ServiceRecord } from "./serviceCallRecord.js";
+import type { ServiceCallRecord } from "./serviceCallRecord.js";
 import { ServiceFaults } from "./serviceFaults.js";
-import type { ServiceFaultOrder } from "./serviceFaultUpdate.js";
+import type { ServiceFaultUpdate } from "./serviceFaultUpdate.js";
 
 const ERROR_STATUS = 500;
 const UNAVAILABLE_STATUS = 503;
@@ -24,17 +24,17 @@
  */
 export class ServiceServer {
     /** Calls that ran, shape [calls]. */
-    readonly record: ServiceRecord[] = [];
+    readonly callRecords: ServiceCallRecord[] = [];
     private readonly clock: Clock;
     private readonly faults = new ServiceFaults();
-    private readonly onDie: () => void;
+    private readonly onExit: () => void;
     private readonly http: HttpStandin;
     private readonly closing = new AbortController();
 
     /** @param opts.onDie what `dieAfterNextCall` does; by default the process exits */
-    constructor(opts: { clock: Clock; onDie?: () => void; }) {
+    constructor(opts: { clock: Clock; onExit?: () => void; }) {
         this.clock = opts.clock;
-        this.onDie = opts.onDie ?? (() => process.exit(1));
+        this.onExit = opts.onExit ?? (() => process.exit(1));
         this.http = new HttpStandin({ handler: (request, response, url) => this.handle(request, response, url) });
     }
 
@@ -48,27 +48,27 @@
         return this.http.close();
     }
 
-    applyFaults(order: ServiceFaultOrder): void {
-        this.faults.apply(order);
-        if (order.silentConnections === true) {
+    applyFaults(update: ServiceFaultUpdate): void {
+        this.faults.apply(update);
+        if (update.silentConnections === true) {
             this.http.silenceOpenConnections();
         }
     }
 
     private async handle(request: IncomingMessage, response: ServerResponse, url: URL): Promise<void> {
         if (url.pathname === "/__record") {
-            sendJson(response, 200, { calls: this.record });
+            sendJson(response, 200, { calls: this.callRecords });
             return;
         }
         if (url.pathname === "/__faults") {
-            this.applyFaults(await readJson<ServiceFaultOrder>(request));
+            this.applyFaults(await readJson<ServiceFaultUpdate>(request));
             sendJson(response, 200, {});
             return;
         }
         if (this.faults.delayMs > 0) {
             await sleep(this.clock, this.faults.delayMs, this.closing.signal);
         }
-        if (this.faults.takeRefusal()) {
+        if (this.faults.consumeRejection()) {
             sendJson(response, UNAVAILABLE_STATUS, { error: "The service is busy." });
             return;
         }
@@ -76,7 +76,7 @@
     }
 
     private async run(request: IncomingMessage, response: ServerResponse, url: URL): Promise<void> {
-        const record = this.begin(request, url);
+        const record = this.recordCall(request, url);
         response.once("finish", () => {
             record.isAnswered = true;
         });
@@ -87,16 +87,16 @@
         const body = await readBody(request);
         record.bodyDigest = createHash("sha256").update(body).digest("hex");
         record.bodySizeBytes = body.byteLength;
-        if (this.loseAnswer(request)) {
+        if (this.loseResponse(request)) {
             return;
         }
         const echo = { method: request.method, path: record.path, headers: request.headers, body: body.toString() };
         sendJson(response, this.statusOf(url), { ...echo, sequenceNumber: record.sequenceNumber });
     }
 
-    private begin(request: IncomingMessage, url: URL): ServiceRecord {
-        const record: ServiceRecord = {
-            sequenceNumber: this.record.length,
+    private recordCall(request: IncomingMessage, url: URL): ServiceCallRecord {
+        const record: ServiceCallRecord = {
+            sequenceNumber: this.callRecords.length,
             method: request.method ?? "GET",
             path: `${url.pathname}${url.search}`,
             idempotencyKey: headerOf(request, "idempotency-key"),
@@ -106,11 +106,15 @@
             startedMs: this.clock.nowMs(),
             isAnswered: false,
         };
-        this.record.push(record);
+        this.callRecords.push(record);
         return record;
     }
 
-    private async streamBack(request: IncomingMessage, response: ServerResponse, record: ServiceRecord): Promise<void> {
+    private async streamBack(
+        request: IncomingMessage,
+        response: ServerResponse,
+        record: ServiceCallRecord,
+    ): Promise<void> {
         const hash = createHash("sha256");
         response.writeHead(200, { "content-type": request.headers["content-type"] ?? "application/octet-stream" });
         response.flushHeaders();
@@ -122,12 +126,12 @@
         record.bodyDigest = hash.digest("hex");
     }
 
-    private loseAnswer(request: IncomingMessage): boolean {
+    private loseResponse(request: IncomingMessage): boolean {
         if (this.faults.dieAfterNextCall) {
-            this.onDie();
+            this.onExit();
             return true;
         }
-        if (this.faults.takeLostAnswer()) {
+        if (this.faults.consumeLostResponse()) {
             request.socket.destroy();
             return true;
         }
@@ -135,8 +139,8 @@
     }
 
     private statusOf(url: URL): number {
-        const asked = Number(/^\/status\/(\d{3})$/u.exec(url.pathname)?.[1] ?? 200);
-        return this.faults.takeError() ? ERROR_STATUS : asked;
+        const requestedStatus = Number(/^\/status\/(\d{3})$/u.exec(url.pathname)?.[1] ?? 200);
+        return this.faults.consumeError() ? ERROR_STATUS : requestedStatus;
     }
 }
 
--- a/standins/service/test/serviceServer.test.ts
+++ b/standins/service/test/serviceServer.test.ts
@@ -6,8 +6,8 @@
 import { ServiceServer } from "../src/serviceServer.js";
 
 let baseUrl = "";
-let deaths = 0;
-const server = new ServiceServer({ clock: new SystemClock(), onDie: () => deaths += 1 });
+let exits = 0;
+const server = new ServiceServer({ clock: new SystemClock(), onExit: () => exits += 1 });
 
 before(async () => {
     baseUrl = `http://127.0.0.1:${await server.listen({ host: "127.0.0.1", port: 0 })}`;
@@ -16,7 +16,7 @@
 after(() => server.close());
 
 function callsWith(marker: string) {
-    return server.record.filter(record => record.marker === marker);
+    return server.callRecords.filter(record => record.marker === marker);
 }
 
 test("a call is echoed and recorded", async () => {
@@ -27,7 +27,7 @@
     });
     const echo = await response.json() as { method: string; path: string; body: string; };
     assert.deepEqual([echo.method, echo.path, echo.body], ["PUT", "/orders?x=1", "plates"]);
-    const { calls } = await (await fetch(`${baseUrl}/__record`)).json() as { calls: typeof server.record; };
+    const { calls } = await (await fetch(`${baseUrl}/__record`)).json() as { calls: typeof server.callRecords; };
     assert.deepEqual(
         calls.filter(call => call.marker === "echo").map(call => [call.idempotencyKey, call.bodySizeBytes]),
         [["key-1", 6]],
@@ -52,7 +52,7 @@
     server.applyFaults({ dieAfterNextCall: true });
     const controller = new AbortController();
     const dying = fetch(`${baseUrl}/`, { headers: { "x-marker": "death" }, signal: controller.signal });
-    while (deaths === 0) {
+    while (exits === 0) {
         await new Promise(resolve => setImmediate(resolve));
     }
     controller.abort();
--- a/standins/weight-store/src/memoryWeightStore.ts
+++ b/standins/weight-store/src/memoryWeightStore.ts
@@ -21,7 +21,7 @@
     bytesPerS: number;
     private readonly clock: Clock;
     private transfers: Transfer[] = [];
-    private reserved = 0;
+    private reservationCount = 0;
 
     constructor(opts: { clock: Clock; bytesPerS?: number; }) {
         this.clock = opts.clock;
@@ -29,19 +29,19 @@
     }
 
     async requestLoad(request: WeightLoadRequest): Promise<WeightLoadReservation> {
-        this.refuseInOutage();
+        this.throwIfUnavailable();
         const nowMs = this.clock.nowMs();
         this.transfers = this.transfers.filter(transfer => transfer.endMs > nowMs);
         const startMs = this.transfers.reduce((latestMs, transfer) => Math.max(latestMs, transfer.endMs), nowMs);
         const transferMs = request.sizeBytes / this.bytesPerS * MS_PER_S;
-        this.reserved += 1;
-        const reservationId = String(this.reserved);
+        this.reservationCount += 1;
+        const reservationId = String(this.reservationCount);
         this.transfers.push({ reservationId, startMs, endMs: startMs + transferMs });
         return { reservationId, waitMs: startMs - nowMs, transferMs };
     }
 
     async cancelLoad(reservationId: string): Promise<void> {
-        this.refuseInOutage();
+        this.throwIfUnavailable();
         const nowMs = this.clock.nowMs();
         this.transfers = this.transfers.flatMap(transfer => {
             if (transfer.reservationId !== reservationId) {
@@ -51,7 +51,7 @@
         });
     }
 
-    private refuseInOutage(): void {
+    private throwIfUnavailable(): void {
         if (this.outage) {
             throw new KnapweedError("WEIGHT_STORE_UNAVAILABLE", "The weight store is away.", { outcome: "not-run" });
         }
--- a/standins/weight-store/src/weightStoreFaultUpdate.ts
+++ b/standins/weight-store/src/weightStoreFaultUpdate.ts
@@ -1,5 +1,5 @@
 /** Body of `POST /faults`: what is left out stays as it is. */
-export interface WeightStoreFaultOrder {
+export interface WeightStoreFaultUpdate {
     outage?: boolean;
     bytesPerS?: number;
     /** Makes the connections that are open now go silent for good. */
--- a/standins/weight-store/src/weightStoreServer.ts
+++ b/standins/weight-store/src/weightStoreServer.ts
@@ -5,7 +5,7 @@
 import { sendJson } from "@knapweedwood/standins.http/sendJson";
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { MemoryWeightStore } from "./memoryWeightStore.js";
-import type { WeightStoreFaultOrder } from "./weightStoreFaultUpdate.js";
+import type { WeightStoreFaultUpdate } from "./weightStoreFaultUpdate.js";
 
 const PATH = "/v1/reservations";
 const NOT_FOUND_STATUS = 404;
@@ -30,17 +30,17 @@
         return this.http.close();
     }
 
-    applyFaults(order: WeightStoreFaultOrder): void {
-        this.store.outage = order.outage ?? this.store.outage;
-        this.store.bytesPerS = order.bytesPerS ?? this.store.bytesPerS;
-        if (order.silentConnections === true) {
+    applyFaults(update: WeightStoreFaultUpdate): void {
+        this.store.outage = update.outage ?? this.store.outage;
+        this.store.bytesPerS = update.bytesPerS ?? this.store.bytesPerS;
+        if (update.silentConnections === true) {
             this.http.silenceOpenConnections();
         }
     }
 
     private async handle(request: IncomingMessage, response: ServerResponse, url: URL): Promise<void> {
         if (url.pathname === "/faults") {
-            this.applyFaults(await readJson<WeightStoreFaultOrder>(request));
+            this.applyFaults(await readJson<WeightStoreFaultUpdate>(request));
             sendJson(response, 200, {});
             return;
         }
