--- a/standins/engine/src/cacheEventFeed.ts
+++ b/standins/engine/src/cacheEventFeed.ts
@@ -2,7 +2,7 @@
 import type { Random } from "@knapweedwood/core.random/random";
 import type { CacheEvent } from "@knapweedwood/engines.model-engine/cacheEvent";
 
-/** Publishes cache events late and with gaps. */
+/** Publishes cache events with a delay, and drops a random share of them. */
 export class CacheEventFeed {
     private readonly clock: Clock;
     private readonly random: Random;
@@ -18,6 +18,7 @@
         this.lossShare = opts.lossShare;
     }
 
+    /** Numbers an event and sends it to the subscribers. A dropped event leaves a gap in the numbers. */
     publish(kind: "stored" | "evicted", blockHashes: string[]): void {
         this.sequenceNumber += 1;
         const event: CacheEvent = { sequenceNumber: this.sequenceNumber, kind, blockHashes };
--- a/standins/engine/src/completionHandler.ts
+++ b/standins/engine/src/completionHandler.ts
@@ -14,10 +14,10 @@
 import { sendError } from "./sendError.js";
 
 const MS_PER_SECOND = 1000;
-/** How many ended requests keep their KV cache for an export. */
+/** Number of most recent requests whose KV cache can be exported. */
 const EXPORTABLE_REQUESTS = 256;
 
-/** Answers completion requests of a stand-in engine. */
+/** Handles the completion requests of a stand-in engine. */
 export class CompletionHandler {
     private readonly clock: Clock;
     private readonly random: Random;
@@ -44,6 +44,7 @@
         this.readyNames = opts.readyNames;
     }
 
+    /** Runs a request, or fails it if its model isn't loaded or a fault applies to it. */
     handle(
         endpoint: GenerateRequest["endpoint"],
         body: JsonObject,
@@ -64,7 +65,7 @@
         this.run({ generateRequest, response, marker, id });
     }
 
-    /** The text that the KV cache of a request covers; undefined where the request is not known. */
+    /** Returns the text that the KV cache of a request covers, or undefined if the request is unknown. */
     coveredText(requestId: string): string | undefined {
         return this.sequences.get(requestId)?.coveredText();
     }
@@ -94,6 +95,7 @@
         });
     }
 
+    /** Fails the request if its prompt has a fault marker or the error share selects it. Returns whether it failed. */
     private failIfFaulty(marker: string, body: JsonObject, response: ServerResponse): boolean {
         const promptFault = promptFaultOf(promptTextOf(body));
         if (promptFault === "malformed") {
--- a/standins/engine/src/completionWriter.ts
+++ b/standins/engine/src/completionWriter.ts
@@ -3,7 +3,10 @@
 import type { ServerResponse } from "node:http";
 import type { SequenceSink } from "./sequenceSink.js";
 
-/** Writes the answer to a completion request as its tokens come: as chunks of a stream, or whole at the end. */
+/**
+ * Writes the response to a completion request: token by token if the request asks for a stream, and otherwise at the
+ * end.
+ */
 export class CompletionWriter implements SequenceSink {
     private readonly response: ServerResponse;
     private readonly isChat: boolean;
--- a/standins/engine/src/countTokens.ts
+++ b/standins/engine/src/countTokens.ts
@@ -1,6 +1,6 @@
 const CHARACTERS_PER_TOKEN = 4;
 
-/** How many tokens the stand-in engine counts in a text. */
+/** Returns the number of tokens of a text, as the stand-in engine counts them. */
 export function countTokens(text: string): number {
     return Math.ceil(text.length / CHARACTERS_PER_TOKEN);
 }
--- a/standins/engine/src/defaultStepModel.ts
+++ b/standins/engine/src/defaultStepModel.ts
@@ -1,6 +1,6 @@
 import type { StepModel } from "./stepModel.js";
 
-/** The step model of a stand-in engine that was given no other. */
+/** The default step model of a stand-in engine. */
 export const defaultStepModel: StepModel = {
     fixedMs: 5,
     perSequenceMs: 0.2,
--- a/standins/engine/src/engineCore.ts
+++ b/standins/engine/src/engineCore.ts
@@ -8,11 +8,11 @@
 import type { SequenceSink } from "./sequenceSink.js";
 import type { StepModel } from "./stepModel.js";
 
-/** Longest delay of a timer that later steps make up for. */
+/** Longest timer delay that later steps compensate for. */
 const MAX_CATCH_UP_MS = 100;
 
 /**
- * The scheduler of a stand-in engine: continuous batching in steps, first come first served. Requests that come in
+ * The scheduler of a stand-in engine: continuous batching in steps, first come, first served. Requests that arrive
  * during a step join the next one.
  */
 export class EngineCore {
@@ -53,7 +53,7 @@
         });
     }
 
-    /** Queues a request. */
+    /** Queues a request. Its tokens go to `sink`. */
     submit(request: GenerateRequest, sink: SequenceSink): EngineSequence {
         const sequence = new EngineSequence(request, sink);
         this.totals.batchResumedTokens += sequence.isBatch ? sequence.tokenCount : 0;
@@ -62,13 +62,13 @@
         return sequence;
     }
 
-    /** A frozen engine begins no step. */
+    /** Freezes or unfreezes the engine. A frozen engine starts no step. */
     setFrozen(isFrozen: boolean): void {
         this.isFrozen = isFrozen;
         this.startStepping();
     }
 
-    /** Stops a sequence; it leaves the batch at the end of the current step. */
+    /** Cancels a sequence. If it is running, it leaves the batch at the end of the current step. */
     cancel(sequence: EngineSequence): void {
         if (sequence.isBatch && !sequence.isFinished && !sequence.isCancelled) {
             this.totals.batchCancelled += 1;
@@ -78,12 +78,12 @@
         this.waiting = this.waiting.filter(other => other !== sequence);
     }
 
-    /** The load as it was reported last. */
+    /** Returns the load that the engine reports, which is `loadLagMs` old. */
     reportedLoad(): EngineLoad {
         return this.loadHistory.reportedAt(this.clock.nowMs()) ?? this.currentLoad();
     }
 
-    /** The load at this moment, which an engine doesn't tell. */
+    /** Returns the current load, which an engine doesn't report. */
     currentLoad(): EngineLoad {
         return {
             runningSequences: this.running.length,
--- a/standins/engine/src/engineFaults.ts
+++ b/standins/engine/src/engineFaults.ts
@@ -2,10 +2,10 @@
 export interface EngineFaults {
     /** Multiplies the duration of each step. */
     slowFactor: number;
-    /** Share in [0, 1] of requests that are answered with status 500. */
+    /** Share in [0, 1] of requests that get a response with status 500. */
     errorShare: number;
-    /** Answers of the connections that are open now are held back for good. */
+    /** The connections that are open now stay open, but send nothing more. */
     silentConnections: boolean;
-    /** No step begins. */
+    /** The engine starts no step. */
     freeze: boolean;
 }
--- a/standins/engine/src/engineSequence.ts
+++ b/standins/engine/src/engineSequence.ts
@@ -7,11 +7,11 @@
 import { tokenTargetOf } from "./tokenTargetOf.js";
 import { tokenText } from "./tokenText.js";
 
-/** One request on its way through a stand-in engine. */
+/** A request that is queued or running in a stand-in engine. */
 export class EngineSequence {
     readonly sink: SequenceSink;
     readonly prompt: string;
-    /** Whether the request says that it is batch work, for the totals only. */
+    /** Whether the `user` of the request is `batch`. Only the totals depend on it. */
     readonly isBatch: boolean;
     readonly promptTokens: number;
     readonly finishReason: "length" | "stop";
@@ -34,7 +34,7 @@
         this.tokenCount = request.resumeFrom?.tokenCount ?? 0;
     }
 
-    /** The KV-cache memory that the sequence needs at most. */
+    /** Largest KV-cache size that the sequence needs, in tokens. */
     get kvTokens(): number {
         return this.promptTokens + this.tokenTarget;
     }
@@ -51,18 +51,19 @@
         };
     }
 
-    /** Prompt and what was produced so far: what the KV cache of the sequence covers. */
+    /** Returns the text that the KV cache of the sequence covers: the prompt and the output so far. */
     coveredText(): string {
         return this.prompt
             + Array.from({ length: this.tokenCount }, (_, index) => tokenText(this.promptHash, index)).join("");
     }
 
-    /** Sets the prefill that is due when `cachedTokens` leading tokens are held already. */
+    /** Sets the number of tokens to prefill if the prefix cache contains the first `cachedTokens` tokens. */
     beginPrefill(cachedTokens: number): void {
         this.cachedTokens = cachedTokens;
         this.prefillTokensLeft = Math.max(1, this.promptTokens + this.tokenCount - cachedTokens);
     }
 
+    /** Sends the next token to the sink. */
     produceToken(): void {
         this.sink.token(tokenText(this.promptHash, this.tokenCount));
         this.tokenCount += 1;
--- a/standins/engine/src/engineServer.ts
+++ b/standins/engine/src/engineServer.ts
@@ -24,7 +24,7 @@
 type Exchange = { request: IncomingMessage; response: ServerResponse; };
 type Route = (body: Buffer, exchange: Exchange) => void;
 
-/** A stand-in model engine: an OpenAI-compatible HTTP server with a step-time model and faults. */
+/** A stand-in model engine: an OpenAI-compatible HTTP server with a model of step durations and with faults. */
 export class EngineServer {
     readonly core: EngineCore;
     private readonly server: Server;
@@ -67,7 +67,11 @@
         });
     }
 
-    /** @returns the port bound */
+    /**
+     * Starts to listen. Rejects if the address can't be bound.
+     *
+     * @returns the port
+     */
     listen(opts: { host: string; port: number; }): Promise<number> {
         return new Promise((resolve, reject) => {
             this.server.once("error", reject);
@@ -75,7 +79,7 @@
         });
     }
 
-    /** Ends all connections. */
+    /** Stops the server and destroys its connections. */
     close(): Promise<void> {
         return new Promise(resolve => {
             this.server.close(() => resolve());
--- a/standins/engine/src/engineServerOptions.ts
+++ b/standins/engine/src/engineServerOptions.ts
@@ -5,21 +5,21 @@
 export interface EngineServerOptions {
     clock: Clock;
     seed: number;
-    /** Models that are loaded from the start. */
+    /** Models that are ready at the start. */
     models: { model: string; version: string; }[];
-    /** Whether orders with an old fencing number are refused. */
+    /** Whether orders with a stale fencing number are rejected. */
     checksFencing: boolean;
-    /** Accepts orders and carries none out, for experiments in which several sides share an engine. */
+    /** Whether orders are accepted without effect, for experiments in which several sides share an engine. */
     ignoresOrders?: boolean;
     stepModel?: Partial<StepModel>;
-    /** How long an order to load a model or an adapter takes. */
+    /** Time from an order to load a model or an adapter until it is ready. */
     loadDurationMs?: number;
-    /** Versions that never become ready. */
+    /** Versions that fail to load. */
     unhealthyVersions?: string[];
-    /** How late cache events are published. */
+    /** Delay of cache events. */
     cacheEventDelayMs?: number;
-    /** Share in [0, 1] of cache events that are never published. */
+    /** Share in [0, 1] of cache events that are dropped. */
     cacheEventLossShare?: number;
-    /** Grows with each start of the engine. */
+    /** Increases with each start of the engine. */
     incarnation?: number;
 }
--- a/standins/engine/src/engineTotals.ts
+++ b/standins/engine/src/engineTotals.ts
@@ -1,15 +1,15 @@
-/** Totals of the work that an engine has done. */
+/** Totals of the work of an engine since its start. */
 export interface EngineTotals {
     steps: number;
     busyMs: number;
     decodeTokens: number;
-    /** Those of requests whose `user` is `batch`. */
+    /** Decoded tokens of batch requests, whose `user` is `batch`. */
     batchDecodeTokens: number;
     prefillTokens: number;
     /** Batch requests that were cancelled. */
     batchCancelled: number;
-    /** Tokens that cancelled batch requests had produced, whether resumed from or not. */
+    /** Tokens of cancelled batch requests, whether a later request resumed from them or not. */
     batchCancelledTokens: number;
-    /** Tokens that batch requests were resumed from. */
+    /** Tokens that batch requests already had when they were resumed. */
     batchResumedTokens: number;
 }
--- a/standins/engine/src/expectedText.ts
+++ b/standins/engine/src/expectedText.ts
@@ -5,9 +5,9 @@
 import { tokenText } from "./tokenText.js";
 
 /**
- * The text that the stand-in engine answers a request with.
+ * Returns the text that the stand-in engine generates for a request.
  *
- * @param request `tokenCount` is the number of tokens wanted; the whole answer where undefined
+ * @param request `tokenCount` is the number of tokens to return; if undefined, all of them
  */
 export function expectedText(request: GenerateRequest & { tokenCount?: number; }): string {
     const promptHash = textHash(promptTextOf(request.body));
--- a/standins/engine/src/inMemoryEngine.ts
+++ b/standins/engine/src/inMemoryEngine.ts
@@ -14,7 +14,7 @@
 import { promptFaultOf } from "./promptFaultOf.js";
 import type { StepModel } from "./stepModel.js";
 
-/** A stand-in engine within the process, for tests and simulations on a clock that is moved by hand. */
+/** An in-process stand-in engine, for tests and simulations with a manual clock. */
 export class InMemoryEngine implements ModelEngine {
     readonly core: EngineCore;
 
@@ -88,17 +88,21 @@
 function throwPromptFault(request: GenerateRequest): void {
     switch (promptFaultOf(promptTextOf(request.body))) {
         case "never-completes":
-            throw new KnapweedError("ENGINE_FAILED", "The item can't be completed", {
+            throw new KnapweedError("ENGINE_FAILED", "The engine failed because of a fault marker in the prompt", {
                 outcome: "unknown",
                 statusCode: 500,
             });
         case "crash":
-            throw new KnapweedError("ENGINE_CONNECTION_LOST", "The connection was lost", {
-                outcome: "unknown",
-                statusCode: 502,
-            });
+            throw new KnapweedError(
+                "ENGINE_CONNECTION_LOST",
+                "The connection was lost because of a fault marker in the prompt",
+                {
+                    outcome: "unknown",
+                    statusCode: 502,
+                },
+            );
         case "malformed":
-            throw new KnapweedError("ENGINE_REFUSED", "The item is malformed", {
+            throw new KnapweedError("ENGINE_REFUSED", "The prompt is marked as malformed", {
                 outcome: "answered",
                 statusCode: 400,
             });
--- a/standins/engine/src/loadedModels.ts
+++ b/standins/engine/src/loadedModels.ts
@@ -8,7 +8,7 @@
 
 const DEFAULT_LOAD_DURATION_MS = 200;
 
-/** What a stand-in engine holds, and the orders that change it. */
+/** The loaded models and adapters of a stand-in engine. Orders change them. */
 export class LoadedModels {
     private readonly clock: Clock;
     private readonly opts: EngineServerOptions;
@@ -30,11 +30,12 @@
         };
     }
 
+    /** Returns the state that the engine reports. Later orders change the same object. */
     state(): EngineState {
         return this.engineState;
     }
 
-    /** Names that requests may use, shape [models + adapters]. */
+    /** Returns the names that requests can use, shape [ready models + ready adapters]. */
     readyNames(): string[] {
         const models = this.engineState.models.filter(({ state }) => state === "ready").map(({ model }) =>
             String(model)
@@ -45,7 +46,11 @@
         return [...models, ...adapters];
     }
 
-    /** Carries out an order. @returns whether it was accepted */
+    /**
+     * Executes an order. An engine that ignores orders accepts it without effect.
+     *
+     * @returns false if the engine checks fencing numbers and the order has a stale one
+     */
     accept(order: EngineOrder): boolean {
         if (this.opts.checksFencing && order.fencingNumber < this.highestFencingNumber) {
             return false;
--- a/standins/engine/src/prefixCache.ts
+++ b/standins/engine/src/prefixCache.ts
@@ -6,12 +6,13 @@
 const CHARACTERS_PER_TOKEN = 4;
 const BLOCK_CHARACTERS = BLOCK_TOKENS * CHARACTERS_PER_TOKEN;
 
-/** Prefix cache of an engine: the least recently used block is evicted first. */
+/** Prefix cache of an engine. Evicts the least recently used blocks first. */
 export class PrefixCache {
     private readonly limitBlocks: number;
     private readonly onChange: (kind: "stored" | "evicted", blockHashes: string[]) => void;
     private readonly blocks = new Set<number>();
 
+    /** @param opts.onChange called with the hashes of blocks that were stored or evicted, shape [blocks] */
     constructor(opts: {
         limitTokens: number;
         onChange: (kind: "stored" | "evicted", blockHashes: string[]) => void;
@@ -20,7 +21,7 @@
         this.onChange = opts.onChange;
     }
 
-    /** How many leading tokens of a text are held. */
+    /** Returns the number of leading tokens of a text that are cached, and marks their blocks as used. */
     matchTokens(text: string): number {
         const hashes = blockHashesOf(text);
         const miss = hashes.findIndex(hash => !this.blocks.has(hash));
@@ -29,7 +30,7 @@
         return matched * BLOCK_TOKENS;
     }
 
-    /** Keeps the blocks of a text. */
+    /** Stores the complete blocks of a text, at most as many as fit into the cache. */
     store(text: string): void {
         const hashes = blockHashesOf(text).slice(0, this.limitBlocks);
         const added = hashes.filter(hash => !this.blocks.has(hash));
--- a/standins/engine/src/readBody.ts
+++ b/standins/engine/src/readBody.ts
@@ -1,6 +1,6 @@
 import type { IncomingMessage } from "node:http";
 
-/** The whole body of a request. */
+/** Reads the whole body of a request. */
 export async function readBody(request: IncomingMessage): Promise<Buffer> {
     const parts: Buffer[] = [];
     for await (const part of request) {
--- a/standins/engine/src/requestCounter.ts
+++ b/standins/engine/src/requestCounter.ts
@@ -1,7 +1,7 @@
 import type { JsonObject } from "@knapweedwood/engines.model-engine/jsonObject";
 import type { RequestCounts } from "./requestCounts.js";
 
-/** Counts, for audits, what ran at an engine by the marker that each request carries. */
+/** Counts the requests of an engine by their markers, for audits. */
 export class RequestCounter {
     private readonly counts = new Map<string, RequestCounts>();
 
@@ -11,12 +11,12 @@
         this.counts.set(marker, counts);
     }
 
-    /** All counts by marker. */
+    /** Returns all counts by marker. */
     toJson(): { [marker: string]: RequestCounts; } {
         return Object.fromEntries(this.counts);
     }
 
-    /** The marker of a request: its `metadata.marker`, or else its `user`. */
+    /** Returns the marker of a request: its `metadata.marker`, or else its `user`, or else `unmarked`. */
     static markerOf(body: JsonObject): string {
         const metadata = body.metadata as { marker?: unknown; } | undefined | null;
         return String(metadata?.marker ?? body.user ?? "unmarked");
--- a/standins/engine/src/requestCounts.ts
+++ b/standins/engine/src/requestCounts.ts
@@ -1,4 +1,4 @@
-/** How often requests of one marker were started, finished and cancelled. */
+/** Numbers of requests with the same marker that were started, finished and cancelled. */
 export interface RequestCounts {
     started: number;
     finished: number;
--- a/standins/engine/src/sendJson.ts
+++ b/standins/engine/src/sendJson.ts
@@ -1,6 +1,6 @@
 import type { ServerResponse } from "node:http";
 
-/** Answers with a JSON body. */
+/** Sends a response with a JSON body. */
 export function sendJson(response: ServerResponse, statusCode: number, body: object): void {
     response.writeHead(statusCode, { "content-type": "application/json" });
     response.end(JSON.stringify(body));
--- a/standins/engine/src/silentConnections.ts
+++ b/standins/engine/src/silentConnections.ts
@@ -1,10 +1,11 @@
 import type { Socket } from "node:net";
 
-/** The connections of a server, some of which have gone silent: they stay open, and nothing passes any more. */
+/** The connections of a server. A silenced connection stays open, but passes no requests and no responses. */
 export class SilentConnections {
     private readonly sockets = new Set<Socket>();
     private readonly silent = new WeakSet<Socket>();
 
+    /** Tracks a connection until it closes, and ignores its errors. */
     add(socket: Socket): void {
         this.sockets.add(socket);
         socket.on("close", () => this.sockets.delete(socket));
@@ -15,7 +16,7 @@
         return this.silent.has(socket);
     }
 
-    /** Silences the connections that are open now. New ones work. */
+    /** Silences all open connections for good. New connections work. */
     silenceOpen(): void {
         this.sockets.forEach(socket => {
             this.silent.add(socket);
--- a/standins/engine/src/stepModel.ts
+++ b/standins/engine/src/stepModel.ts
@@ -1,16 +1,16 @@
-/** Duration of one step of an engine, and its bounds. */
+/** Durations and limits of the steps of an engine. */
 export interface StepModel {
     fixedMs: number;
     perSequenceMs: number;
     perPrefillTokenMs: number;
-    /** Sequences that run at once; more wait inside the engine. */
+    /** Maximum number of running sequences. Further ones wait inside the engine. */
     maxSequences: number;
-    /** Prefill tokens processed in one step, all sequences together. */
+    /** Maximum number of prefill tokens of all sequences in one step. */
     maxPrefillTokensPerStep: number;
-    /** KV-cache memory of running sequences. */
+    /** KV-cache size available to running sequences, in tokens. */
     kvTokensLimit: number;
-    /** Memory of the prefix cache. */
+    /** Size of the prefix cache, in tokens. */
     prefixCacheTokens: number;
-    /** Age of the load report. */
+    /** Age of the load that the engine reports. */
     loadLagMs: number;
 }
--- a/standins/engine/src/tokenTargetOf.ts
+++ b/standins/engine/src/tokenTargetOf.ts
@@ -6,7 +6,10 @@
 const COMPLETION_RANGE_TOKENS = 56;
 const LENGTH_SALT = 77;
 
-/** How many tokens the stand-in engine answers with: the limit that the request names, or else a function of the prompt. */
+/**
+ * Returns the number of tokens that the stand-in engine generates: the limit in the request, or else a number that
+ * depends only on the prompt.
+ */
 export function tokenTargetOf(body: JsonObject): { tokenCount: number; finishReason: "length" | "stop"; } {
     const limit = body.max_completion_tokens ?? body.max_tokens;
     if (typeof limit === "number") {
--- a/standins/engine/test/engineServer.test.ts
+++ b/standins/engine/test/engineServer.test.ts
@@ -58,7 +58,7 @@
     );
 }
 
-test("a stream carries the text that the prompt determines, and its usage", async () => {
+test("a stream contains the text that the prompt determines, and the usage", async () => {
     const request = chatRequest("Summarise lot 7", { maxTokens: 12 });
     const assembler = await generate(request);
     assert.equal(assembler.produced.text, expectedText(request));
@@ -72,7 +72,7 @@
     });
 });
 
-test("a resumed stream goes on where the first one was cut", async () => {
+test("a resumed stream continues where the first one was cut", async () => {
     const request = chatRequest("Summarise lot 8", { maxTokens: 20 });
     const resumeFrom = { text: expectedText({ ...request, tokenCount: 9 }), tokenCount: 9 };
     const assembler = await generate({ ...request, resumeFrom });
@@ -80,7 +80,7 @@
     assert.equal(assembler.produced.tokenCount, 20);
 });
 
-test("an aborted stream is cancelled at the engine", async () => {
+test("aborting a stream cancels its request at the engine", async () => {
     const abort = new AbortController();
     const request = chatRequest("A long one", { maxTokens: 100_000, marker: "aborted" });
     const stream = engine.generate(request, { signal: abort.signal })[Symbol.asyncIterator]();
@@ -94,7 +94,7 @@
     assert.deepEqual(record.aborted, { started: 1, finished: 0, cancelled: 1 });
 });
 
-test("failures of items are told apart", async () => {
+test("malformed, failing and crashing prompts cause different errors", async () => {
     assert.deepEqual(await codeOf(generate(chatRequest("[malformed]"))), ["ERR_KNAPWEED_ENGINE_REFUSED", "answered"]);
     assert.deepEqual(await codeOf(generate(chatRequest("[never-completes]"))), [
         "ERR_KNAPWEED_ENGINE_FAILED",
@@ -106,13 +106,13 @@
     ]);
 });
 
-test("an engine that isn't there did not run the request", async () => {
+test("a request to an unreachable engine has the outcome not-run", async () => {
     const absent = new HttpModelEngine({ baseUrl: "http://127.0.0.1:1" });
     assert.deepEqual(await codeOf(absent.load()), ["ERR_KNAPWEED_ENGINE_UNREACHABLE", "not-run"]);
     await absent.close();
 });
 
-test("orders are carried out, old fencing numbers refused, unhealthy versions never ready", async () => {
+test("orders are executed, stale fencing numbers rejected, and unhealthy versions fail to load", async () => {
     const load = (version: string, fencingNumber: number) =>
         engine.order({
             fencingNumber: fencingNumber as FencingNumber,
@@ -129,7 +129,7 @@
     assert.deepEqual(await engine.listModels(), ["demo-chat", "other"]);
 });
 
-test("an exported KV cache spares the prefill where it is imported", async () => {
+test("an imported KV cache makes its prefix available without a prefill", async () => {
     const request = { ...chatRequest("Lot ".repeat(100), { maxTokens: 4 }), requestId: "export-1" as RequestId };
     await generate(request);
     const cache = await engine.exportCache("export-1");
@@ -147,7 +147,7 @@
     await target.close();
 });
 
-test("silent connections stay open and pass nothing, new ones work", async () => {
+test("silenced connections stay open and send nothing, and new ones work", async () => {
     const abort = new AbortController();
     const stream = engine.generate(chatRequest("To be silenced", { maxTokens: 100_000 }), { signal: abort.signal });
     const iterator = stream[Symbol.asyncIterator]();
