--- a/standins/http/src/httpStandin.ts
+++ b/standins/http/src/httpStandin.ts
@@ -3,7 +3,7 @@
 import type { HttpHandler } from "./httpHandler.js";
 import { sendJson } from "./sendJson.js";
 
-/** An HTTP server whose open connections can be made to go silent for good. */
+/** An HTTP server that can silence its open connections: they stay open, but pass no requests and no responses. */
 export class HttpStandin {
     private readonly server: Server;
     private readonly handler: HttpHandler;
@@ -17,7 +17,11 @@
         this.server.on("connection", socket => this.track(socket));
     }
 
-    /** @returns the port */
+    /**
+     * Starts to listen. Rejects if the address can't be bound.
+     *
+     * @returns the port
+     */
     listen(opts: { host: string; port: number; }): Promise<number> {
         return new Promise((resolve, reject) => {
             this.server.once("error", reject);
@@ -28,6 +32,7 @@
         });
     }
 
+    /** Stops the server and closes its connections. */
     close(): Promise<void> {
         return new Promise(resolve => {
             this.server.close(() => resolve());
@@ -35,7 +40,7 @@
         });
     }
 
-    /** From now on the connections that are open neither take requests nor give answers; new ones work. */
+    /** Silences the connections that are open now, for good. New connections work. */
     silenceOpenConnections(): void {
         this.openSockets.forEach(socket => this.silence(socket));
     }
--- a/standins/http/src/readBody.ts
+++ b/standins/http/src/readBody.ts
@@ -3,7 +3,7 @@
 
 const DEFAULT_MAX_SIZE_BYTES = 64_000_000;
 
-/** Reads the whole body of a request. Throws `BODY_TOO_LARGE` over `maxSizeBytes`. */
+/** Reads the whole body of a request. Rejects with `BODY_TOO_LARGE` if it has more than `maxSizeBytes` bytes. */
 export async function readBody(request: IncomingMessage, maxSizeBytes = DEFAULT_MAX_SIZE_BYTES): Promise<Buffer> {
     const chunks: Buffer[] = [];
     let sizeBytes = 0;
--- a/standins/http/src/readJson.ts
+++ b/standins/http/src/readJson.ts
@@ -1,7 +1,7 @@
 import type { IncomingMessage } from "node:http";
 import { readBody } from "./readBody.js";
 
-/** Reads the body of a request as JSON; an empty body as an empty object. */
+/** Reads the body of a request as JSON. An empty body yields an empty object. Rejects if the body isn't JSON. */
 export async function readJson<Value>(request: IncomingMessage): Promise<Value> {
     const body = await readBody(request);
     return JSON.parse(body.byteLength === 0 ? "{}" : body.toString()) as Value;
