--- a/standins/instance-list/src/instanceListFaultUpdate.ts
+++ b/standins/instance-list/src/instanceListFaultUpdate.ts
@@ -1,8 +1,8 @@
-/** Body of `POST /faults`: what is left out stays as it is. */
+/** Body of `POST /faults`. Omitted fields keep their values. */
 export interface InstanceListFaultUpdate {
     outage?: boolean;
     lagMs?: number;
     ttlMs?: number;
-    /** Makes the connections that are open now go silent for good. */
+    /** If true, silences the connections that are open now, for good. */
     silentConnections?: boolean;
 }
--- a/standins/instance-list/src/instanceListServer.ts
+++ b/standins/instance-list/src/instanceListServer.ts
@@ -12,7 +12,7 @@
 const NOT_FOUND_STATUS = 404;
 const UNAVAILABLE_STATUS = 503;
 
-/** The instance list as a server: `/v1/instances`, `POST /faults` and `GET /counters`. */
+/** Stand-in server of the instance list: `/v1/instances`, `POST /faults` and `GET /counters`. */
 export class InstanceListServer {
     readonly list: MemoryInstanceList;
     private readonly counters = { reads: 0, writes: 0 };
@@ -24,7 +24,11 @@
         this.http = new HttpStandin({ handler: (request, response, url) => this.handle(request, response, url) });
     }
 
-    /** @returns the port */
+    /**
+     * Starts to listen. Rejects if the address can't be bound.
+     *
+     * @returns the port
+     */
     listen(opts: { host: string; port: number; }): Promise<number> {
         return this.http.listen(opts);
     }
@@ -33,6 +37,7 @@
         return this.http.close();
     }
 
+    /** Changes the faults, as `POST /faults` does. */
     applyFaults(update: InstanceListFaultUpdate): void {
         this.isUnavailable = update.outage ?? this.isUnavailable;
         this.list.lagMs = update.lagMs ?? this.list.lagMs;
--- a/standins/instance-list/src/memoryInstanceList.ts
+++ b/standins/instance-list/src/memoryInstanceList.ts
@@ -8,15 +8,15 @@
 
 interface RecordChange {
     atMs: number;
-    /** Undefined where the instance was withdrawn. */
+    /** Undefined if the instance was withdrawn. */
     record: InstanceRecord | undefined;
 }
 
-/** An instance list in memory that shows the past: changes are seen `lagMs` after they were made. */
+/** An in-memory instance list. A change becomes visible `lagMs` after it was made. */
 export class MemoryInstanceList implements InstanceList {
-    /** Age of the state that `list` shows. Changed at any time by the owner. */
+    /** Age of the state that `list` returns. The owner can change it at any time. */
     lagMs: number;
-    /** Instances that were not announced for this long are no longer listed. */
+    /** Time after its last announcement at which an instance is no longer listed. */
     ttlMs: number;
     private readonly clock: Clock;
     private readonly changes = new Map<InstanceId, RecordChange[]>();
@@ -54,7 +54,7 @@
         return visible !== undefined && visibleAtMs - visible.atMs < this.ttlMs ? visible.record : undefined;
     }
 
-    /** Drops changes that later ones have replaced in what is shown. */
+    /** Removes changes that a later visible change has replaced, and instances whose time to live has passed. */
     private pruneChanges(visibleAtMs: number): void {
         this.changes.forEach((changes, instanceId) => {
             const visibleIndex = changes.findLastIndex(change => change.atMs <= visibleAtMs);
--- a/standins/instance-list/test/instanceListServer.test.ts
+++ b/standins/instance-list/test/instanceListServer.test.ts
@@ -20,7 +20,7 @@
     hasDataFolder: true,
 };
 
-test("instances are announced, listed and withdrawn over HTTP, past faults", async () => {
+test("instances are announced, listed and withdrawn over HTTP, despite faults", async () => {
     const clock = new SystemClock();
     const server = new InstanceListServer({ clock, lagMs: 0 });
     const port = await server.listen({ host: "127.0.0.1", port: 0 });
--- a/standins/instance-list/test/memoryInstanceList.test.ts
+++ b/standins/instance-list/test/memoryInstanceList.test.ts
@@ -22,7 +22,7 @@
     return (await list.list()).map(listed => listed.state);
 }
 
-test("the list shows each change only after its lag", async () => {
+test("a change becomes visible only after the lag", async () => {
     const clock = new ManualClock();
     const list = new MemoryInstanceList({ clock, lagMs: 100, ttlMs: 1000 });
     await list.announce(record);
@@ -40,7 +40,7 @@
     assert.deepEqual(await statesOf(list), []);
 });
 
-test("an instance that is no longer announced vanishes after its time to live", async () => {
+test("an instance that is no longer announced is removed from the list after its time to live", async () => {
     const clock = new ManualClock();
     const list = new MemoryInstanceList({ clock, lagMs: 0, ttlMs: 1000 });
     await list.announce(record);
