--- a/standins/key-value/src/changeHistory.ts
+++ b/standins/key-value/src/changeHistory.ts
@@ -3,12 +3,13 @@
 const MAX_BATCHES = 20_000;
 const MAX_SIZE_BYTES = 64_000_000;
 
-/** The last changes, for watches that begin at an earlier revision. */
+/** The latest changes, for watches that start at an earlier revision. */
 export class ChangeHistory {
     private batches: WatchBatch[] = [];
     private sizeBytes = 0;
     private lastDroppedRevision = 0;
 
+    /** Adds a change. If there are too many changes or bytes, drops the older half. */
     push(batch: WatchBatch): void {
         this.batches.push(batch);
         this.sizeBytes += sizeOf(batch);
@@ -17,17 +18,17 @@
         }
     }
 
-    /** Whether all changes after `revision` are still here. */
+    /** Returns whether all changes after `revision` are still stored. */
     isCompleteAfter(revision: number): boolean {
         return revision >= this.lastDroppedRevision;
     }
 
-    /** Changes after `revision`, in order, shape [batches]. */
+    /** Returns the stored changes after `revision`, in order, shape [batches]. */
     after(revision: number): WatchBatch[] {
         return this.batches.filter(batch => batch.revision > revision);
     }
 
-    /** Drops all changes up to now. */
+    /** Drops all changes. */
     clear(): void {
         this.lastDroppedRevision = this.batches.at(-1)?.revision ?? this.lastDroppedRevision;
         this.batches = [];
--- a/standins/key-value/src/etcdErrorResponse.ts
+++ b/standins/key-value/src/etcdErrorResponse.ts
@@ -14,7 +14,7 @@
     ERR_KNAPWEED_ETCD_UNSUPPORTED: createResponse(501, 12, "not supported by the stand-in"),
 };
 
-/** The refusal that etcd sends for an error. */
+/** Returns the response that etcd sends for an error. */
 export function etcdErrorResponse(thrown: unknown): EtcdErrorResponse {
     const error = toKnapweedError(thrown);
     return ERROR_RESPONSES[error.code] ?? createResponse(500, 13, error.message);
--- a/standins/key-value/src/etcdGateway.ts
+++ b/standins/key-value/src/etcdGateway.ts
@@ -20,7 +20,7 @@
 
 type GatewayCall = (body: never) => Promise<unknown>;
 
-/** The calls of the etcd v3 JSON gateway that have one answer, on a service in memory. */
+/** The unary calls of the etcd v3 JSON gateway, that is all except watches, on an in-memory service. */
 export class EtcdGateway {
     private readonly service: MemoryKeyValueService;
     private readonly calls: { [path: string]: GatewayCall; } = {
@@ -37,7 +37,7 @@
         this.service = service;
     }
 
-    /** The call that answers `path`, undefined where there is none. */
+    /** Returns the handler of the calls to `path`, or undefined if there is none. */
     callOf(path: string): ((body: unknown) => Promise<unknown>) | undefined {
         return this.calls[path] as ((body: unknown) => Promise<unknown>) | undefined;
     }
--- a/standins/key-value/src/isResponseLost.ts
+++ b/standins/key-value/src/isResponseLost.ts
@@ -1,6 +1,6 @@
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 
-/** Whether a call took effect and its answer is to be lost. */
+/** Returns whether `error` says that the call took effect and that its response must be dropped. */
 export function isResponseLost(error: unknown): boolean {
     return error instanceof KnapweedError && error.outcome === "unknown";
 }
--- a/standins/key-value/src/keyValueFaultUpdate.ts
+++ b/standins/key-value/src/keyValueFaultUpdate.ts
@@ -1,12 +1,12 @@
-/** Body of `POST /faults`: what is left out stays as it is. */
+/** Body of `POST /faults`. Omitted fields keep their values. */
 export interface KeyValueFaultUpdate {
     outage?: boolean;
     delayMs?: number;
     answerDelayMs?: number;
-    /** How many of the next writes take effect without an answer. */
+    /** Number of subsequent writes that take effect without a response. */
     loseAnswers?: number;
-    /** Id of a lease to end now. */
+    /** Id of a lease that expires now. */
     lapseLease?: string;
-    /** Makes the connections that are open now go silent for good. */
+    /** If true, silences the connections that are open now, for good. */
     silentConnections?: boolean;
 }
--- a/standins/key-value/src/keyValueFaults.ts
+++ b/standins/key-value/src/keyValueFaults.ts
@@ -1,8 +1,8 @@
-/** Faults of the stand-in. Changed at any time by its owner. */
+/** Faults of the stand-in. Its owner can change them at any time. */
 export class KeyValueFaults {
     /** Delay of each call before it takes effect. */
     delayMs = 0;
-    /** Delay of each answer after the call took effect. */
+    /** Delay of each response after the call took effect. */
     responseDelayMs = 0;
     private readonly onOutage: () => void;
     private readonly onExpireLease: (leaseId: string) => void;
@@ -10,8 +10,8 @@
     private responsesToLose = 0;
 
     /**
-     * @param opts.onOutage called when an outage begins
-     * @param opts.onLapse called to end a lease early
+     * @param opts.onOutage called when an outage starts
+     * @param opts.onExpireLease called to end a lease early
      */
     constructor(opts: { onOutage: () => void; onExpireLease: (leaseId: string) => void; }) {
         this.onOutage = opts.onOutage;
@@ -22,7 +22,7 @@
         return this.hasOutage;
     }
 
-    /** While true, calls are refused. Watches are lost when it begins. */
+    /** While true, calls reject as unavailable. The watches fail when the outage starts. */
     set outage(value: boolean) {
         const begins = value && !this.hasOutage;
         this.hasOutage = value;
@@ -31,12 +31,12 @@
         }
     }
 
-    /** The next `count` writes take effect, but their answers are lost. */
+    /** Makes the next `count` writes take effect and lose their responses. */
     loseNextResponses(count: number): void {
         this.responsesToLose = count;
     }
 
-    /** Whether the answer of the write that has just taken effect is lost. */
+    /** Uses up one lost response. Returns whether the write that has just taken effect must lose its response. */
     consumeLostResponse(): boolean {
         if (this.responsesToLose === 0) {
             return false;
@@ -45,7 +45,7 @@
         return true;
     }
 
-    /** Ends a lease now, as if its holder had been paused for too long. */
+    /** Makes a lease expire now, as if its holder had been paused for too long. */
     expireLease(leaseId: string): void {
         this.onExpireLease(leaseId);
     }
--- a/standins/key-value/src/keyValueServer.ts
+++ b/standins/key-value/src/keyValueServer.ts
@@ -13,8 +13,8 @@
 const NOT_FOUND_STATUS = 404;
 
 /**
- * The key-value service as a server: the etcd v3 JSON gateway, `POST /faults` to set faults and `GET /counters`
- * for the calls so far.
+ * Stand-in server of the key-value service: the etcd v3 JSON gateway, `POST /faults` to change faults, and
+ * `GET /counters` for the numbers of calls so far.
  */
 export class KeyValueServer {
     readonly service: MemoryKeyValueService;
@@ -27,16 +27,22 @@
         this.http = new HttpStandin({ handler: (request, response, url) => this.handle(request, response, url) });
     }
 
-    /** @returns the port */
+    /**
+     * Starts to listen. Rejects if the address can't be bound.
+     *
+     * @returns the port
+     */
     listen(opts: { host: string; port: number; }): Promise<number> {
         return this.http.listen(opts);
     }
 
+    /** Ends all watches, stops the server and closes its connections. */
     async close(): Promise<void> {
         this.service.close();
         await this.http.close();
     }
 
+    /** Changes the faults, as `POST /faults` does. */
     applyFaults(update: KeyValueFaultUpdate): void {
         const faults = this.service.faults;
         faults.outage = update.outage ?? faults.outage;
--- a/standins/key-value/src/keyValueStore.ts
+++ b/standins/key-value/src/keyValueStore.ts
@@ -9,7 +9,7 @@
 import { LeaseTable } from "./leaseTable.js";
 import { SortedKeys } from "./sortedKeys.js";
 
-/** Keys, leases and one revision counter, without faults. Each method takes effect at once. */
+/** Entries, leases and one revision counter, without faults. Each method takes effect synchronously. */
 export class KeyValueStore {
     private readonly leases: LeaseTable;
     private readonly onChange: (batch: WatchBatch) => void;
@@ -17,7 +17,7 @@
     private readonly keys = new SortedKeys();
     private currentRevision = 1;
 
-    /** @param opts.onChange called after each change, with all keys that changed together */
+    /** @param opts.onChange called after each change, with all keys that changed in the same revision */
     constructor(opts: { clock: Clock; onChange: (batch: WatchBatch) => void; }) {
         this.leases = new LeaseTable({ clock: opts.clock, onEnd: keys => this.deleteKeys(keys) });
         this.onChange = opts.onChange;
@@ -37,6 +37,10 @@
             .flatMap(key => this.entries.get(key) ?? []);
     }
 
+    /**
+     * Applies the operations if all comparisons hold. Throws `KEY_VALUE_DUPLICATE_KEY`, `KEY_VALUE_VALUE_TOO_LARGE` or
+     * `KEY_VALUE_LEASE_NOT_FOUND` with outcome `not-run` if the operations are invalid.
+     */
     transact(compares: KeyValueCompare[], operations: KeyValueOperation[]): TransactionResult {
         this.check(operations);
         const isMatch = compares.every(compare => this.modRevisionOf(compare.key) === compare.modRevision);
@@ -56,7 +60,7 @@
         return this.leases.keepAlive(leaseId);
     }
 
-    /** Ends a lease and deletes its keys. */
+    /** Ends a lease and deletes its keys. Has no effect if the lease has ended already. */
     endLease(leaseId: string): void {
         this.leases.end(leaseId);
     }
@@ -71,7 +75,7 @@
 
     private check(operations: KeyValueOperation[]): void {
         if (new Set(operations.map(operation => operation.key)).size < operations.length) {
-            throw new KnapweedError("KEY_VALUE_DUPLICATE_KEY", "A transaction changes a key twice.", {
+            throw new KnapweedError("KEY_VALUE_DUPLICATE_KEY", "A transaction changes the same key more than once.", {
                 outcome: "not-run",
             });
         }
@@ -91,7 +95,7 @@
             );
         }
         if (leaseId !== undefined && !this.leases.has(leaseId)) {
-            throw new KnapweedError("KEY_VALUE_LEASE_NOT_FOUND", `Lease ${leaseId} has lapsed or never was.`, {
+            throw new KnapweedError("KEY_VALUE_LEASE_NOT_FOUND", `Lease ${leaseId} does not exist or has expired.`, {
                 outcome: "not-run",
             });
         }
--- a/standins/key-value/src/keyValueWatcher.ts
+++ b/standins/key-value/src/keyValueWatcher.ts
@@ -1,7 +1,7 @@
 import type { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 import type { WatchBatch } from "@knapweedwood/core.key-value/watchBatch";
 
-/** Changes under one prefix, queued for one reader. */
+/** Queues the changes under one prefix for one reader. */
 export class KeyValueWatcher {
     private readonly prefix: string;
     private queue: WatchBatch[] = [];
@@ -13,7 +13,7 @@
         this.prefix = prefix;
     }
 
-    /** Queues the part of `batch` that lies under the prefix. */
+    /** Queues the changes in `batch` that are under the prefix. */
     push(batch: WatchBatch): void {
         const puts = batch.puts.filter(entry => entry.key.startsWith(this.prefix));
         const deletedKeys = batch.deletedKeys.filter(key => key.startsWith(this.prefix));
@@ -23,18 +23,19 @@
         }
     }
 
-    /** Makes the reader throw `error`. */
+    /** Makes `batches` throw `error`. */
     fail(error: KnapweedError): void {
         this.failure = error;
         this.notifyReader();
     }
 
-    /** Ends the reader without an error. */
+    /** Makes `batches` end without an error. */
     end(): void {
         this.ended = true;
         this.notifyReader();
     }
 
+    /** Yields the queued changes, and waits for further ones until the watcher ends or fails. */
     async *batches(): AsyncIterable<WatchBatch> {
         while (!this.ended) {
             if (this.failure !== undefined) {
--- a/standins/key-value/src/leaseTable.ts
+++ b/standins/key-value/src/leaseTable.ts
@@ -8,19 +8,20 @@
     timer: Timer | undefined;
 }
 
-/** Leases that lapse by a clock. */
+/** Leases that expire according to a clock. Times are in milliseconds. */
 export class LeaseTable {
     private readonly clock: Clock;
     private readonly onEnd: (keys: string[]) => void;
     private readonly leases = new Map<string, Lease>();
     private grantedCount = 0;
 
-    /** @param opts.onLapse called with the keys attached to a lease that has ended, shape [keys] */
+    /** @param opts.onEnd called with the keys attached to a lease that has expired or was ended, shape [keys] */
     constructor(opts: { clock: Clock; onEnd: (keys: string[]) => void; }) {
         this.clock = opts.clock;
         this.onEnd = opts.onEnd;
     }
 
+    /** @returns the id of the lease */
     grant(ttlMs: number): string {
         this.grantedCount += 1;
         const leaseId = String(this.grantedCount);
@@ -42,7 +43,11 @@
         this.leases.get(leaseId)?.keys.delete(key);
     }
 
-    /** @returns the time to live left, 0 where the lease has lapsed */
+    /**
+     * Renews a lease.
+     *
+     * @returns the remaining time to live, or 0 if the lease has ended
+     */
     keepAlive(leaseId: string): number {
         const lease = this.leases.get(leaseId);
         if (lease === undefined) {
@@ -52,7 +57,7 @@
         return lease.ttlMs;
     }
 
-    /** Ends a lease. Has no effect where it has lapsed. */
+    /** Ends a lease. Has no effect if it has ended already. */
     end(leaseId: string): void {
         const lease = this.leases.get(leaseId);
         if (lease === undefined) {
@@ -63,6 +68,7 @@
         this.onEnd([...lease.keys]);
     }
 
+    /** Cancels all timers and drops all leases. */
     close(): void {
         this.leases.forEach(lease => lease.timer?.cancel());
         this.leases.clear();
--- a/standins/key-value/src/memoryKeyValueService.ts
+++ b/standins/key-value/src/memoryKeyValueService.ts
@@ -17,13 +17,13 @@
 import { KeyValueStore } from "./keyValueStore.js";
 import { KeyValueWatcher } from "./keyValueWatcher.js";
 
-/** A key-value service in memory, with the faults of the real one. */
+/** An in-memory key-value service that can inject the faults of a real one. */
 export class MemoryKeyValueService implements SnapshotKeyValueService {
     readonly faults = new KeyValueFaults({
         onOutage: () => this.failWatches(),
         onExpireLease: leaseId => this.store.endLease(leaseId),
     });
-    /** Calls so far, refused ones included. */
+    /** Numbers of calls so far, including rejected ones. */
     readonly counters: KeyValueCounters = { reads: 0, writes: 0, keepAlives: 0, watches: 0, activeWatches: 0 };
     private readonly clock: Clock;
     private readonly store: KeyValueStore;
@@ -33,12 +33,12 @@
 
     constructor(opts: { clock: Clock; }) {
         this.clock = opts.clock;
-        // One listener for each delayed call, and there may be many at a time.
+        // Each delayed call adds a listener, and there can be many delayed calls at the same time.
         setMaxListeners(0, this.closing.signal);
         this.store = new KeyValueStore({ clock: opts.clock, onChange: batch => this.publish(batch) });
     }
 
-    /** Revision of the last change. */
+    /** Revision of the latest change. */
     get revision(): number {
         return this.store.revision;
     }
@@ -98,13 +98,13 @@
         }
     }
 
-    /** Drops the history and cuts all watches. */
+    /** Drops the history and makes all watches fail. */
     compact(): void {
         this.history.clear();
         this.failWatches();
     }
 
-    /** Stops the timers of leases and of delays, and ends all watches. */
+    /** Cancels the timers of leases and delays, and ends all watches without an error. */
     close(): void {
         this.closing.abort();
         this.store.close();
@@ -115,8 +115,8 @@
         if (!this.history.isCompleteAfter(afterRevision)) {
             throw new KnapweedError(
                 "KEY_VALUE_COMPACTED",
-                `Changes after revision ${afterRevision} are no longer kept.`,
-                { hint: "List the keys and watch from the revision of the newest." },
+                `Changes after revision ${afterRevision} are no longer stored.`,
+                { hint: "List the keys and watch from the revision of the newest entry." },
             );
         }
         const watcher = new KeyValueWatcher(prefix);
@@ -136,7 +136,7 @@
         await this.beginCall();
         const value = action();
         if (this.faults.consumeLostResponse()) {
-            throw answerLostError("The answer of the key-value service was lost.");
+            throw answerLostError("The response of the key-value service was lost.");
         }
         await this.delayResponse();
         return value;
@@ -147,7 +147,7 @@
             await sleep(this.clock, this.faults.delayMs, this.closing.signal);
         }
         if (this.faults.outage) {
-            throw unavailableError("The key-value service is away.");
+            throw unavailableError("The key-value service is unavailable.");
         }
     }
 
--- a/standins/key-value/src/sortedKeys.ts
+++ b/standins/key-value/src/sortedKeys.ts
@@ -1,4 +1,4 @@
-/** A set of keys in order. */
+/** A set of keys, sorted by UTF-16 code units. */
 export class SortedKeys {
     private readonly keys: string[] = [];
 
@@ -17,7 +17,7 @@
     }
 
     /**
-     * Keys that start with `prefix` and come after `afterKey`, in order.
+     * Returns the keys that start with `prefix` and come after `afterKey`, in order.
      *
      * @returns the keys, shape [at most limit]
      */
--- a/standins/key-value/src/streamWatch.ts
+++ b/standins/key-value/src/streamWatch.ts
@@ -11,7 +11,10 @@
 import type { MemoryKeyValueService } from "./memoryKeyValueService.js";
 import { toKeyValue } from "./toKeyValue.js";
 
-/** Answers `/v3/watch` with lines of JSON, until the caller goes away or the watch is lost. */
+/**
+ * Responds to `/v3/watch` with lines of JSON, until the client disconnects or the watch fails. In an outage, responds
+ * with an error instead.
+ */
 export async function streamWatch(opts: {
     service: MemoryKeyValueService;
     body: EtcdWatchRequest;
@@ -25,7 +28,7 @@
     const startRevision = Number(request.start_revision ?? 0);
     const afterRevision = startRevision > 0 ? startRevision - 1 : service.revision;
     if (service.faults.outage) {
-        const errorResponse = etcdErrorResponse(unavailableError("The key-value service is away."));
+        const errorResponse = etcdErrorResponse(unavailableError("The key-value service is unavailable."));
         response.writeHead(errorResponse.statusCode, { "content-type": "application/json" });
         response.end(JSON.stringify(errorResponse.error));
         return;
--- a/standins/key-value/src/toKeyValue.ts
+++ b/standins/key-value/src/toKeyValue.ts
@@ -2,7 +2,7 @@
 import type { EtcdKeyValue } from "@knapweedwood/adapters.key-value-etcd/etcdKeyValue";
 import type { KeyValueEntry } from "@knapweedwood/core.key-value/keyValueEntry";
 
-/** An entry as etcd sends it. */
+/** Returns an entry in the format of etcd. */
 export function toKeyValue(entry: KeyValueEntry): EtcdKeyValue {
     return {
         key: encodeBytes(entry.key),
--- a/standins/key-value/test/keyValueModel.test.ts
+++ b/standins/key-value/test/keyValueModel.test.ts
@@ -16,15 +16,15 @@
     lease: number | undefined;
 }
 
-/** What the service should hold. Leases are named by their order of granting. */
+/** Model of the expected state of the service. Leases are numbered in the order in which they were granted. */
 class Model {
     revision = 1;
     entries = new Map<string, ModelEntry>();
     leaseExpiryMs: number[] = [];
     nowMs = 0;
     /**
-     * State after each revision, as a watch from the start rebuilds it. Undefined within a group of leases that lapse
-     * in the same millisecond, whose order is not promised.
+     * State after each revision, as a watch from the first revision rebuilds it. Undefined between leases that expire
+     * in the same millisecond, because the order of their expiry is not defined.
      */
     history: (string | undefined)[] = [];
 
@@ -249,7 +249,7 @@
     );
 }
 
-test("the key-value service in memory does as its model", async () => {
+test("the in-memory key-value service behaves like the model", async () => {
     const key = fc.constantFrom(...KEYS);
     const change = fc.record({
         key,
--- a/standins/key-value/test/keyValueServer.test.ts
+++ b/standins/key-value/test/keyValueServer.test.ts
@@ -55,7 +55,7 @@
     assert.equal(await client.keepLeaseAlive(leaseId), 0);
 });
 
-test("refusals of the service are told apart and are not run", async () => {
+test("rejected transactions have distinct error codes and are not run", async () => {
     const tooLarge: KeyValueOperation = { kind: "put", key: "a", value: new Uint8Array(1_000_001) };
     await assert.rejects(client.transact([], [tooLarge]), {
         code: "ERR_KNAPWEED_KEY_VALUE_VALUE_TOO_LARGE",
@@ -72,7 +72,7 @@
     assert.equal(server.service.revision, 1);
 });
 
-test("a write whose answer is lost is unknown, took effect once and is not sent again", async () => {
+test("a write whose response is lost has an unknown outcome, takes effect once and is not sent again", async () => {
     server.applyFaults({ loseAnswers: 1 });
     await assert.rejects(client.transact([], [put("a", "x")]), {
         code: "ERR_KNAPWEED_KEY_VALUE_ANSWER_LOST",
@@ -82,7 +82,7 @@
     assert.equal(await textOf("a"), "x");
 });
 
-test("a write that is answered too late is unknown", async () => {
+test("a write whose response is too late has an unknown outcome", async () => {
     server.applyFaults({ answerDelayMs: 60_000 });
     await assert.rejects(client.transact([], [put("a", "x")]), { outcome: "unknown" });
     server.applyFaults({ answerDelayMs: 0 });
@@ -90,7 +90,7 @@
     assert.equal(server.service.counters.writes, 1);
 });
 
-test("calls in an outage, and calls to a closed port, are not run", async () => {
+test("calls during an outage and calls to a closed port are not run", async () => {
     server.applyFaults({ outage: true });
     const notRun = { code: "ERR_KNAPWEED_KEY_VALUE_UNAVAILABLE", outcome: "not-run" };
     await assert.rejects(client.transact([], [put("a", "x")]), notRun);
@@ -98,12 +98,12 @@
     server.applyFaults({ outage: false });
     assert.equal(await textOf("a"), undefined);
     await server.close();
-    const stranger = new EtcdKeyValueService({ clock, baseUrl: `http://127.0.0.1:${port}` });
-    await assert.rejects(stranger.transact([], [put("a", "x")]), notRun);
-    await stranger.close();
+    const otherClient = new EtcdKeyValueService({ clock, baseUrl: `http://127.0.0.1:${port}` });
+    await assert.rejects(otherClient.transact([], [put("a", "x")]), notRun);
+    await otherClient.close();
 });
 
-test("reads and keep-alives get past connections that went silent; a write on one is unknown", async () => {
+test("reads and keep-alives succeed despite silent connections; a write on one has an unknown outcome", async () => {
     const leaseId = await client.grantLease(5000);
     server.applyFaults({ silentConnections: true });
     assert.equal(await client.keepLeaseAlive(leaseId), 5000);
@@ -114,7 +114,7 @@
     assert.equal(await textOf("a"), "y");
 });
 
-test("a watch goes on, without a gap or a double, after its connection went silent", async () => {
+test("a watch continues without gaps or duplicates after its connection was silenced", async () => {
     const controller = new AbortController();
     const seen: WatchBatch[] = [];
     const watched = (async () => {
@@ -139,7 +139,7 @@
     ]);
 });
 
-test("a watch is lost when an outage begins, and refused while it lasts", async () => {
+test("a watch fails when an outage starts, and new watches are rejected while it lasts", async () => {
     const watchOnce = async () => {
         for await (const _batch of client.watch("", { afterRevision: 1, signal: new AbortController().signal })) {
             server.applyFaults({ outage: true });
@@ -150,7 +150,7 @@
     await assert.rejects(watchOnce(), { code: "ERR_KNAPWEED_KEY_VALUE_UNAVAILABLE" });
 });
 
-test("faults are set and counters read over HTTP", async () => {
+test("faults are changed and counters read over HTTP", async () => {
     const baseUrl = `http://127.0.0.1:${port}`;
     await fetch(`${baseUrl}/faults`, { method: "POST", body: JSON.stringify({ outage: true }) });
     await assert.rejects(client.get("a"));
--- a/standins/key-value/test/memoryKeyValueService.test.ts
+++ b/standins/key-value/test/memoryKeyValueService.test.ts
@@ -25,7 +25,7 @@
     return taken;
 }
 
-test("one of two racing compare-and-swaps succeeds and the other sees the winner", async () => {
+test("one of two racing compare-and-swaps succeeds, and the other receives the entry that was written", async () => {
     const service = new MemoryKeyValueService({ clock: new ManualClock() });
     const [first, second] = await Promise.all([
         service.transact([{ key: "a", modRevision: 0 }], [put("a", "first")]),
@@ -37,7 +37,7 @@
     assert.equal(await textOf(service, "a"), "first");
 });
 
-test("a lease that is not kept alive lapses and takes its keys along", async () => {
+test("a lease that is not kept alive expires, and its keys are deleted", async () => {
     const clock = new ManualClock();
     const service = new MemoryKeyValueService({ clock });
     const leaseId = await service.grantLease(1000);
@@ -54,7 +54,7 @@
     });
 });
 
-test("a key put again without its lease outlives the lease", async () => {
+test("a key that is put again without its lease is kept when the lease expires", async () => {
     const service = new MemoryKeyValueService({ clock: new ManualClock() });
     const leaseId = await service.grantLease(1000);
     await service.transact([], [put("a", "x", leaseId)]);
@@ -63,7 +63,7 @@
     assert.equal(await textOf(service, "a"), "y");
 });
 
-test("a watch reports what changed together, from the revision asked for", async () => {
+test("a watch reports the changes of each revision together, from the requested revision", async () => {
     const service = new MemoryKeyValueService({ clock: new ManualClock() });
     const first = await service.transact([], [put("w/1", "a"), put("other", "a")]);
     const second = await service.transact([], [put("w/2", "b"), { kind: "delete", key: "w/1" }]);
@@ -77,7 +77,7 @@
     assert.equal(service.counters.activeWatches, 0);
 });
 
-test("a watch ends when aborted and throws when an outage begins", async () => {
+test("a watch ends when it is aborted, and throws when an outage starts", async () => {
     const service = new MemoryKeyValueService({ clock: new ManualClock() });
     const controller = new AbortController();
     const aborted = take(service.watch("", { afterRevision: 0, signal: controller.signal }), 1);
@@ -91,7 +91,7 @@
     await rejected;
 });
 
-test("a write whose answer is lost has taken effect; one refused in an outage has not", async () => {
+test("a write whose response is lost has taken effect, and a write rejected in an outage has not", async () => {
     const service = new MemoryKeyValueService({ clock: new ManualClock() });
     service.faults.loseNextResponses(1);
     await assert.rejects(service.transact([], [put("a", "1")]), {
@@ -108,7 +108,7 @@
     assert.equal(await textOf(service, "a"), "1");
 });
 
-test("values over a megabyte are refused", async () => {
+test("values over a megabyte are rejected", async () => {
     const service = new MemoryKeyValueService({ clock: new ManualClock() });
     const operation: KeyValueOperation = { kind: "put", key: "a", value: new Uint8Array(1_000_001) };
     await assert.rejects(service.transact([], [operation]), { code: "ERR_KNAPWEED_KEY_VALUE_VALUE_TOO_LARGE" });
--- a/standins/key-value/test/settleTransaction.test.ts
+++ b/standins/key-value/test/settleTransaction.test.ts
@@ -25,7 +25,7 @@
     return service.transact([], [{ kind: "put", key: KEY, value: Buffer.from(text) }]);
 }
 
-test("a lost answer of a write that took effect settles as succeeded, written once", async () => {
+test("a write that took effect and whose response was lost settles as succeeded and is written once", async () => {
     const clock = new ManualClock();
     const service = new MemoryKeyValueService({ clock });
     service.faults.loseNextResponses(2);
@@ -34,7 +34,7 @@
     assert.equal(service.revision, 2);
 });
 
-test("a comparison that fails is told as failed, with what is there", async () => {
+test("a failed comparison settles as failed, with the current entries", async () => {
     const clock = new ManualClock();
     const service = new MemoryKeyValueService({ clock });
     const { revision } = await write(service, "theirs");
@@ -43,7 +43,7 @@
     assert.deepEqual(settled.kind === "failed" && settled.current.map(entry => entry.modRevision), [revision]);
 });
 
-test("a write that may have been replaced after its answer was lost stays unknown", async () => {
+test("a write that may have been replaced after its response was lost settles as unknown", async () => {
     const clock = new ManualClock();
     const service = new MemoryKeyValueService({ clock });
     service.faults.loseNextResponses(1);
@@ -60,7 +60,7 @@
     assert.deepEqual(await settled, { kind: "unknown" });
 });
 
-test("an outage is thrown as not run, unless an earlier attempt may have run", async () => {
+test("an outage rejects with the outcome not-run, unless an earlier attempt may have run", async () => {
     const clock = new ManualClock();
     const service = new MemoryKeyValueService({ clock });
     service.faults.outage = true;
@@ -73,7 +73,7 @@
     assert.deepEqual(await settle({ service, clock }), { kind: "unknown" });
 });
 
-test("a counting service counts what passes through it", async () => {
+test("a counting service counts the calls that pass through it", async () => {
     const clock = new ManualClock();
     const counting = new CountingKeyValueService(new MemoryKeyValueService({ clock }));
     await settle({ service: counting, clock });
