--- a/standins/network/src/networkDirection.ts
+++ b/standins/network/src/networkDirection.ts
@@ -1,2 +1,2 @@
-/** Direction through a relay: `forward` is away from the end that connects. */
+/** Direction through a relay: `forward` is from the connecting client to the target. */
 export type NetworkDirection = "forward" | "backward";
--- a/standins/network/src/tcpRelay.ts
+++ b/standins/network/src/tcpRelay.ts
@@ -1,11 +1,11 @@
 import { type AddressInfo, connect, createServer, type Server, type Socket } from "node:net";
 import type { NetworkDirection } from "./networkDirection.js";
 
-/** One direction of a connection. */
+/** Pending deliveries in one direction of a connection. */
 interface DirectionQueue {
-    /** When what was carried last arrives. */
+    /** Time at which the last delivery is due. */
     dueAtMs: number;
-    /** What is on its way, in order. */
+    /** Deliveries that are not yet due, in order. */
     deliveries: (() => void)[];
 }
 
@@ -15,7 +15,7 @@
     silent: Set<NetworkDirection>;
 }
 
-/** A TCP relay that can cut its connections, or let them go silent in either direction while new ones work. */
+/** A TCP relay that can cut its connections, delay them, or silence them in either direction while new ones work. */
 export class TcpRelay {
     private readonly target: { host: string; port: number; };
     private readonly server: Server;
@@ -29,32 +29,37 @@
         this.server = createServer({ noDelay: true }, client => this.onConnection(client));
     }
 
-    /** @returns the address of the relay, as `host:port` */
+    /**
+     * Starts to listen on a free port.
+     *
+     * @returns the address of the relay, as `host:port`
+     */
     async listen(host = "127.0.0.1"): Promise<string> {
         await new Promise<void>(resolve => this.server.listen(0, host, resolve));
         return `${host}:${(this.server.address() as AddressInfo).port}`;
     }
 
-    /** From now on new connections go silent at once, too. */
+    /** Silences new connections in these directions from their start. Without arguments, new connections work. */
     silenceNew(...directions: NetworkDirection[]): void {
         this.newSilentDirections = directions;
     }
 
-    /** What is carried from now on arrives so much later. */
+    /** Delays data and connection closes that the relay receives from now on. */
     setDelay(delayMs: number): void {
         this.delayMs = delayMs;
     }
 
-    /** Connections accepted so far. */
+    /** Number of connections accepted so far. */
     get connectionCount(): number {
         return this.connections.length;
     }
 
-    /** Lets the connections of now go silent for good: nothing passes any more, not even their end. */
+    /** Silences the existing connections for good. Nothing passes any more, not even the close of a connection. */
     silence(...directions: NetworkDirection[]): void {
         this.connections.forEach(connection => directions.forEach(direction => connection.silent.add(direction)));
     }
 
+    /** Destroys both sockets of each connection. */
     cut(): void {
         this.connections.forEach(({ client, target }) => {
             client.destroy();
@@ -62,11 +67,12 @@
         });
     }
 
-    /** Cuts each connection once it has carried `bytes` bytes backward. */
+    /** Cuts each connection when it has received more than `bytes` bytes from the target. */
     cutAfter(bytes: number): void {
         this.cutAfterBytes = bytes;
     }
 
+    /** Cuts all connections and stops to listen. */
     close(): void {
         this.cut();
         this.server.close();
@@ -99,7 +105,7 @@
         target.on("error", () => undefined);
     }
 
-    /** Bytes and the end of a connection stay in order, also while the delay changes. */
+    /** Runs a delivery after the delay. Data and the close of a connection stay in order when the delay changes. */
     private deliver(queue: DirectionQueue, delivery: () => void): void {
         const nowMs = Date.now();
         queue.dueAtMs = Math.max(queue.dueAtMs, nowMs + this.delayMs);
