--- a/standins/service/src/serviceCallRecord.ts
+++ b/standins/service/src/serviceCallRecord.ts
@@ -1,17 +1,17 @@
-/** One call that the service ran. */
+/** A call that the service ran. */
 export interface ServiceCallRecord {
-    /** Order of running, from 0. */
+    /** Position in the order of running, from 0. */
     sequenceNumber: number;
     method: string;
     path: string;
     /** Value of the header `Idempotency-Key`. */
     idempotencyKey: string | undefined;
-    /** Value of the header `X-Marker`, by which an auditor names its calls. */
+    /** Value of the header `X-Marker`, by which an auditor identifies its calls. */
     marker: string | undefined;
-    /** SHA-256 of the body, in hexadecimal. */
+    /** SHA-256 of the body, in hexadecimal. Empty until the whole body was received. */
     bodyDigest: string;
     bodySizeBytes: number;
     startedMs: number;
-    /** Whether the whole answer was handed to the connection. */
+    /** Whether the whole response was written to the connection. */
     isAnswered: boolean;
 }
--- a/standins/service/src/serviceFaultUpdate.ts
+++ b/standins/service/src/serviceFaultUpdate.ts
@@ -1,15 +1,15 @@
-/** Body of `POST /__faults`: what is left out stays as it is. */
+/** Body of `POST /__faults`. Omitted fields keep their values. */
 export interface ServiceFaultUpdate {
     /** Delay before a call runs. */
     delayMs?: number;
-    /** How many of the next calls run and are answered with status 500. */
+    /** Number of subsequent calls that run and get a response with status 500. */
     errors?: number;
-    /** How many of the next calls are refused with status 503 without running. */
+    /** Number of subsequent calls that are rejected with status 503 and don't run. */
     refusals?: number;
-    /** How many of the next calls run and lose their connection before the answer. */
+    /** Number of subsequent calls that run, but whose connection is closed before the response. */
     loseAnswers?: number;
-    /** Ends the process after the next call has run, before its answer. */
+    /** Whether the process exits after the next call has run, before its response. */
     dieAfterNextCall?: boolean;
-    /** Makes the connections that are open now go silent for good. */
+    /** If true, silences the connections that are open now, for good. */
     silentConnections?: boolean;
 }
--- a/standins/service/src/serviceFaults.ts
+++ b/standins/service/src/serviceFaults.ts
@@ -1,6 +1,6 @@
 import type { ServiceFaultUpdate } from "./serviceFaultUpdate.js";
 
-/** Faults that await the next calls. */
+/** Faults that apply to subsequent calls. Each `consume` method uses up one fault and returns whether there was one. */
 export class ServiceFaults {
     delayMs = 0;
     dieAfterNextCall = false;
--- a/standins/service/src/serviceServer.ts
+++ b/standins/service/src/serviceServer.ts
@@ -15,15 +15,16 @@
 const UNAVAILABLE_STATUS = 503;
 
 /**
- * A plain service that echoes what it is sent and records each call that it ran.
+ * Stand-in for a plain service. It echoes calls and records each call that it ran.
  *
- * - any path: runs the call, and answers with its method, path, headers and body as JSON
  * - `/stream`: runs the call, and sends the body back as it arrives
- * - `/status/CODE`: runs the call, and answers with that status
- * - `GET /__record`: all calls that ran; `POST /__faults`: sets faults
+ * - `/status/CODE`: runs the call, and responds with that status
+ * - `GET /__record`: returns the records of the calls
+ * - `POST /__faults`: changes the faults
+ * - any other path: runs the call, and responds with its method, path, headers and body as JSON
  */
 export class ServiceServer {
-    /** Calls that ran, shape [calls]. */
+    /** Records of the calls that ran, in order, shape [calls]. */
     readonly callRecords: ServiceCallRecord[] = [];
     private readonly clock: Clock;
     private readonly faults = new ServiceFaults();
@@ -31,14 +32,18 @@
     private readonly http: HttpStandin;
     private readonly closing = new AbortController();
 
-    /** @param opts.onDie what `dieAfterNextCall` does; by default the process exits */
+    /** @param opts.onExit called instead of the exit of the process that `dieAfterNextCall` causes */
     constructor(opts: { clock: Clock; onExit?: () => void; }) {
         this.clock = opts.clock;
         this.onExit = opts.onExit ?? (() => process.exit(1));
         this.http = new HttpStandin({ handler: (request, response, url) => this.handle(request, response, url) });
     }
 
-    /** @returns the port */
+    /**
+     * Starts to listen. Rejects if the address can't be bound.
+     *
+     * @returns the port
+     */
     listen(opts: { host: string; port: number; }): Promise<number> {
         return this.http.listen(opts);
     }
@@ -48,6 +53,7 @@
         return this.http.close();
     }
 
+    /** Changes the faults, as `POST /__faults` does. */
     applyFaults(update: ServiceFaultUpdate): void {
         this.faults.apply(update);
         if (update.silentConnections === true) {
@@ -126,6 +132,7 @@
         record.bodyDigest = hash.digest("hex");
     }
 
+    /** Applies a fault that prevents the response. Returns whether there was one. */
     private loseResponse(request: IncomingMessage): boolean {
         if (this.faults.dieAfterNextCall) {
             this.onExit();
--- a/standins/service/test/serviceServer.test.ts
+++ b/standins/service/test/serviceServer.test.ts
@@ -34,29 +34,29 @@
     );
 });
 
-test("a call whose answer is lost ran once; one that is refused did not run", async () => {
+test("a call whose response is lost ran once, and a rejected call did not run", async () => {
     server.applyFaults({ loseAnswers: 1 });
     await assert.rejects(fetch(`${baseUrl}/`, { method: "POST", headers: { "x-marker": "lost" }, body: "x" }));
     assert.deepEqual(callsWith("lost").map(call => call.isAnswered), [false]);
     server.applyFaults({ refusals: 1 });
-    const refused = await fetch(`${baseUrl}/`, { method: "POST", headers: { "x-marker": "refused" }, body: "x" });
-    assert.equal(refused.status, 503);
+    const rejected = await fetch(`${baseUrl}/`, { method: "POST", headers: { "x-marker": "refused" }, body: "x" });
+    assert.equal(rejected.status, 503);
     assert.deepEqual(callsWith("refused"), []);
 });
 
-test("an error and a death come after the call has run", async () => {
+test("an error response and an exit happen after the call has run", async () => {
     server.applyFaults({ errors: 1 });
     const response = await fetch(`${baseUrl}/`, { headers: { "x-marker": "error" } });
     assert.equal(response.status, 500);
     assert.equal(callsWith("error").length, 1);
     server.applyFaults({ dieAfterNextCall: true });
     const controller = new AbortController();
-    const dying = fetch(`${baseUrl}/`, { headers: { "x-marker": "death" }, signal: controller.signal });
+    const unanswered = fetch(`${baseUrl}/`, { headers: { "x-marker": "death" }, signal: controller.signal });
     while (exits === 0) {
         await new Promise(resolve => setImmediate(resolve));
     }
     controller.abort();
-    await assert.rejects(dying);
+    await assert.rejects(unanswered);
     server.applyFaults({ dieAfterNextCall: false });
     assert.equal(callsWith("death").length, 1);
 });
