--- a/standins/weight-store/src/memoryWeightStore.ts
+++ b/standins/weight-store/src/memoryWeightStore.ts
@@ -13,11 +13,11 @@
     endMs: number;
 }
 
-/** A weight store in memory that serves one transfer after the other at a fixed rate. */
+/** An in-memory weight store that schedules transfers one after the other, at a fixed rate. */
 export class MemoryWeightStore implements WeightStore {
-    /** While true, calls are refused. */
+    /** While true, calls reject with `WEIGHT_STORE_UNAVAILABLE`. */
     outage = false;
-    /** Rate of new transfers. Changed at any time by the owner. */
+    /** Rate of new transfers. The owner can change it at any time. */
     bytesPerS: number;
     private readonly clock: Clock;
     private transfers: Transfer[] = [];
@@ -53,7 +53,9 @@
 
     private throwIfUnavailable(): void {
         if (this.outage) {
-            throw new KnapweedError("WEIGHT_STORE_UNAVAILABLE", "The weight store is away.", { outcome: "not-run" });
+            throw new KnapweedError("WEIGHT_STORE_UNAVAILABLE", "The weight store is unavailable.", {
+                outcome: "not-run",
+            });
         }
     }
 }
--- a/standins/weight-store/src/weightStoreFaultUpdate.ts
+++ b/standins/weight-store/src/weightStoreFaultUpdate.ts
@@ -1,7 +1,7 @@
-/** Body of `POST /faults`: what is left out stays as it is. */
+/** Body of `POST /faults`. Omitted fields keep their values. */
 export interface WeightStoreFaultUpdate {
     outage?: boolean;
     bytesPerS?: number;
-    /** Makes the connections that are open now go silent for good. */
+    /** If true, silences the connections that are open now, for good. */
     silentConnections?: boolean;
 }
--- a/standins/weight-store/src/weightStoreServer.ts
+++ b/standins/weight-store/src/weightStoreServer.ts
@@ -11,7 +11,7 @@
 const NOT_FOUND_STATUS = 404;
 const UNAVAILABLE_STATUS = 503;
 
-/** The weight store as a server: `/v1/reservations` and `POST /faults`. */
+/** Stand-in server of the weight store: `/v1/reservations` and `POST /faults`. */
 export class WeightStoreServer {
     readonly store: MemoryWeightStore;
     private readonly http: HttpStandin;
@@ -21,7 +21,11 @@
         this.http = new HttpStandin({ handler: (request, response, url) => this.handle(request, response, url) });
     }
 
-    /** @returns the port */
+    /**
+     * Starts to listen. Rejects if the address can't be bound.
+     *
+     * @returns the port
+     */
     listen(opts: { host: string; port: number; }): Promise<number> {
         return this.http.listen(opts);
     }
@@ -30,6 +34,7 @@
         return this.http.close();
     }
 
+    /** Changes the faults, as `POST /faults` does. */
     applyFaults(update: WeightStoreFaultUpdate): void {
         this.store.outage = update.outage ?? this.store.outage;
         this.store.bytesPerS = update.bytesPerS ?? this.store.bytesPerS;
--- a/standins/weight-store/test/weightStoreServer.test.ts
+++ b/standins/weight-store/test/weightStoreServer.test.ts
@@ -9,7 +9,7 @@
 
 const request = { model: "model" as ModelName, version: "1" as ModelVersion, sizeBytes: 2000 };
 
-test("transfers wait for those reserved before them, and not for those given back", async () => {
+test("transfers wait for earlier reservations, but not for cancelled ones", async () => {
     const clock = new ManualClock();
     const server = new WeightStoreServer({ clock, bytesPerS: 1000 });
     const port = await server.listen({ host: "127.0.0.1", port: 0 });
