--- a/standins/instance-list/src/instanceListFaultUpdate.ts
+++ b/standins/instance-list/src/instanceListFaultUpdate.ts
@@ -3,6 +3,6 @@
     outage?: boolean;
     lagMs?: number;
     ttlMs?: number;
-    /** If true, silences the connections that are open now, for good. */
+    /** Makes the connections that are open now go silent for good. */
     silentConnections?: boolean;
 }
--- a/standins/key-value/src/etcdErrorResponse.ts
+++ b/standins/key-value/src/etcdErrorResponse.ts
@@ -6,20 +6,20 @@
     error: EtcdError;
 }
 
-const ERROR_RESPONSES: { [code: string]: EtcdErrorResponse; } = {
-    ERR_KNAPWEED_KEY_VALUE_LEASE_NOT_FOUND: createResponse(404, 5, "etcdserver: requested lease not found"),
-    ERR_KNAPWEED_KEY_VALUE_DUPLICATE_KEY: createResponse(400, 3, "etcdserver: duplicate key given in txn request"),
-    ERR_KNAPWEED_KEY_VALUE_VALUE_TOO_LARGE: createResponse(400, 3, "etcdserver: request is too large"),
-    ERR_KNAPWEED_KEY_VALUE_UNAVAILABLE: createResponse(503, 14, "etcdserver: no leader"),
-    ERR_KNAPWEED_ETCD_UNSUPPORTED: createResponse(501, 12, "not supported by the stand-in"),
+const RESPONSES: { [code: string]: EtcdErrorResponse; } = {
+    ERR_KNAPWEED_KEY_VALUE_LEASE_NOT_FOUND: failure(404, 5, "etcdserver: requested lease not found"),
+    ERR_KNAPWEED_KEY_VALUE_DUPLICATE_KEY: failure(400, 3, "etcdserver: duplicate key given in txn request"),
+    ERR_KNAPWEED_KEY_VALUE_VALUE_TOO_LARGE: failure(400, 3, "etcdserver: request is too large"),
+    ERR_KNAPWEED_KEY_VALUE_UNAVAILABLE: failure(503, 14, "etcdserver: no leader"),
+    ERR_KNAPWEED_ETCD_UNSUPPORTED: failure(501, 12, "not supported by the stand-in"),
 };
 
 /** Returns the response that etcd sends for an error. */
 export function etcdErrorResponse(thrown: unknown): EtcdErrorResponse {
     const error = toKnapweedError(thrown);
-    return ERROR_RESPONSES[error.code] ?? createResponse(500, 13, error.message);
+    return RESPONSES[error.code] ?? failure(500, 13, error.message);
 }
 
-function createResponse(statusCode: number, code: number, message: string): EtcdErrorResponse {
+function failure(statusCode: number, code: number, message: string): EtcdErrorResponse {
     return { statusCode, error: { code, message } };
 }
--- a/standins/key-value/src/keyValueFaultUpdate.ts
+++ b/standins/key-value/src/keyValueFaultUpdate.ts
@@ -7,6 +7,6 @@
     loseAnswers?: number;
     /** Id of a lease that expires now. */
     lapseLease?: string;
-    /** If true, silences the connections that are open now, for good. */
+    /** Makes the connections that are open now go silent for good. */
     silentConnections?: boolean;
 }
--- a/standins/service/src/serviceFaultUpdate.ts
+++ b/standins/service/src/serviceFaultUpdate.ts
@@ -6,10 +6,10 @@
     errors?: number;
     /** Number of subsequent calls that are rejected with status 503 and don't run. */
     refusals?: number;
-    /** Number of subsequent calls that run, but whose connection is closed before the response. */
+    /** Number of subsequent calls that run, but lose their connection before the response. */
     loseAnswers?: number;
-    /** Whether the process exits after the next call has run, before its response. */
+    /** Ends the process after the next call has run, before its response. */
     dieAfterNextCall?: boolean;
-    /** If true, silences the connections that are open now, for good. */
+    /** Makes the connections that are open now go silent for good. */
     silentConnections?: boolean;
 }
--- a/standins/weight-store/src/weightStoreFaultUpdate.ts
+++ b/standins/weight-store/src/weightStoreFaultUpdate.ts
@@ -2,6 +2,6 @@
 export interface WeightStoreFaultUpdate {
     outage?: boolean;
     bytesPerS?: number;
-    /** If true, silences the connections that are open now, for good. */
+    /** Makes the connections that are open now go silent for good. */
     silentConnections?: boolean;
 }
