--- a/standins/engine/src/engineCore.ts
+++ b/standins/engine/src/engineCore.ts
@@ -78,7 +78,7 @@
         this.waiting = this.waiting.filter(other => other !== sequence);
     }
 
-    /** Returns the load that the engine reports, which is `loadLagMs` old. */
+    /** Returns the newest load that is at least `loadLagMs` old, or the current load if there is none. */
     reportedLoad(): EngineLoad {
         return this.loadHistory.reportedAt(this.clock.nowMs()) ?? this.currentLoad();
     }
