--- a/fuzz/promises/src/fleet.ts
+++ b/fuzz/promises/src/fleet.ts
@@ -93,7 +93,7 @@
     /** Ends all faults: of the key-value service, the network, the disks and the instances. */
     clearFaults(): void {
         this.platform.keyValue.faults.outage = false;
-        this.platform.keyValue.faults.loseNextAnswers(0);
+        this.platform.keyValue.faults.loseNextResponses(0);
         this.platform.keyValue.faults.delayMs = 0;
         this.platform.network.clearFaults();
         this.dataFolders.forEach(folder => folder.isFull = false);
--- a/fuzz/promises/src/fuzzCase.ts
+++ b/fuzz/promises/src/fuzzCase.ts
@@ -95,7 +95,7 @@
                 return this.endFaultAfter(step.durationMs, () => keyValue.faults.delayMs = 0);
             case "lose-write-answers":
                 this.recordFault(0);
-                return keyValue.faults.loseNextAnswers(step.count);
+                return keyValue.faults.loseNextResponses(step.count);
             case "lose-call-answers":
                 this.recordFault(0);
                 return network.loseNextResponses(step.count);
@@ -174,7 +174,7 @@
     /** Expires the leases of all live entries at once. The owners notice only later. */
     private expireLeases(): void {
         const { keyValue } = this.fleet.platform;
-        this.fleet.leaseIds().forEach(leaseId => keyValue.faults.lapseLease(leaseId));
+        this.fleet.leaseIds().forEach(leaseId => keyValue.faults.expireLease(leaseId));
     }
 
     /** Truncates the segments of one data folder, once a case: with two copies, only one may be lost. */
--- a/standins/engine/src/completionHandler.ts
+++ b/standins/engine/src/completionHandler.ts
@@ -5,45 +5,46 @@
 import { promptTextOf } from "@knapweedwood/engines.model-engine/promptTextOf";
 import type { ResumePoint } from "@knapweedwood/engines.model-engine/resumePoint";
 import type { IncomingMessage, ServerResponse } from "node:http";
-import { AnswerStream } from "./answerStream.js";
+import { CompletionWriter } from "./completionWriter.js";
 import type { EngineCore } from "./engineCore.js";
 import type { EngineFaults } from "./engineFaults.js";
 import type { EngineSequence } from "./engineSequence.js";
 import { poisonOf } from "./poisonOf.js";
-import { RequestRecords } from "./requestRecords.js";
+import { RequestCounter } from "./requestCounter.js";
 import { sendError } from "./sendError.js";
 
 const MS_PER_SECOND = 1000;
-/** How many ended requests keep their KV cache for an export. */
+/** Number of most recent requests whose KV cache can be exported. */
 const EXPORTABLE_REQUESTS = 256;
 
-/** Answers completion requests of a stand-in engine. */
+/** Handles the completion requests of a stand-in engine. */
 export class CompletionHandler {
     private readonly clock: Clock;
     private readonly random: Random;
     private readonly core: EngineCore;
-    private readonly records: RequestRecords;
+    private readonly requestCounter: RequestCounter;
     private readonly faults: EngineFaults;
     private readonly readyNames: () => string[];
     private readonly sequences = new Map<string, EngineSequence>();
-    private requestCount = 0;
+    private requestNumber = 0;
 
     constructor(opts: {
         clock: Clock;
         random: Random;
         core: EngineCore;
-        records: RequestRecords;
+        requestCounter: RequestCounter;
         faults: EngineFaults;
         readyNames: () => string[];
     }) {
         this.clock = opts.clock;
         this.random = opts.random;
         this.core = opts.core;
-        this.records = opts.records;
+        this.requestCounter = opts.requestCounter;
         this.faults = opts.faults;
         this.readyNames = opts.readyNames;
     }
 
+    /** Runs a request, or fails it if its model isn't loaded or a fault applies to it. */
     handle(
         endpoint: GenerateRequest["endpoint"],
         body: JsonObject,
@@ -54,17 +55,17 @@
             sendError(response, 404, "model_not_found", `The model '${String(body.model)}' is not loaded`);
             return;
         }
-        const marker = RequestRecords.markerOf(body);
-        if (this.refuseFaulty(marker, body, response)) {
+        const marker = RequestCounter.markerOf(body);
+        if (this.failIfFaulty(marker, body, response)) {
             return;
         }
-        this.requestCount += 1;
-        const id = String(request.headers["x-request-id"] ?? `request-${this.requestCount}`);
+        this.requestNumber += 1;
+        const id = String(request.headers["x-request-id"] ?? `request-${this.requestNumber}`);
         const generateRequest = { endpoint, body, resumeFrom: body.knapweed_resume as ResumePoint | undefined };
         this.run({ generateRequest, response, marker, id });
     }
 
-    /** The text that the KV cache of a request covers; undefined where the request is not known. */
+    /** Returns the text that the KV cache of a request covers, or undefined if the request is unknown. */
     coveredText(requestId: string): string | undefined {
         return this.sequences.get(requestId)?.coveredText();
     }
@@ -73,47 +74,48 @@
         opts: { generateRequest: GenerateRequest; response: ServerResponse; marker: string; id: string; },
     ): void {
         let isFinished = false;
-        this.records.count(opts.marker, "started");
-        const stream = new AnswerStream({
+        this.requestCounter.count(opts.marker, "started");
+        const stream = new CompletionWriter({
             response: opts.response,
             request: opts.generateRequest,
             id: opts.id,
             createdAtSeconds: Math.floor(this.clock.nowMs() / MS_PER_SECOND),
             onFinish: () => {
                 isFinished = true;
-                this.records.count(opts.marker, "finished");
+                this.requestCounter.count(opts.marker, "finished");
             },
         });
         const sequence = this.core.submit(opts.generateRequest, stream);
-        this.remember(opts.id, sequence);
+        this.keepForExport(opts.id, sequence);
         opts.response.on("close", () => {
             if (!isFinished) {
                 this.core.cancel(sequence);
-                this.records.count(opts.marker, "cancelled");
+                this.requestCounter.count(opts.marker, "cancelled");
             }
         });
     }
 
-    private refuseFaulty(marker: string, body: JsonObject, response: ServerResponse): boolean {
+    /** Fails the request if its prompt has a fault marker or the error share selects it. Returns whether it failed. */
+    private failIfFaulty(marker: string, body: JsonObject, response: ServerResponse): boolean {
         const poison = poisonOf(promptTextOf(body));
         if (poison === "malformed") {
             sendError(response, 400, "invalid_prompt", "The prompt is malformed");
             return true;
         }
         if (poison === "crash") {
-            this.records.count(marker, "started");
+            this.requestCounter.count(marker, "started");
             response.destroy();
             return true;
         }
         if (poison === "never-completes" || this.random.next() < this.faults.errorShare) {
-            this.records.count(marker, "started");
+            this.requestCounter.count(marker, "started");
             sendError(response, 500, "internal_error", "The request can't be completed");
             return true;
         }
         return false;
     }
 
-    private remember(id: string, sequence: EngineSequence): void {
+    private keepForExport(id: string, sequence: EngineSequence): void {
         this.sequences.set(id, sequence);
         const oldest = this.sequences.keys().next().value;
         if (this.sequences.size > EXPORTABLE_REQUESTS && oldest !== undefined) {
--- a/standins/engine/src/engineServer.ts
+++ b/standins/engine/src/engineServer.ts
@@ -12,7 +12,7 @@
 import type { EngineServerOptions } from "./engineServerOptions.js";
 import { LoadedModels } from "./loadedModels.js";
 import { readBody } from "./readBody.js";
-import { RequestRecords } from "./requestRecords.js";
+import { RequestCounter } from "./requestCounter.js";
 import { sendError } from "./sendError.js";
 import { sendJson } from "./sendJson.js";
 import { SilentConnections } from "./silentConnections.js";
@@ -24,12 +24,12 @@
 type Exchange = { request: IncomingMessage; response: ServerResponse; };
 type Route = (body: Buffer, exchange: Exchange) => void;
 
-/** A stand-in model engine: an OpenAI-compatible HTTP server with a step-time model and faults. */
+/** A stand-in model engine: an OpenAI-compatible HTTP server with a model of step durations and with faults. */
 export class EngineServer {
     readonly core: EngineCore;
     private readonly server: Server;
     private readonly connections = new SilentConnections();
-    private readonly records = new RequestRecords();
+    private readonly requestCounter = new RequestCounter();
     private readonly faults: EngineFaults = { slowFactor: 1, errorShare: 0, silentConnections: false, freeze: false };
     private readonly models: LoadedModels;
     private readonly events: CacheEventFeed;
@@ -54,12 +54,12 @@
             clock: opts.clock,
             random,
             core: this.core,
-            records: this.records,
+            requestCounter: this.requestCounter,
             faults: this.faults,
             readyNames: () => this.models.readyNames(),
         });
         this.routes = this.createRoutes();
-        this.server = createServer((request, response) => void this.answer({ request, response }));
+        this.server = createServer((request, response) => void this.handle({ request, response }));
         this.server.keepAliveTimeout = KEEP_ALIVE_MS;
         this.server.on("connection", (socket: Socket) => {
             socket.setNoDelay(true);
@@ -67,7 +67,11 @@
         });
     }
 
-    /** @returns the port bound */
+    /**
+     * Starts to listen. Rejects if the address can't be bound.
+     *
+     * @returns the port
+     */
     listen(opts: { host: string; port: number; }): Promise<number> {
         return new Promise((resolve, reject) => {
             this.server.once("error", reject);
@@ -75,7 +79,7 @@
         });
     }
 
-    /** Ends all connections. */
+    /** Stops the server and destroys its connections. */
     close(): Promise<void> {
         return new Promise(resolve => {
             this.server.close(() => resolve());
@@ -103,7 +107,7 @@
             "GET /v1/models": (_body, { response }) => sendJson(response, 200, this.modelList()),
             "GET /load": (_body, { response }) => sendJson(response, 200, this.core.reportedLoad()),
             "GET /state": (_body, { response }) => sendJson(response, 200, this.models.state()),
-            "POST /orders": (body, { response }) => this.order(parse(body), response),
+            "POST /orders": (body, { response }) => this.handleOrder(parse(body), response),
             "GET /cache/events": (_body, { response }) => this.streamCacheEvents(response),
             "POST /cache/export": (body, { response }) => this.exportCache(parse(body), response),
             "POST /cache/import": (body, { response }) => this.importCache(body, response),
@@ -111,12 +115,12 @@
                 this.setFaults(parse(body));
                 sendJson(response, 200, this.faults);
             },
-            "GET /__record": (_body, { response }) => sendJson(response, 200, this.records.toJson()),
+            "GET /__record": (_body, { response }) => sendJson(response, 200, this.requestCounter.toJson()),
             "GET /__totals": (_body, { response }) => sendJson(response, 200, this.core.totals),
         };
     }
 
-    private async answer(exchange: Exchange): Promise<void> {
+    private async handle(exchange: Exchange): Promise<void> {
         const { request, response } = exchange;
         if (this.connections.isSilent(request.socket)) {
             return;
@@ -142,7 +146,7 @@
         };
     }
 
-    private order(order: JsonObject, response: ServerResponse): void {
+    private handleOrder(order: JsonObject, response: ServerResponse): void {
         if (this.models.accept(order as unknown as EngineOrder)) {
             sendJson(response, 200, { accepted: true });
             return;
--- a/standins/engine/src/inMemoryEngine.ts
+++ b/standins/engine/src/inMemoryEngine.ts
@@ -14,7 +14,7 @@
 import { poisonOf } from "./poisonOf.js";
 import type { StepModel } from "./stepModel.js";
 
-/** A stand-in engine within the process, for tests and simulations on a clock that is moved by hand. */
+/** An in-process stand-in engine, for tests and simulations with a manual clock. */
 export class InMemoryEngine implements ModelEngine {
     readonly core: EngineCore;
 
@@ -23,25 +23,25 @@
     }
 
     async *generate(request: GenerateRequest, opts: { signal: AbortSignal; }): AsyncGenerator<GenerateEvent> {
-        refusePoisoned(request);
+        throwIfPoisoned(request);
         const events: GenerateEvent[] = [];
-        let wake = () => {};
+        let notifyReader = () => {};
         const publish = (event: GenerateEvent) => {
             events.push(event);
-            wake();
+            notifyReader();
         };
         const sequence = this.core.submit(request, {
             token: text => publish({ kind: "chunk", text, tokenCount: 1 }),
             finish: (finishReason, usage) => publish({ kind: "finish", finishReason, usage }),
         });
-        const onAbort = () => wake();
+        const onAbort = () => notifyReader();
         opts.signal.addEventListener("abort", onAbort);
         try {
             while (!opts.signal.aborted) {
                 const event = events.shift();
                 if (event === undefined) {
                     await new Promise<void>(resolve => {
-                        wake = resolve;
+                        notifyReader = resolve;
                     });
                     continue;
                 }
@@ -85,20 +85,24 @@
     }
 }
 
-function refusePoisoned(request: GenerateRequest): void {
+function throwIfPoisoned(request: GenerateRequest): void {
     switch (poisonOf(promptTextOf(request.body))) {
         case "never-completes":
-            throw new KnapweedError("ENGINE_FAILED", "The item can't be completed", {
+            throw new KnapweedError("ENGINE_FAILED", "The engine failed because of a fault marker in the prompt", {
                 outcome: "unknown",
                 statusCode: 500,
             });
         case "crash":
-            throw new KnapweedError("ENGINE_CONNECTION_LOST", "The connection was lost", {
-                outcome: "unknown",
-                statusCode: 502,
-            });
+            throw new KnapweedError(
+                "ENGINE_CONNECTION_LOST",
+                "The connection was lost because of a fault marker in the prompt",
+                {
+                    outcome: "unknown",
+                    statusCode: 502,
+                },
+            );
         case "malformed":
-            throw new KnapweedError("ENGINE_REFUSED", "The item is malformed", {
+            throw new KnapweedError("ENGINE_REFUSED", "The prompt is marked as malformed", {
                 outcome: "answered",
                 statusCode: 400,
             });
--- a/standins/engine/src/laggingLoad.ts
+++ b/standins/engine/src/loadHistory.ts
@@ -1,7 +1,7 @@
 import type { EngineLoad } from "@knapweedwood/engines.model-engine/engineLoad";
 
-/** Remembers loads so that a report can be as old as the lag says. */
-export class LaggingLoad {
+/** Records load samples, so that an engine can report its load with a lag. */
+export class LoadHistory {
     private readonly lagMs: number;
     private records: { atMs: number; load: EngineLoad; }[] = [];
 
@@ -9,14 +9,15 @@
         this.lagMs = lagMs;
     }
 
+    /** Records a sample and drops those that are too old to be reported again. */
     record(atMs: number, load: EngineLoad): void {
         this.records.push({ atMs, load });
         const firstNeeded = this.records.findLastIndex(record => record.atMs <= atMs - this.lagMs);
         this.records = firstNeeded > 0 ? this.records.slice(firstNeeded) : this.records;
     }
 
-    /** The newest load that is at least as old as the lag; undefined where none is. */
-    at(nowMs: number): EngineLoad | undefined {
+    /** Returns the newest load that is at least as old as the lag, or undefined if there is none. */
+    reportedAt(nowMs: number): EngineLoad | undefined {
         return this.records.findLast(record => record.atMs <= nowMs - this.lagMs)?.load;
     }
 }
--- a/standins/http/src/httpStandin.ts
+++ b/standins/http/src/httpStandin.ts
@@ -3,21 +3,25 @@
 import type { HttpHandler } from "./httpHandler.js";
 import { sendJson } from "./sendJson.js";
 
-/** An HTTP server whose open connections can be made to go silent for good. */
+/** An HTTP server that can silence its open connections: they stay open, but pass no requests and no responses. */
 export class HttpStandin {
     private readonly server: Server;
     private readonly handler: HttpHandler;
-    private readonly open = new Set<Socket>();
-    private readonly silent = new WeakSet<Socket>();
+    private readonly openSockets = new Set<Socket>();
+    private readonly silentSockets = new WeakSet<Socket>();
 
     constructor(opts: { handler: HttpHandler; }) {
         this.handler = opts.handler;
-        this.server = createServer((request, response) => this.accept(request, response));
+        this.server = createServer((request, response) => this.handleRequest(request, response));
         this.server.keepAliveTimeout = 0;
         this.server.on("connection", socket => this.track(socket));
     }
 
-    /** @returns the port */
+    /**
+     * Starts to listen. Rejects if the address can't be bound.
+     *
+     * @returns the port
+     */
     listen(opts: { host: string; port: number; }): Promise<number> {
         return new Promise((resolve, reject) => {
             this.server.once("error", reject);
@@ -28,6 +32,7 @@
         });
     }
 
+    /** Stops the server and closes its connections. */
     close(): Promise<void> {
         return new Promise(resolve => {
             this.server.close(() => resolve());
@@ -35,26 +40,26 @@
         });
     }
 
-    /** From now on the connections that are open neither take requests nor give answers; new ones work. */
+    /** Silences the connections that are open now, for good. New connections work. */
     silenceOpenConnections(): void {
-        this.open.forEach(socket => this.silence(socket));
+        this.openSockets.forEach(socket => this.silence(socket));
     }
 
     private track(socket: Socket): void {
-        this.open.add(socket);
+        this.openSockets.add(socket);
         socket.on("error", () => undefined);
         socket.once("end", () => socket.destroy());
-        socket.once("close", () => this.open.delete(socket));
+        socket.once("close", () => this.openSockets.delete(socket));
     }
 
     private silence(socket: Socket): void {
-        this.silent.add(socket);
+        this.silentSockets.add(socket);
         socket.write = () => true;
         socket.end = () => socket;
     }
 
-    private accept(request: IncomingMessage, response: ServerResponse): void {
-        if (this.silent.has(request.socket)) {
+    private handleRequest(request: IncomingMessage, response: ServerResponse): void {
+        if (this.silentSockets.has(request.socket)) {
             return;
         }
         const url = new URL(request.url ?? "/", "http://standin");
--- a/standins/key-value/src/keyValueWatcher.ts
+++ b/standins/key-value/src/keyValueWatcher.ts
@@ -1,40 +1,41 @@
 import type { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 import type { WatchBatch } from "@knapweedwood/core.key-value/watchBatch";
 
-/** Changes under one prefix, queued for one reader. */
+/** Queues the changes under one prefix for one reader. */
 export class KeyValueWatcher {
     private readonly prefix: string;
     private queue: WatchBatch[] = [];
     private failure: KnapweedError | undefined;
     private ended = false;
-    private wake: () => void = () => undefined;
+    private notifyReader: () => void = () => undefined;
 
     constructor(prefix: string) {
         this.prefix = prefix;
     }
 
-    /** Queues the part of `batch` that lies under the prefix. */
+    /** Queues the changes in `batch` that are under the prefix. */
     push(batch: WatchBatch): void {
         const puts = batch.puts.filter(entry => entry.key.startsWith(this.prefix));
         const deletedKeys = batch.deletedKeys.filter(key => key.startsWith(this.prefix));
         if (puts.length + deletedKeys.length > 0) {
             this.queue.push({ revision: batch.revision, puts, deletedKeys });
-            this.wake();
+            this.notifyReader();
         }
     }
 
-    /** Makes the reader throw `error`. */
+    /** Makes `batches` throw `error`. */
     fail(error: KnapweedError): void {
         this.failure = error;
-        this.wake();
+        this.notifyReader();
     }
 
-    /** Ends the reader without an error. */
+    /** Makes `batches` end without an error. */
     end(): void {
         this.ended = true;
-        this.wake();
+        this.notifyReader();
     }
 
+    /** Yields the queued changes, and waits for further ones until the watcher ends or fails. */
     async *batches(): AsyncIterable<WatchBatch> {
         while (!this.ended) {
             if (this.failure !== undefined) {
@@ -43,14 +44,14 @@
             const ready = this.queue;
             this.queue = [];
             yield* ready;
-            await this.nextWake();
+            await this.waitForChange();
         }
     }
 
-    private async nextWake(): Promise<void> {
+    private async waitForChange(): Promise<void> {
         if (this.queue.length === 0 && this.failure === undefined && !this.ended) {
             await new Promise<void>(resolve => {
-                this.wake = resolve;
+                this.notifyReader = resolve;
             });
         }
     }
--- a/standins/key-value/src/leaseTable.ts
+++ b/standins/key-value/src/leaseTable.ts
@@ -8,22 +8,23 @@
     timer: Timer | undefined;
 }
 
-/** Leases that lapse by a clock. */
+/** Leases that expire according to a clock. Times are in milliseconds. */
 export class LeaseTable {
     private readonly clock: Clock;
-    private readonly onLapse: (keys: string[]) => void;
+    private readonly onEnd: (keys: string[]) => void;
     private readonly leases = new Map<string, Lease>();
-    private granted = 0;
+    private grantedCount = 0;
 
-    /** @param opts.onLapse called with the keys attached to a lease that has ended, shape [keys] */
-    constructor(opts: { clock: Clock; onLapse: (keys: string[]) => void; }) {
+    /** @param opts.onEnd called with the keys attached to a lease that has expired or was ended, shape [keys] */
+    constructor(opts: { clock: Clock; onEnd: (keys: string[]) => void; }) {
         this.clock = opts.clock;
-        this.onLapse = opts.onLapse;
+        this.onEnd = opts.onEnd;
     }
 
+    /** @returns the id of the lease */
     grant(ttlMs: number): string {
-        this.granted += 1;
-        const leaseId = String(this.granted);
+        this.grantedCount += 1;
+        const leaseId = String(this.grantedCount);
         const lease: Lease = { ttlMs, expiresMs: this.clock.nowMs() + ttlMs, keys: new Set(), timer: undefined };
         this.leases.set(leaseId, lease);
         this.schedule(leaseId, lease);
@@ -42,7 +43,11 @@
         this.leases.get(leaseId)?.keys.delete(key);
     }
 
-    /** @returns the time to live left, 0 where the lease has lapsed */
+    /**
+     * Renews a lease.
+     *
+     * @returns the remaining time to live, or 0 if the lease has ended
+     */
     keepAlive(leaseId: string): number {
         const lease = this.leases.get(leaseId);
         if (lease === undefined) {
@@ -52,7 +57,7 @@
         return lease.ttlMs;
     }
 
-    /** Ends a lease. Has no effect where it has lapsed. */
+    /** Ends a lease. Has no effect if it has ended already. */
     end(leaseId: string): void {
         const lease = this.leases.get(leaseId);
         if (lease === undefined) {
@@ -60,9 +65,10 @@
         }
         lease.timer?.cancel();
         this.leases.delete(leaseId);
-        this.onLapse([...lease.keys]);
+        this.onEnd([...lease.keys]);
     }
 
+    /** Cancels all timers and drops all leases. */
     close(): void {
         this.leases.forEach(lease => lease.timer?.cancel());
         this.leases.clear();
--- a/standins/key-value/src/memoryKeyValueService.ts
+++ b/standins/key-value/src/memoryKeyValueService.ts
@@ -17,13 +17,13 @@
 import { KeyValueStore } from "./keyValueStore.js";
 import { KeyValueWatcher } from "./keyValueWatcher.js";
 
-/** A key-value service in memory, with the faults of the real one. */
+/** An in-memory key-value service that can inject the faults of a real one. */
 export class MemoryKeyValueService implements SnapshotKeyValueService {
     readonly faults = new KeyValueFaults({
-        onOutage: () => this.loseWatches(),
-        onLapse: leaseId => this.store.endLease(leaseId),
+        onOutage: () => this.failWatches(),
+        onExpireLease: leaseId => this.store.endLease(leaseId),
     });
-    /** Calls so far, refused ones included. */
+    /** Numbers of calls so far, including rejected ones. */
     readonly counters: KeyValueCounters = { reads: 0, writes: 0, keepAlives: 0, watches: 0, activeWatches: 0 };
     private readonly clock: Clock;
     private readonly store: KeyValueStore;
@@ -33,12 +33,12 @@
 
     constructor(opts: { clock: Clock; }) {
         this.clock = opts.clock;
-        // One listener for each delayed call, and there may be many at a time.
+        // Each delayed call adds a listener, and there can be many delayed calls at the same time.
         setMaxListeners(0, this.closing.signal);
         this.store = new KeyValueStore({ clock: opts.clock, onChange: batch => this.publish(batch) });
     }
 
-    /** Revision of the last change. */
+    /** Revision of the latest change. */
     get revision(): number {
         return this.store.revision;
     }
@@ -80,10 +80,10 @@
 
     async *watch(prefix: string, opts: { afterRevision: number; signal: AbortSignal; }): AsyncIterable<WatchBatch> {
         this.counters.watches += 1;
-        await this.begin();
+        await this.beginCall();
         const watcher = this.openWatcher(prefix, opts.afterRevision);
-        const end = () => watcher.end();
-        opts.signal.addEventListener("abort", end, { once: true });
+        const endWatcher = () => watcher.end();
+        opts.signal.addEventListener("abort", endWatcher, { once: true });
         if (opts.signal.aborted) {
             watcher.end();
         }
@@ -93,18 +93,18 @@
         }
         finally {
             this.counters.activeWatches -= 1;
-            opts.signal.removeEventListener("abort", end);
+            opts.signal.removeEventListener("abort", endWatcher);
             this.watchers.delete(watcher);
         }
     }
 
-    /** Drops the history and cuts all watches. */
+    /** Drops the history and makes all watches fail. */
     compact(): void {
-        this.history.forget();
-        this.loseWatches();
+        this.history.clear();
+        this.failWatches();
     }
 
-    /** Stops the timers of leases and of delays, and ends all watches. */
+    /** Cancels the timers of leases and delays, and ends all watches without an error. */
     close(): void {
         this.closing.abort();
         this.store.close();
@@ -112,11 +112,11 @@
     }
 
     private openWatcher(prefix: string, afterRevision: number): KeyValueWatcher {
-        if (!this.history.reachesBackTo(afterRevision)) {
+        if (!this.history.isCompleteAfter(afterRevision)) {
             throw new KnapweedError(
                 "KEY_VALUE_COMPACTED",
-                `Changes after revision ${afterRevision} are no longer kept.`,
-                { hint: "List the keys and watch from the revision of the newest." },
+                `Changes after revision ${afterRevision} are no longer stored.`,
+                { hint: "List the keys and watch from the revision of the newest entry." },
             );
         }
         const watcher = new KeyValueWatcher(prefix);
@@ -126,34 +126,34 @@
     }
 
     private async read<Value>(action: () => Value): Promise<Value> {
-        await this.begin();
+        await this.beginCall();
         const value = action();
-        await this.answer();
+        await this.delayResponse();
         return value;
     }
 
     private async write<Value>(action: () => Value): Promise<Value> {
-        await this.begin();
+        await this.beginCall();
         const value = action();
-        if (this.faults.takeLostAnswer()) {
-            throw answerLostError("The answer of the key-value service was lost.");
+        if (this.faults.consumeLostResponse()) {
+            throw answerLostError("The response of the key-value service was lost.");
         }
-        await this.answer();
+        await this.delayResponse();
         return value;
     }
 
-    private async begin(): Promise<void> {
+    private async beginCall(): Promise<void> {
         if (this.faults.delayMs > 0) {
             await sleep(this.clock, this.faults.delayMs, this.closing.signal);
         }
         if (this.faults.outage) {
-            throw unavailableError("The key-value service is away.");
+            throw unavailableError("The key-value service is unavailable.");
         }
     }
 
-    private async answer(): Promise<void> {
-        if (this.faults.answerDelayMs > 0) {
-            await sleep(this.clock, this.faults.answerDelayMs, this.closing.signal);
+    private async delayResponse(): Promise<void> {
+        if (this.faults.responseDelayMs > 0) {
+            await sleep(this.clock, this.faults.responseDelayMs, this.closing.signal);
         }
     }
 
@@ -162,7 +162,7 @@
         this.watchers.forEach(watcher => watcher.push(batch));
     }
 
-    private loseWatches(): void {
+    private failWatches(): void {
         this.watchers.forEach(watcher => watcher.fail(unavailableError("The watch was lost.")));
     }
 }
--- a/standins/weight-store/src/weightStoreServer.ts
+++ b/standins/weight-store/src/weightStoreServer.ts
@@ -5,13 +5,13 @@
 import { sendJson } from "@knapweedwood/standins.http/sendJson";
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { MemoryWeightStore } from "./memoryWeightStore.js";
-import type { WeightStoreFaultOrder } from "./weightStoreFaultOrder.js";
+import type { WeightStoreFaultUpdate } from "./weightStoreFaultUpdate.js";
 
 const PATH = "/v1/reservations";
 const NOT_FOUND_STATUS = 404;
 const UNAVAILABLE_STATUS = 503;
 
-/** The weight store as a server: `/v1/reservations` and `POST /faults`. */
+/** Stand-in server of the weight store: `/v1/reservations` and `POST /faults`. */
 export class WeightStoreServer {
     readonly store: MemoryWeightStore;
     private readonly http: HttpStandin;
@@ -21,7 +21,11 @@
         this.http = new HttpStandin({ handler: (request, response, url) => this.handle(request, response, url) });
     }
 
-    /** @returns the port */
+    /**
+     * Starts to listen. Rejects if the address can't be bound.
+     *
+     * @returns the port
+     */
     listen(opts: { host: string; port: number; }): Promise<number> {
         return this.http.listen(opts);
     }
@@ -30,17 +34,18 @@
         return this.http.close();
     }
 
-    applyFaults(order: WeightStoreFaultOrder): void {
-        this.store.outage = order.outage ?? this.store.outage;
-        this.store.bytesPerS = order.bytesPerS ?? this.store.bytesPerS;
-        if (order.silentConnections === true) {
+    /** Changes the faults, as `POST /faults` does. */
+    applyFaults(update: WeightStoreFaultUpdate): void {
+        this.store.outage = update.outage ?? this.store.outage;
+        this.store.bytesPerS = update.bytesPerS ?? this.store.bytesPerS;
+        if (update.silentConnections === true) {
             this.http.silenceOpenConnections();
         }
     }
 
     private async handle(request: IncomingMessage, response: ServerResponse, url: URL): Promise<void> {
         if (url.pathname === "/faults") {
-            this.applyFaults(await readJson<WeightStoreFaultOrder>(request));
+            this.applyFaults(await readJson<WeightStoreFaultUpdate>(request));
             sendJson(response, 200, {});
             return;
         }
