--- a/daemons/fleet/src/linkJobReader.ts
+++ b/daemons/fleet/src/linkJobReader.ts
@@ -1,7 +1,7 @@
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 import type { ItemId } from "@knapweedwood/core.ids/itemId";
 import type { JobId } from "@knapweedwood/core.ids/jobId";
-import type { JobReader } from "@knapweedwood/fleet.gateway/jobReader";
+import type { RemoteJobReader } from "@knapweedwood/fleet.gateway/remoteJobReader";
 import { itemBodyCall } from "@knapweedwood/fleet.jobs/itemBodyCall";
 import { resultsCall } from "@knapweedwood/fleet.jobs/resultsCall";
 import type { ResultsPage } from "@knapweedwood/fleet.jobs/resultsPage";
@@ -16,7 +16,7 @@
 const MAX_WAIT_MS = 900;
 
 /** Reads jobs from the process that runs them, over a link. */
-export class LinkJobReader implements JobReader {
+export class LinkJobReader implements RemoteJobReader {
     private readonly endpoint: LinkEndpoint;
     private readonly leader: () => HostPort | undefined;
 
--- a/fleet/gateway/src/jobRoutes.ts
+++ b/fleet/gateway/src/jobRoutes.ts
@@ -7,7 +7,7 @@
 import type { ServerResponse } from "node:http";
 import type { CallerProtocol } from "./callerProtocol.js";
 import type { JobCall } from "./jobCall.js";
-import type { JobReader } from "./jobReader.js";
+import type { RemoteJobReader } from "./remoteJobReader.js";
 import { sendFailure } from "./sendFailure.js";
 
 const RETRY_AFTER_MS = 300;
@@ -18,7 +18,7 @@
         logger: Logger;
         protocol: CallerProtocol;
         acceptor: JobAcceptor;
-        reader: JobReader;
+        reader: RemoteJobReader;
         onAccepted: (revision: number) => void;
     };
 
@@ -27,7 +27,7 @@
         logger: Logger;
         protocol: CallerProtocol;
         acceptor: JobAcceptor;
-        reader: JobReader;
+        reader: RemoteJobReader;
         onAccepted: (revision: number) => void;
     }) {
         this.opts = opts;
--- a/fleet/gateway/src/jobReader.ts
+++ b/fleet/gateway/src/remoteJobReader.ts
@@ -3,7 +3,7 @@
 import type { ResultsPage } from "@knapweedwood/fleet.jobs/resultsPage";
 
 /** Reads results and items of jobs from the process that runs them. */
-export interface JobReader {
+export interface RemoteJobReader {
     /**
      * Returns results of a job; undefined only if the job certainly does not exist. Rejects if that is unknown.
      *
--- a/fleet/gateway/test/forwarding.test.ts
+++ b/fleet/gateway/test/forwarding.test.ts
@@ -29,21 +29,21 @@
     }
 }
 
-function events(response: ServerResponse, from: number, to: number): void {
+function writeEvents(response: ServerResponse, from: number, to: number): void {
     Array.from({ length: to - from + 1 }, (_, index) => from + index)
         .forEach(id => response.write(`id: ${id}\ndata: e${id}\n\n`));
 }
 
 const wholeStream = (from: number, to: number): Responder => (_request, response) => {
     response.writeHead(200, PROOF);
-    events(response, from, to);
+    writeEvents(response, from, to);
     response.end();
 };
 
 function cutStream(to: number): Responder {
     return (_request, response) => {
         response.writeHead(200, PROOF);
-        events(response, 1, to);
+        writeEvents(response, 1, to);
         response.write("id: 99\ndata: half");
         setTimeout(() => response.destroy(), 20);
     };
@@ -146,7 +146,7 @@
 test("ends the run at the upstream when the caller disconnects", async () => {
     const slow: Responder = (_request, response) => {
         response.writeHead(200, PROOF);
-        events(response, 1, 1);
+        writeEvents(response, 1, 1);
     };
     await withGateway({ responders: [slow], route: { kind: "stream" } }, async (testBed, [standin]) => {
         const request = testBed.open();
@@ -227,7 +227,7 @@
 test("resumes a resumable stream at another upstream when its events stop", async () => {
     const silent: Responder = (_request, response) => {
         response.writeHead(200, PROOF);
-        events(response, 1, 3);
+        writeEvents(response, 1, 3);
     };
     const route = { kind: "stream", isResumable: true, maxAttempts: 2, maxEventGapMs: 100 } as const;
     await withGateway({ responders: [silent, wholeStream(4, 6)], route }, async (testBed, standins) => {
--- a/fleet/jobs/src/chooseBatchUpstream.ts
+++ b/fleet/jobs/src/chooseBatchUpstream.ts
@@ -11,8 +11,8 @@
     failedUpstreamIds: readonly UpstreamId[] = [],
 ): BatchCandidate | undefined {
     const withFreeSlots = candidates.filter(candidate => freeBatchSlots(candidate) > 0);
-    const untried = withFreeSlots.filter(candidate => !failedUpstreamIds.includes(candidate.upstream.id));
-    return (untried.length > 0 ? untried : withFreeSlots)
+    const withoutFailure = withFreeSlots.filter(candidate => !failedUpstreamIds.includes(candidate.upstream.id));
+    return (withoutFailure.length > 0 ? withoutFailure : withFreeSlots)
         .reduce<BatchCandidate | undefined>(
             (best, candidate) =>
                 best === undefined || freeBatchSlots(candidate) > freeBatchSlots(best) ? candidate : best,
--- a/fleet/load/src/requestQueue.ts
+++ b/fleet/load/src/requestQueue.ts
@@ -37,10 +37,10 @@
     /** Places, queues or rejects the request. */
     submit(request: QueuedRequest): void {
         const nowMs = this.opts.clock.nowMs();
-        const isFirstInLine = !this.requests.some(other =>
+        const isMostUrgent = !this.requests.some(other =>
             other.service === request.service && compareByUrgency(other, request, nowMs) < 0
         );
-        const upstream = isFirstInLine ? this.place(request) : undefined;
+        const upstream = isMostUrgent ? this.place(request) : undefined;
         if (upstream !== undefined) {
             request.onPlaced(upstream);
             return;
--- a/fleet/load/test/requestQueue.test.ts
+++ b/fleet/load/test/requestQueue.test.ts
@@ -14,7 +14,7 @@
 
 interface TestRequest extends QueuedRequest {
     placedAt: Upstream | undefined;
-    rejectedForMs: number | undefined;
+    retryAfterMs: number | undefined;
 }
 
 function setUp(upstreams: Upstream[]) {
@@ -44,13 +44,13 @@
             isRetry: false,
             excluded: new Set(),
             placedAt: undefined,
-            rejectedForMs: undefined,
+            retryAfterMs: undefined,
             onPlaced: upstream => {
                 made.placedAt = upstream;
                 loadTracker.count(upstream.id, "online", 1);
             },
             onRejected: retryAfterMs => {
-                made.rejectedForMs = retryAfterMs;
+                made.retryAfterMs = retryAfterMs;
             },
             ...change,
         };
@@ -79,7 +79,7 @@
     const { queue, request } = setUp([upstreamOf("a", 1)]);
     const [running, late] = submitAll(queue, [request(), request()]);
     assert.notEqual(running!.placedAt, undefined);
-    assert.ok(late!.rejectedForMs! >= 500, `told to retry after ${late!.rejectedForMs} ms`);
+    assert.ok(late!.retryAfterMs! >= 500, `told to retry after ${late!.retryAfterMs} ms`);
 });
 
 test("dispatches first attempts before retries and late requests last", async () => {
@@ -109,10 +109,10 @@
     const [, waiting] = submitAll(queue, [request(), request({ isRetry: true })]);
     await clock.advance(1999);
     queue.dispatch();
-    assert.equal(waiting!.rejectedForMs, undefined);
+    assert.equal(waiting!.retryAfterMs, undefined);
     await clock.advance(1);
     queue.dispatch();
-    assert.notEqual(waiting!.rejectedForMs, undefined);
+    assert.notEqual(waiting!.retryAfterMs, undefined);
 });
 
 test("does not place a request at an excluded upstream", () => {
--- a/fleet/sync/src/leadership.ts
+++ b/fleet/sync/src/leadership.ts
@@ -185,11 +185,13 @@
 
     /** The newest leader known to this process, possibly itself; undefined if none is known. */
     get leader(): KnownLeader | undefined {
-        const seen = this.observedEntry === undefined ? undefined : {
+        const observed = this.observedEntry === undefined ? undefined : {
             instanceName: decodeRecord<LeaderRecord>(this.observedEntry.value).instanceName,
             fencingNumber: this.observedEntry.modRevision,
         };
-        return (this.reportedLeader?.fencingNumber ?? 0) > (seen?.fencingNumber ?? 0) ? this.reportedLeader : seen;
+        return (this.reportedLeader?.fencingNumber ?? 0) > (observed?.fencingNumber ?? 0)
+            ? this.reportedLeader
+            : observed;
     }
 
     /**
--- a/fleet/sync/src/prefixMirror.ts
+++ b/fleet/sync/src/prefixMirror.ts
@@ -85,7 +85,7 @@
             this.currentRevision = snapshot.revision;
             this.opts.onSnapshot(snapshot.entries, snapshot.revision);
         }
-        const { service, clock, prefix, watchWaitMs, coalesceMs: gatherMs = 0 } = this.opts;
+        const { service, clock, prefix, watchWaitMs, coalesceMs = 0 } = this.opts;
         const waitMs = watchWaitMs?.();
         const opts = { afterRevision: this.currentRevision, signal, ...waitMs === undefined ? {} : { waitMs } };
         for await (const batch of service.watch(prefix, opts)) {
@@ -93,7 +93,7 @@
             this.currentRevision = Math.max(this.currentRevision, batch.revision);
             if (batch.puts.length > 0 || batch.deletedKeys.length > 0) {
                 this.opts.onChange(batch);
-                await sleep(clock, gatherMs, signal);
+                await sleep(clock, coalesceMs, signal);
             }
         }
     }
--- a/fleet/view/src/upstreamDirectory.ts
+++ b/fleet/view/src/upstreamDirectory.ts
@@ -103,8 +103,9 @@
         const services = new Set(ids.map(id => this.entries.get(id)!.upstream.service));
         return [...services].some(service => {
             const entriesOfService = [...this.entries.values()].filter(entry => entry.upstream.service === service);
-            const leaving = ids.filter(id => this.entries.get(id)!.upstream.service === service);
-            return leaving.length > 1 && leaving.length >= entriesOfService.length * MASS_EXPIRY_SHARE;
+            const removed = ids.filter(id => this.entries.get(id)!.upstream.service === service);
+            return removed.length > 1
+                && removed.length >= entriesOfService.length * MASS_EXPIRY_SHARE;
         });
     }
 }
