--- a/fleet/upstreams/src/exchangeFailure.ts
+++ b/fleet/upstreams/src/exchangeFailure.ts
@@ -4,5 +4,6 @@
     mayHaveRun: boolean;
     /** Whether no connection could be established. */
     isUnreachable: boolean;
+    /** Identifies the reason; the message of the HTTP client's error if that has no code. */
     code: string;
 }
--- a/fleet/upstreams/src/exchangeRequest.ts
+++ b/fleet/upstreams/src/exchangeRequest.ts
@@ -7,6 +7,6 @@
     path: string;
     headers: HeaderList;
     body: Buffer | undefined;
-    /** Id that the response must carry if it carries a request id. */
+    /** Compared with the request id of the response; a response without one is accepted. */
     requestId: string;
 }
--- a/fleet/upstreams/src/upstreamConnection.ts
+++ b/fleet/upstreams/src/upstreamConnection.ts
@@ -7,7 +7,10 @@
 import type { ExchangeRequest } from "./exchangeRequest.js";
 import { toResponseHead } from "./toResponseHead.js";
 
-/** If the upstream's accept queue is full, TCP resends the first packet of a connection only after seconds. */
+/**
+ * Limits the wait for an upstream whose accept queue is full: TCP resends the first packet of a connection only after
+ * seconds.
+ */
 const CONNECT_TIMEOUT_MS = 400;
 /** Idle time after which a connection is closed if the upstream sends no keep-alive timeout, in milliseconds. */
 const IDLE_TIMEOUT_MS = 4000;
--- a/fleet/upstreams/src/upstreamConnections.ts
+++ b/fleet/upstreams/src/upstreamConnections.ts
@@ -10,7 +10,7 @@
     all: Set<UpstreamConnection>;
 }
 
-/** Pools the connections of this process to upstreams, since opening a connection costs both sides. */
+/** Pools the connections of this process to upstreams, since opening one takes time at both ends. */
 export class UpstreamConnections {
     private readonly pools = new Map<string, Pool>();
 
