--- a/fleet/view/src/activeConfiguration.ts
+++ b/fleet/view/src/activeConfiguration.ts
@@ -10,10 +10,12 @@
     private table: RouteTable | undefined;
     private services = new Map<ServiceName, ServiceDefinition>();
 
+    /** The active configuration; undefined before the first. */
     get current(): FleetConfiguration | undefined {
         return this.configuration;
     }
 
+    /** Version of the active configuration; 0 before the first. */
     get version(): number {
         return this.configuration?.version ?? 0;
     }
--- a/fleet/view/src/callHeaderNames.ts
+++ b/fleet/view/src/callHeaderNames.ts
@@ -7,9 +7,12 @@
     expectedUpstream: string;
     /** Present on responses of upstreams that did not run the request. */
     notRun: string;
-    /** Present on all other responses of upstreams. */
+    /** Present on all responses of upstreams that ran the request. */
     upstreamProof: string;
+    /** Carries the id of the event after which a stream or an item resumes. */
     lastEventId: string;
+    /** Carries the time to wait for results of a job, in milliseconds. */
     waitMs: string;
+    /** Carries the time after which a rejected caller may retry, in seconds. */
     retryAfter: string;
 }
--- a/fleet/view/src/processSettings.ts
+++ b/fleet/view/src/processSettings.ts
@@ -14,7 +14,10 @@
     callersAddress: HostPort | undefined;
     /** Address of the load balancer's readiness check; undefined if this process serves no callers. */
     readinessAddress: HostPort | undefined;
-    /** Ports for traffic between processes of the fleet, shape [ports]. */
+    /**
+     * Ports for traffic between processes of the fleet, shape [ports]. The first is the UDP port for load reports, the
+     * second the TCP port for links.
+     */
     peerPorts: number[];
     /** Address of the key-value service. */
     keyValueAddress: HostPort;
--- a/fleet/view/src/upstreamDirectory.ts
+++ b/fleet/view/src/upstreamDirectory.ts
@@ -7,7 +7,7 @@
 const EXPIRY_GRACE_MS = 2200;
 /** Time for which entries that disappear together are kept if no outage was detected, in milliseconds. */
 const MASS_EXPIRY_GRACE_MS = 1800;
-/** Share of a service's upstreams from which on a simultaneous disappearance counts as expiry of their entries. */
+/** Minimum share of a service's upstreams whose simultaneous disappearance counts as expiry of their entries. */
 const MASS_EXPIRY_SHARE = 0.5;
 
 interface DirectoryEntry {
@@ -104,8 +104,7 @@
         return [...services].some(service => {
             const entriesOfService = [...this.entries.values()].filter(entry => entry.upstream.service === service);
             const removed = ids.filter(id => this.entries.get(id)!.upstream.service === service);
-            return removed.length > 1
-                && removed.length >= entriesOfService.length * MASS_EXPIRY_SHARE;
+            return removed.length > 1 && removed.length >= entriesOfService.length * MASS_EXPIRY_SHARE;
         });
     }
 }
--- a/fleet/view/test/upstreamDirectory.test.ts
+++ b/fleet/view/test/upstreamDirectory.test.ts
@@ -65,7 +65,7 @@
     assert.equal(directory.dropExpired(12_300).length, 1);
 });
 
-test("drops half of a service's upstreams within two seconds if they disappear without an outage", () => {
+test("drops most of a service's upstreams within two seconds if they disappear without an outage", () => {
     const directory = directoryOf(8);
     directory.remove(directory.ids().slice(0, 5), 10_000);
     assert.equal(directory.dropExpired(12_000).length, 5);
