--- a/fleet/load/src/leastLoadedPlacement.ts
+++ b/fleet/load/src/leastLoadedPlacement.ts
@@ -13,9 +13,9 @@
 const RANDOM_WEIGHT = 0.05;
 
 /**
- * Spreads bursts of online requests: chooses the upstream with the lowest load, counted over all processes, and none
- * whose slots are all taken by online requests. Batch runs have a low weight, because they are ended when their slot
- * is needed.
+ * Spreads bursts of online requests: chooses the upstream with the lowest load, counted over all processes. Excludes
+ * upstreams whose slots are all taken by online requests or at which this process has reached its connection share.
+ * Batch runs have a low weight, because they are ended when their slot is needed.
  */
 export class LeastLoadedPlacement implements PlacementPolicy {
     private readonly loadTracker: LoadTracker;
--- a/fleet/load/src/requestQueue.ts
+++ b/fleet/load/src/requestQueue.ts
@@ -65,7 +65,7 @@
             this.remove(request);
             this.reject(request, 0, "the caller's time is up");
         });
-        // A service without a free slot can't accept a later request either.
+        // A service without a free slot can't run a less urgent request either.
         const full = new Set<ServiceName>();
         this.requests.sort((left, right) => compareByUrgency(left, right, nowMs));
         [...this.requests].forEach(request => {
--- a/fleet/load/src/upstreamHealth.ts
+++ b/fleet/load/src/upstreamHealth.ts
@@ -8,8 +8,9 @@
 const SUCCESS_DECAY = 0.7;
 /** Score that ejects an upstream. Two consecutive failures reach it, and so do failures of every other request. */
 const EJECTION_SCORE = 0.6;
-/** Added when a peer in the same or in another zone ejects the upstream. It may be failing for some processes only. */
+/** Added when a peer in the same zone ejects the upstream. It may be failing for some processes only. */
 const SAME_ZONE_EJECTION_WEIGHT = 0.35;
+/** Added when a peer in another zone ejects the upstream. */
 const OTHER_ZONE_EJECTION_WEIGHT = 0.2;
 /** Time after a local success during which ejections by peers are ignored, in milliseconds. */
 const LOCAL_SUCCESS_VALID_MS = 1000;
--- a/fleet/load/test/requestQueue.test.ts
+++ b/fleet/load/test/requestQueue.test.ts
@@ -79,7 +79,7 @@
     const { queue, request } = setUp([upstreamOf("a", 1)]);
     const [running, late] = submitAll(queue, [request(), request()]);
     assert.notEqual(running!.placedAt, undefined);
-    assert.ok(late!.retryAfterMs! >= 500, `told to retry after ${late!.retryAfterMs} ms`);
+    assert.ok(late!.retryAfterMs! >= 500, `retry delay is ${late!.retryAfterMs} ms`);
 });
 
 test("dispatches first attempts before retries and late requests last", async () => {
