--- a/fleet/sync/src/memberTable.ts
+++ b/fleet/sync/src/memberTable.ts
@@ -20,6 +20,7 @@
 export class MemberTable {
     private readonly members = new Map<InstanceName, Member>();
 
+    /** Adds or updates a member. */
     put(entry: KeyValueEntry): void {
         const record = decodeRecord<MemberRecord>(entry.value);
         this.members.set(record.instanceName, { record, expiredAtMs: undefined });
@@ -29,6 +30,7 @@
         return this.members.get(instanceName)?.record;
     }
 
+    /** Marks the member with this key as expired. */
     markExpired(key: string, nowMs: number): void {
         const member = this.members.get(key.slice(fleetKeys.membersPrefix.length) as InstanceName);
         if (member !== undefined) {
--- a/fleet/sync/test/prefixMirror.test.ts
+++ b/fleet/sync/test/prefixMirror.test.ts
@@ -9,6 +9,7 @@
 import { computeWatchWaitMs } from "../src/computeWatchWaitMs.js";
 import { PrefixMirror } from "../src/prefixMirror.js";
 
+/** Times after which calls and watches fail while the service is unresponsive, in milliseconds. */
 const LOST_CALL_MS = 600;
 const LOST_WATCH_MS = 4700;
 
@@ -141,7 +142,7 @@
     controller.abort();
 });
 
-test("changes made close together take one more call, and calls wait longer in a large fleet", async () => {
+test("the first change is delivered at once, and watch calls wait longer in a large fleet", async () => {
     const clock = new ManualClock();
     const service = new MemoryKeyValueService({ clock });
     const controller = new AbortController();
