--- a/fleet/gateway/src/callerProtocol.ts
+++ b/fleet/gateway/src/callerProtocol.ts
@@ -11,7 +11,7 @@
     readonly readinessPath: string;
     /** Decodes a call about a job; returns undefined for any other request. */
     parseJobCall(request: IncomingMessage): JobCall | undefined;
-    /** Decodes a job submission. Throws `SUBMISSION_INVALID`. */
+    /** Decodes a job submission. Throws `SUBMISSION_INVALID` if it is malformed. */
     decodeSubmission(jobId: string, body: Buffer): JobSubmission;
     /** Encodes a page of results as a JSON response body. */
     encodeResultsPage(page: ResultsPage): string;
--- a/fleet/gateway/src/gatewayServer.ts
+++ b/fleet/gateway/src/gatewayServer.ts
@@ -18,7 +18,7 @@
     idleTimeoutMs: 15_000,
 };
 
-/** HTTP server for callers: dispatches requests to routes and calls about jobs to the job routes. */
+/** HTTP server for callers. Matches requests to routes and passes calls about jobs to `JobRoutes`. */
 export class GatewayServer {
     private readonly context: GatewayContext;
     private readonly protocol: CallerProtocol;
--- a/fleet/gateway/src/jobRoutes.ts
+++ b/fleet/gateway/src/jobRoutes.ts
@@ -22,7 +22,7 @@
         onAccepted: (revision: number) => void;
     };
 
-    /** @param opts.onAccepted called with the revision at which a job was written */
+    /** @param opts.onAccepted called with the revision at which a job was written; 0 if it is held on disks */
     constructor(opts: {
         logger: Logger;
         protocol: CallerProtocol;
--- a/fleet/gateway/src/remoteJobReader.ts
+++ b/fleet/gateway/src/remoteJobReader.ts
@@ -7,6 +7,7 @@
     /**
      * Returns results of a job; undefined only if the job certainly does not exist. Rejects if that is unknown.
      *
+     * @param opts.after position of the first requested result
      * @param opts.waitMs time to wait for results, in milliseconds
      */
     results(opts: { jobId: JobId; after: number; waitMs: number; }): Promise<ResultsPage | undefined>;
--- a/fleet/gateway/test/forwarding.test.ts
+++ b/fleet/gateway/test/forwarding.test.ts
@@ -182,7 +182,7 @@
         socket.on("error", () => undefined);
         socket.on("data", bytes => {
             const id = /x-request-id: (\S+)/iu.exec(bytes.toString())?.[1] ?? "";
-            const body = `answer of ${id}`;
+            const body = `response to ${id}`;
             const head =
                 `HTTP/1.1 200 OK\r\nx-proof: p\r\nx-request-id: ${id}\r\ncontent-length: ${body.length}\r\n\r\n`;
             socket.write(head + body);
@@ -198,7 +198,7 @@
     const first = await testBed.send({ headers: { "x-request-id": "one" } });
     await new Promise(resolve => setTimeout(resolve, 50));
     const second = await testBed.send({ headers: { "x-request-id": "two" } });
-    assert.deepEqual([first.body, second.body], ["answer of one", "answer of two"]);
+    assert.deepEqual([first.body, second.body], ["response to one", "response to two"]);
     assert.equal(connections, 2);
     testBed.close();
     standin.close();
--- a/fleet/gateway/test/gatewayTestBed.ts
+++ b/fleet/gateway/test/gatewayTestBed.ts
@@ -56,7 +56,7 @@
     isComplete: boolean;
 }
 
-/** A gateway in front of stand-ins of upstreams. */
+/** A gateway for tests, with stand-ins as its upstreams. */
 export class GatewayTestBed {
     readonly connections = new UpstreamConnections();
     readonly loadTracker = new LoadTracker();
@@ -123,6 +123,7 @@
         await this.server.listen({ host: "127.0.0.1", port: this.port });
     }
 
+    /** Sends a request and returns it without waiting for the response. */
     open(opts: { path?: string; body?: string; headers?: { [name: string]: string; }; } = {}): ClientRequest {
         const request = sendRequest({
             host: "127.0.0.1",
@@ -136,6 +137,7 @@
         return request;
     }
 
+    /** Sends a request and resolves when its response has ended or was interrupted. */
     send(opts: Parameters<GatewayTestBed["open"]>[0] = {}): Promise<ReceivedResponse> {
         return new Promise((resolve, reject) => {
             const request = this.open(opts);
--- a/fleet/gateway/test/upstreamStandin.ts
+++ b/fleet/gateway/test/upstreamStandin.ts
@@ -15,6 +15,7 @@
 export class UpstreamStandin {
     readonly requests: { method: string; url: string; headers: IncomingHttpHeaders; body: string; }[] = [];
     connectionCount = 0;
+    /** Number of responses whose connection was closed before they were finished. */
     closedEarlyCount = 0;
     private readonly server: Server;
 
