--- a/fleet/jobs/src/acceptance.ts
+++ b/fleet/jobs/src/acceptance.ts
@@ -1,5 +1,6 @@
 /** Outcome of a job submission. */
 export type Acceptance =
+    /** The job was written at `revision` of the key-value service, or is held on disks if it is 0. */
     | { kind: "accepted"; revision: number; }
     /** No copy of the job was stored. */
     | { kind: "refused"; reason: "over-limit" | "store-away"; retryAfterMs: number; }
--- a/fleet/jobs/src/applyRunOutcome.ts
+++ b/fleet/jobs/src/applyRunOutcome.ts
@@ -1,9 +1,9 @@
 import type { ItemRunOutcome } from "./itemRunOutcome.js";
 import type { JobItem } from "./jobItem.js";
 
-/** Pause before a failed item or one with untrusted output runs again, in milliseconds. */
+/** Pause before an item runs again after it failed or its output was discarded, in milliseconds. */
 const RETRY_DELAY_MS = 300;
-/** Pause before an item whose run broke off or never started runs again, in milliseconds. */
+/** Pause before an item runs again after its run was interrupted or did not start, in milliseconds. */
 const RESUME_DELAY_MS = 50;
 
 /**
--- a/fleet/jobs/src/chooseBatchUpstream.ts
+++ b/fleet/jobs/src/chooseBatchUpstream.ts
@@ -3,8 +3,9 @@
 import { freeBatchSlots } from "./freeBatchSlots.js";
 
 /**
- * Returns the upstream with the most free slots for batch items; undefined if none has any. An upstream that has failed
- * the item is chosen only if no other has a free slot, so that one faulty upstream doesn't make the item fail for good.
+ * Returns the upstream with the most free slots for batch items; undefined if none has any. An upstream at which the
+ * item has failed is chosen only if no other has a free slot. Otherwise a single faulty upstream could make the item
+ * fail permanently.
  */
 export function chooseBatchUpstream(
     candidates: readonly BatchCandidate[],
--- a/fleet/jobs/src/chooseRunsToPreempt.ts
+++ b/fleet/jobs/src/chooseRunsToPreempt.ts
@@ -3,7 +3,7 @@
 
 /**
  * Returns the runs to end at an upstream when a burst of online requests takes its load above its slots. Items that
- * will be late anyway go first, then those due last, then those started last.
+ * will be late even if they keep running are preempted first, then those due last, then those started last.
  */
 export function chooseRunsToPreempt<Run extends RunningItem>(candidate: BatchCandidate, runs: readonly Run[]): Run[] {
     const excess = candidate.online + candidate.batch - candidate.upstream.slots;
--- a/fleet/jobs/src/heldJobs.ts
+++ b/fleet/jobs/src/heldJobs.ts
@@ -15,7 +15,7 @@
 import { jobKeys } from "./jobKeys.js";
 import { planJobWrite } from "./planJobWrite.js";
 
-/** Pause between attempts to write held jobs to the key-value service, in milliseconds. */
+/** Minimum pause between attempts to write held jobs to the key-value service, in milliseconds. */
 const WRITE_INTERVAL_MS = 250;
 /** Attempts to write one job while other writes change the waiting tokens of its route. */
 const MAX_CONFLICTS = 8;
@@ -73,7 +73,7 @@
         }
     }
 
-    /** Resolves once the job is synced to disk. Rejects with `SEGMENT_NOT_KEPT`. */
+    /** Resolves once the job is synced to disk. Rejects with `SEGMENT_NOT_KEPT` if it can't be written there. */
     async hold(job: HeldJob): Promise<void> {
         this.pendingHolds += 1;
         try {
--- a/fleet/jobs/src/inFlightItems.ts
+++ b/fleet/jobs/src/inFlightItems.ts
@@ -87,10 +87,12 @@
             });
     }
 
+    /** Ends all runs of a job. */
     endJob(job: OpenJob): void {
         this.inFlight.filter(inFlightItem => inFlightItem.job === job).forEach(inFlightItem => this.end(inFlightItem));
     }
 
+    /** Ends all runs of this process. */
     endAll(): void {
         this.inFlight.forEach(inFlightItem => this.end(inFlightItem));
     }
@@ -100,6 +102,7 @@
         return this.inFlight.filter(inFlightItem => inFlightItem.run.upstream.id === upstream.id).length;
     }
 
+    /** Returns the upstream with its current load over all processes. */
     candidateOf(upstream: Upstream): BatchCandidate {
         return {
             upstream,
--- a/fleet/jobs/src/jobAcceptor.ts
+++ b/fleet/jobs/src/jobAcceptor.ts
@@ -64,7 +64,10 @@
         return acceptance;
     }
 
-    /** Cancels a job. @returns whether the job exists; rejects if that is uncertain */
+    /**
+     * Cancels a job. Returns whether the job exists. Rejects if that is uncertain: with `JOBS_NOT_SETTLED` if it may be
+     * a held job that is not written yet, otherwise with the error of the key-value service.
+     */
     async cancel(jobId: JobId): Promise<boolean> {
         const record = await this.service.get(jobKeys.record(jobId));
         if (record === undefined && !this.areHeldJobsWritten()) {
@@ -86,7 +89,7 @@
 
     /**
      * While jobs held during an outage are still being written, the stored count of waiting tokens is too low. Then the
-     * job is held first, because the leading runner has the complete count.
+     * job is held first, because the leader has the complete count.
      */
     private async writeOrHold(route: Route, submission: JobSubmission): Promise<Acceptance> {
         const isCountUncertain = route.maxWaitingTokens !== undefined && !this.areHeldJobsWritten();
--- a/fleet/jobs/src/jobReader.ts
+++ b/fleet/jobs/src/jobReader.ts
@@ -30,7 +30,13 @@
         this.opts = opts;
     }
 
-    /** Reads results; waits up to `waitMs` for the first. @returns undefined if the job certainly does not exist */
+    /**
+     * Returns results of a job; undefined if the job certainly does not exist.
+     *
+     * @param opts.after position of the first requested result
+     * @param opts.waitMs time to wait if there is no such result yet, in milliseconds
+     * @param opts.signal ends the wait
+     */
     async results(
         opts: { jobId: JobId; after: number; waitMs: number; signal: AbortSignal; },
     ): Promise<ResultsPage | undefined> {
@@ -45,7 +51,7 @@
         return job.page(opts.after);
     }
 
-    /** Reads the body of an item. @returns undefined if the item certainly does not exist */
+    /** Returns the body of an item; undefined if the item certainly does not exist. */
     async itemBody(jobId: JobId, itemId: ItemId): Promise<Buffer | undefined> {
         const job = await this.find(jobId);
         const item = job?.item(itemId);
--- a/fleet/jobs/src/jobRunner.ts
+++ b/fleet/jobs/src/jobRunner.ts
@@ -244,7 +244,7 @@
         });
     }
 
-    /** Returns the upstreams that may take items. There are none while an online request of the service waits. */
+    /** Returns the upstreams that may run more items. There are none while an online request of the service waits. */
     private candidates(service: ServiceName, nowMs: number): BatchCandidate[] {
         if (this.opts.loadTracker.waitingAtPeers(service) > 0) {
             return [];
@@ -322,6 +322,7 @@
         this.committer.add(job, { itemId: item.id, state, output });
     }
 
+    /** Abandons pending items of jobs that have expired or whose route has been missing for too long. */
     private abandonExpired(): void {
         const nowMs = this.opts.clock.nowMs();
         this.table.all().filter(job => !job.isEnded).forEach(job => {
--- a/fleet/jobs/src/jobTable.ts
+++ b/fleet/jobs/src/jobTable.ts
@@ -24,7 +24,7 @@
         return this.jobs.get(jobId);
     }
 
-    /** Removes all jobs. @returns the jobs that were open, shape [jobs] */
+    /** Removes all jobs. Returns those that were open, shape [jobs]. */
     clear(): OpenJob[] {
         const open = this.all().filter(job => !job.isEnded);
         this.jobs.clear();
@@ -45,7 +45,7 @@
         this.jobs.delete(jobId);
     }
 
-    /** Applies entries of accepted jobs. @returns jobs cancelled by these entries, shape [jobs] */
+    /** Applies entries of accepted jobs. Returns the jobs cancelled by these entries, shape [jobs]. */
     apply(entries: readonly KeyValueEntry[]): OpenJob[] {
         const keyed = [...this.unmatchedEntries, ...entries].map(entry => ({ entry, ...parseKey(entry.key) }));
         keyed.filter(({ part }) => part === "record").forEach(({ entry, jobId }) => {
--- a/fleet/jobs/src/openJob.ts
+++ b/fleet/jobs/src/openJob.ts
@@ -104,7 +104,7 @@
         return { total: this.items.length, results, next: after + results.length };
     }
 
-    /** Calls `wake` once, at the next result. @returns a function that removes the subscription */
+    /** Calls `wake` once, at the next result. Returns a function that removes the subscription. */
     onNextResult(wake: () => void): () => void {
         this.waiters.push(wake);
         return () => {
--- a/fleet/jobs/src/orderStartableItems.ts
+++ b/fleet/jobs/src/orderStartableItems.ts
@@ -13,7 +13,7 @@
 
 /**
  * Returns the items that may start now, ordered by due time; items with more progress go first. Under overload, items
- * that can no longer finish in time come last, since each of them would make another one late.
+ * that can no longer finish in time come last, since each of them would make another item late.
  */
 export function orderStartableItems(
     jobs: readonly OpenJob[],
--- a/fleet/jobs/src/planJobWrite.ts
+++ b/fleet/jobs/src/planJobWrite.ts
@@ -9,7 +9,7 @@
 import { jobKeys } from "./jobKeys.js";
 import type { WaitingTokens } from "./waitingTokens.js";
 
-/** The write that stores a job and, if its route has a limit, adds its tokens to the waiting ones. */
+/** The write that stores a job and, if its route has a limit, adds its tokens to the route's waiting tokens. */
 interface JobWrite {
     compares: KeyValueCompare[];
     operations: KeyValueOperation[];
--- a/fleet/jobs/src/progressWriter.ts
+++ b/fleet/jobs/src/progressWriter.ts
@@ -25,7 +25,7 @@
         this.leadership = opts.leadership;
     }
 
-    /** Stores all items that have progress. @returns the number of these items */
+    /** Stores the progress of the items of open jobs that have any. Returns the number of these items. */
     async saveAll(jobs: readonly OpenJob[]): Promise<number> {
         const items = this.itemsWithProgress(jobs);
         for (let start = 0; start < items.length; start += MAX_ENTRIES) {
@@ -34,7 +34,10 @@
         return items.length;
     }
 
-    /** Stores the items with the most unstored events, in at most one write. */
+    /**
+     * Stores the progress of running items with at least `minEvents` unstored events, in at most one write. Items with
+     * the most unstored events go first.
+     */
     async saveFurthest(jobs: readonly OpenJob[], minEvents: number): Promise<void> {
         const furthest = this.itemsWithProgress(jobs)
             .filter(({ item }) => item.state === "running" && this.unstoredEvents(item) >= minEvents)
--- a/fleet/jobs/test/batchChoices.test.ts
+++ b/fleet/jobs/test/batchChoices.test.ts
@@ -30,7 +30,7 @@
     assert.equal(chooseBatchUpstream([candidate("a", 4, 3), candidate("b", 8, 0)]), undefined);
 });
 
-test("an item goes to an upstream that has failed it only if no other has a free slot", () => {
+test("an item goes to an upstream at which it has failed only if no other has a free slot", () => {
     const candidates = [candidate("failing", 0, 0), candidate("healthy", 5, 0)];
     const failedAt = ["failing" as UpstreamId];
     assert.equal(chooseBatchUpstream(candidates, failedAt)?.upstream.id, "healthy");
@@ -82,7 +82,7 @@
     assert.deepEqual(order.map(({ item }) => item.id), ["started-0", "near-0", "far-0", "too-late-0"]);
 });
 
-/** Simulates bursts of jobs on a fixed number of slots. @returns the number of items that finished in time */
+/** Simulates bursts of jobs on a fixed number of slots. Returns the number of items that finished in time. */
 function simulateOverload(remainingMs: (item: JobItem) => number): number {
     const slots = 8;
     const runMs = 5000;
@@ -107,7 +107,8 @@
     return inTime;
 }
 
-test("at three times the capacity, nearly as many items as fit finish in time", () => {
+test("at three times the capacity, nearly as many items finish in time as the slots allow", () => {
+    // 8 slots, 30 s of submissions plus 18 s until they are due, and 5 s for each item.
     const capacity = 8 * 48 / 5;
     const inTime = simulateOverload(remainingOfFiveSecondItem);
     assert.ok(inTime >= capacity * 0.9, `${inTime} of ${capacity}`);
