--- a/fleet/load/src/decideAdmission.ts
+++ b/fleet/load/src/decideAdmission.ts
@@ -7,7 +7,7 @@
 const MAX_RETRY_AFTER_MS = 1600;
 
 /**
- * Decides whether a request waits, to limit the queue under sustained overload. A first request that would miss its
+ * Decides whether a request waits, to limit the queue under sustained overload. A first attempt that would miss its
  * objective is rejected immediately, with the time after which a slot is likely to be free. A retry may wait until its
  * caller times out, since the caller would not retry a second time.
  */
