--- a/fleet/jobs/src/itemRun.ts
+++ b/fleet/jobs/src/itemRun.ts
@@ -45,6 +45,7 @@
         this.startedAtMs = opts.clock.nowMs();
     }
 
+    /** Sends the item to the upstream. Asks it to resume after the last event received, if there is any. */
     start(connections: UpstreamConnections, opts: { host: string; body: Buffer; }): void {
         const { item, headers } = this;
         const list = ["host", opts.host, ...item.record.headers.flatMap(header => [header.name, header.value])];
--- a/fleet/jobs/src/jobRunner.ts
+++ b/fleet/jobs/src/jobRunner.ts
@@ -126,7 +126,7 @@
         this.mirror?.catchUp(revision);
     }
 
-    /** Runs a job that is held on disk and is not stored yet. */
+    /** Runs a job that is held on disk and is not in the key-value service yet. */
     onHeld(job: HeldJob): void {
         if (this.leadershipController !== undefined) {
             this.table.applyHeld(job);
--- a/fleet/jobs/src/jobRunnerOptions.ts
+++ b/fleet/jobs/src/jobRunnerOptions.ts
@@ -29,6 +29,6 @@
     /** Returns how long an ended job stays readable after its acceptance, in milliseconds. */
     resultRetentionMs: () => number;
     onLoadChanged: () => void;
-    /** Jobs on this instance's disk that are not stored yet. */
+    /** Returns the jobs on this instance's disk that are not in the key-value service yet, shape [jobs]. */
     heldJobs: () => HeldJob[];
 }
--- a/fleet/jobs/src/jobTable.ts
+++ b/fleet/jobs/src/jobTable.ts
@@ -88,7 +88,7 @@
         });
     }
 
-    /** Adds a job that is held on disk and may not be stored yet. */
+    /** Adds a job that is held on disk and may not be in the key-value service yet. */
     applyHeld({ record, bodies }: HeldJob): void {
         if (this.jobs.has(record.jobId)) {
             return;
--- a/fleet/jobs/src/openJob.ts
+++ b/fleet/jobs/src/openJob.ts
@@ -66,6 +66,7 @@
         return this.items.find(item => item.id === id);
     }
 
+    /** Applies progress to a pending item unless the item is further ahead. */
     restoreProgress(index: number, progress: ItemProgress): void {
         const item = this.items[index];
         if (item !== undefined && item.state === "pending" && progress.lastEventId >= item.lastEventId) {
