--- a/fleet/gateway/src/jobRoutes.ts
+++ b/fleet/gateway/src/jobRoutes.ts
@@ -7,7 +7,7 @@
 import type { ServerResponse } from "node:http";
 import type { CallerProtocol } from "./callerProtocol.js";
 import type { JobCall } from "./jobCall.js";
-import type { JobReader } from "./jobReader.js";
+import type { RemoteJobReader } from "./remoteJobReader.js";
 import { sendFailure } from "./sendFailure.js";
 
 const RETRY_AFTER_MS = 300;
@@ -18,16 +18,16 @@
         logger: Logger;
         protocol: CallerProtocol;
         acceptor: JobAcceptor;
-        reader: JobReader;
+        reader: RemoteJobReader;
         onAccepted: (revision: number) => void;
     };
 
-    /** @param opts.onAccepted called with the revision at which a job was written */
+    /** @param opts.onAccepted called with the revision at which a job was written; 0 if it is held on disks */
     constructor(opts: {
         logger: Logger;
         protocol: CallerProtocol;
         acceptor: JobAcceptor;
-        reader: JobReader;
+        reader: RemoteJobReader;
         onAccepted: (revision: number) => void;
     }) {
         this.opts = opts;
--- a/fleet/load/src/requestQueue.ts
+++ b/fleet/load/src/requestQueue.ts
@@ -37,10 +37,10 @@
     /** Places, queues or rejects the request. */
     submit(request: QueuedRequest): void {
         const nowMs = this.opts.clock.nowMs();
-        const isFirstInLine = !this.requests.some(other =>
+        const isMostUrgent = !this.requests.some(other =>
             other.service === request.service && compareByUrgency(other, request, nowMs) < 0
         );
-        const upstream = isFirstInLine ? this.place(request) : undefined;
+        const upstream = isMostUrgent ? this.place(request) : undefined;
         if (upstream !== undefined) {
             request.onPlaced(upstream);
             return;
@@ -65,7 +65,7 @@
             this.remove(request);
             this.reject(request, 0, "the caller's time is up");
         });
-        // A service without a free slot can't accept a later request either.
+        // A service without a free slot can't run a less urgent request either.
         const full = new Set<ServiceName>();
         this.requests.sort((left, right) => compareByUrgency(left, right, nowMs));
         [...this.requests].forEach(request => {
