--- a/batch/claims/src/claimService.ts
+++ b/batch/claims/src/claimService.ts
@@ -186,7 +186,7 @@
                 const owned = this.ownership.owned(shardId);
                 return owned?.fencingNumber === partition.fencingNumber ? owned : undefined;
             },
-            isLive: executor => this.knownEntryIds.includes(executor),
+            isListed: executor => this.knownEntryIds.includes(executor),
             commitIntervalMs: this.opts.shardCount * MS_PER_SECOND
                 / (this.opts.writeBudgetPerSecond ?? DEFAULT_WRITE_BUDGET_PER_SECOND),
             retentionMs: this.opts.retentionMs ?? DEFAULT_RETENTION_MS,
--- a/batch/claims/src/claimShard.ts
+++ b/batch/claims/src/claimShard.ts
@@ -29,7 +29,7 @@
     random: Random;
     ownedPartition: () => OwnedPartition | undefined;
     /** Whether the entry instance that sends a call is still live. */
-    isLive: (executor: InstanceId) => boolean;
+    isListed: (executor: InstanceId) => boolean;
     /** Minimum time between two writes of this shard, in milliseconds. */
     commitIntervalMs: number;
     /** How long claims and recorded responses are stored, in milliseconds. */
@@ -210,7 +210,7 @@
         requestDigest: string,
     ): Promise<ClaimResult> {
         const nowMs = this.opts.clock.nowMs();
-        const kind = ClaimTable.classify(current, { requestDigest, nowMs, isLive: this.opts.isLive });
+        const kind = ClaimTable.classify(current, { requestDigest, nowMs, isListed: this.opts.isListed });
         return kind === "recorded" && current.kind === "recorded"
             ? { kind, answer: await this.readResponse(current.answer) }
             : { kind: kind as Exclude<typeof kind, "recorded"> };
--- a/batch/claims/src/claimTable.ts
+++ b/batch/claims/src/claimTable.ts
@@ -47,7 +47,7 @@
     /** Classifies an existing claim for a repeated request. */
     static classify(
         entry: UnreleasedEntry,
-        opts: { requestDigest: string; nowMs: number; isLive: (executor: InstanceId) => boolean; },
+        opts: { requestDigest: string; nowMs: number; isListed: (executor: InstanceId) => boolean; },
     ): "conflict" | "recorded" | "unknown" | "in-progress" {
         if (entry.requestDigest !== opts.requestDigest) {
             return "conflict";
@@ -55,7 +55,7 @@
         if (entry.kind === "recorded") {
             return "recorded";
         }
-        const isListed = opts.nowMs - entry.atMs < EXECUTOR_LISTING_GRACE_MS || opts.isLive(entry.executor);
-        return opts.nowMs >= entry.expiresAtMs || !isListed ? "unknown" : "in-progress";
+        const mayStillRun = opts.nowMs - entry.atMs < EXECUTOR_LISTING_GRACE_MS || opts.isListed(entry.executor);
+        return opts.nowMs >= entry.expiresAtMs || !mayStillRun ? "unknown" : "in-progress";
     }
 }
--- a/batch/owner/src/batchRole.ts
+++ b/batch/owner/src/batchRole.ts
@@ -145,14 +145,14 @@
             clock,
             random,
             logger,
-            maintenanceIntervalMs: sweepIntervalMs = DEFAULT_MAINTENANCE_INTERVAL_MS,
+            maintenanceIntervalMs = DEFAULT_MAINTENANCE_INTERVAL_MS,
             retentionMs,
         } = this.opts;
         const isOwned = (partitionId: PartitionId) => this.ownership.owned(partitionId) !== undefined;
         const scan = new SegmentScan({ ...this.opts, isOwned });
         const retention = new JobRetention({ ...this.opts, isOwned, retentionMs: retentionMs ?? Infinity });
         while (!this.stopping.signal.aborted) {
-            await sleep(clock, sweepIntervalMs * (0.75 + random.next() / 2), this.stopping.signal);
+            await sleep(clock, maintenanceIntervalMs * (0.75 + random.next() / 2), this.stopping.signal);
             try {
                 await scan.run(this.stopping.signal);
                 await retention.run();
--- a/batch/owner/src/jobRun.ts
+++ b/batch/owner/src/jobRun.ts
@@ -304,7 +304,7 @@
     private async readAhead(): Promise<void> {
         while (this.queue.waitingCount < READ_AHEAD_ITEMS && this.cursor < this.progress.totalCount) {
             const index = this.cursor;
-            if (!this.finished.has(index) && !this.orphans.has(index) && !this.wasRead(index)) {
+            if (!this.finished.has(index) && !this.orphans.has(index) && !this.isQueued(index)) {
                 this.enqueue(index, await this.input.lineAt(index));
             }
             this.cursor = index + 1;
@@ -312,7 +312,7 @@
         }
     }
 
-    private wasRead(index: number): boolean {
+    private isQueued(index: number): boolean {
         return index < this.readAheadEnd && this.queue.has(index);
     }
 
--- a/batch/owner/src/parseInputLine.ts
+++ b/batch/owner/src/parseInputLine.ts
@@ -11,23 +11,23 @@
 export function parseInputLine(text: string, endpoint: string): InputLine {
     const value = parseJson(text);
     if (!isJsonObject(value)) {
-        throw createLineError("invalid_json_line", "The line is not a JSON object");
+        throw invalidLineError("invalid_json_line", "The line is not a JSON object");
     }
     const { custom_id: customId, method, url, body } = value;
     if (typeof customId !== "string" || customId === "" || customId.length > MAX_CUSTOM_ID_LENGTH) {
-        throw createLineError(
+        throw invalidLineError(
             "invalid_custom_id",
             `custom_id must be a string of 1 to ${MAX_CUSTOM_ID_LENGTH} characters`,
         );
     }
     if (method !== "POST") {
-        throw createLineError("invalid_method", "method must be POST");
+        throw invalidLineError("invalid_method", "method must be POST");
     }
     if (url !== endpoint) {
-        throw createLineError("mismatched_url", `url must be the endpoint of the job, ${endpoint}`);
+        throw invalidLineError("mismatched_url", `url must be the endpoint of the job, ${endpoint}`);
     }
     if (!isJsonObject(body)) {
-        throw createLineError("invalid_body", "body must be a JSON object");
+        throw invalidLineError("invalid_body", "body must be a JSON object");
     }
     return { customId, url: endpoint, body };
 }
@@ -37,7 +37,7 @@
         return JSON.parse(text) as unknown;
     }
     catch {
-        throw createLineError("invalid_json_line", "The line is not valid JSON");
+        throw invalidLineError("invalid_json_line", "The line is not valid JSON");
     }
 }
 
@@ -45,6 +45,6 @@
     return typeof value === "object" && value !== null && !Array.isArray(value);
 }
 
-function createLineError(parameter: string, message: string): KnapweedError {
+function invalidLineError(parameter: string, message: string): KnapweedError {
     return new KnapweedError("BATCH_LINE_INVALID", message, { parameter, statusCode: 400, outcome: "not-run" });
 }
--- a/batch/owner/src/partitionOwner.ts
+++ b/batch/owner/src/partitionOwner.ts
@@ -103,7 +103,7 @@
     async report(jobId: JobId, results: BatchResult[], peer: PeerIdentity): Promise<number> {
         const run = this.runs.get(jobId);
         if (run === undefined) {
-            return await this.isFinal(jobId) ? results.length : 0;
+            return await this.needsNoResults(jobId) ? results.length : 0;
         }
         const hasClaims = results.some(result => run.isClaimed(result.itemIndex));
         for (const result of results) {
@@ -124,9 +124,9 @@
      * @returns whether the commit took effect; true if no job is due
      */
     async checkpoint(isDue: (run: JobRun) => boolean): Promise<boolean> {
-        const round = this.committing.then(() => this.commitRound(isDue));
-        this.committing = round.then(() => undefined, () => undefined);
-        return await round;
+        const commit = this.committing.then(() => this.commitDueJobs(isDue));
+        this.committing = commit.then(() => undefined, () => undefined);
+        return await commit;
     }
 
     private async loopUntilStopped(): Promise<void> {
@@ -159,7 +159,7 @@
         });
     }
 
-    private async commitRound(isDue: (run: JobRun) => boolean): Promise<boolean> {
+    private async commitDueJobs(isDue: (run: JobRun) => boolean): Promise<boolean> {
         const due = this.jobs()
             .filter(run => run.progress.state === "in_progress" && isDue(run))
             .slice(0, MAX_JOBS_PER_COMMIT);
@@ -280,7 +280,7 @@
         }
     }
 
-    private async isFinal(jobId: JobId): Promise<boolean> {
+    private async needsNoResults(jobId: JobId): Promise<boolean> {
         const progress = await readRecord<JobProgress>(this.opts.keyValue, batchKeys.progress(jobId));
         return progress === undefined || progress.value.state !== "in_progress";
     }
