--- a/batch/ownership/src/partitionOwnership.ts
+++ b/batch/ownership/src/partitionOwnership.ts
@@ -18,7 +18,7 @@
 import type { PartitionOwnershipOptions } from "./partitionOwnershipOptions.js";
 import type { PartitionRecord } from "./partitionRecord.js";
 
-const LEASE_TTL_MS = 2500;
+const DEFAULT_LEASE_TTL_MS = 2500;
 const TICK_MS = 400;
 const LEASE_RENEWAL_INTERVAL_MS = 700;
 const MAX_BACKOFF_MS = 4000;
@@ -134,7 +134,7 @@
         }
         const remainingMs = this.leaseId === undefined ? 0 : await keyValue.keepLeaseAlive(this.leaseId);
         if (remainingMs <= 0) {
-            this.leaseId = await keyValue.grantLease(this.opts.leaseTtlMs ?? LEASE_TTL_MS);
+            this.leaseId = await keyValue.grantLease(this.opts.leaseTtlMs ?? DEFAULT_LEASE_TTL_MS);
         }
         this.lastRenewedAtMs = nowMs;
     }
--- a/batch/records/src/commitTransaction.ts
+++ b/batch/records/src/commitTransaction.ts
@@ -7,7 +7,7 @@
 import type { TransactionResult } from "@knapweedwood/core.key-value/transactionResult";
 import type { Random } from "@knapweedwood/core.random/random";
 
-const RETRY_DELAY_MS = 50;
+const INITIAL_RETRY_DELAY_MS = 50;
 const MAX_RETRY_DELAY_MS = 2000;
 const DEFAULT_MAX_ATTEMPTS = 8;
 
@@ -46,7 +46,7 @@
             }
             lostResponseError = error.outcome === "unknown" ? error : lostResponseError;
         }
-        const maxDelayMs = Math.min(MAX_RETRY_DELAY_MS, RETRY_DELAY_MS * 2 ** attempt);
+        const maxDelayMs = Math.min(MAX_RETRY_DELAY_MS, INITIAL_RETRY_DELAY_MS * 2 ** attempt);
         await sleep(opts.clock, maxDelayMs * (0.5 + opts.random.next() / 2));
     }
     throw lostResponseError
--- a/batch/segments/src/replicatedSegmentStore.ts
+++ b/batch/segments/src/replicatedSegmentStore.ts
@@ -15,7 +15,7 @@
 import type { SegmentStore } from "./segmentStore.js";
 import { verifySegment } from "./verifySegment.js";
 
-const COPY_COUNT = 2;
+const DEFAULT_COPY_COUNT = 2;
 const CALL_TIMEOUT_MS = 10_000;
 const MAX_SEGMENT_BYTES = 1_000_000;
 
@@ -38,7 +38,7 @@
 
     constructor(opts: ReplicatedSegmentStoreOptions) {
         this.opts = opts;
-        this.copyCount = opts.copyCount ?? COPY_COUNT;
+        this.copyCount = opts.copyCount ?? DEFAULT_COPY_COUNT;
     }
 
     async put(bytes: Uint8Array): Promise<SegmentDigest> {
--- a/batch/source/src/linkBatchSource.ts
+++ b/batch/source/src/linkBatchSource.ts
@@ -17,9 +17,9 @@
 /** How long an entry that had no work is not pulled from; grows with each empty pull. */
 const EMPTY_PULL_PAUSE_MS = 250;
 const MAX_EMPTY_PULL_PAUSE_MS = 2000;
-const FOLLOW_UP_PULL_MS = 1000;
-const REPORT_RETRY_MS = 100;
-const MAX_REPORT_RETRY_MS = 2000;
+const FOLLOW_UP_PULL_DELAY_MS = 1000;
+const REPORT_RETRY_DELAY_MS = 100;
+const MAX_REPORT_RETRY_DELAY_MS = 2000;
 const GROUP_SIZE_RESULTS = 64;
 
 interface EntryPullState {
@@ -136,7 +136,7 @@
     /** Ensures that a next pull follows: with it, the owner requeues the items of a response that was lost. */
     private scheduleFollowUpPull(address: string, state: EntryPullState): void {
         const lostPullNumber = state.pullNumber;
-        this.opts.clock.setTimer(FOLLOW_UP_PULL_MS * (0.5 + this.opts.random.next()), () => {
+        this.opts.clock.setTimer(FOLLOW_UP_PULL_DELAY_MS * (0.5 + this.opts.random.next()), () => {
             const isObsolete = state.pullNumber !== lostPullNumber || this.stopping.signal.aborted;
             if (!isObsolete && this.opts.entries().includes(address)) {
                 void this.pullFrom(address, 0);
@@ -157,7 +157,7 @@
                 results.forEach(result => this.held.delete(heldKey(result)));
                 return;
             }
-            const ceilingMs = Math.min(MAX_REPORT_RETRY_MS, REPORT_RETRY_MS * 2 ** Math.min(attempt, 8));
+            const ceilingMs = Math.min(MAX_REPORT_RETRY_DELAY_MS, REPORT_RETRY_DELAY_MS * 2 ** Math.min(attempt, 8));
             const delayMs = ceilingMs * (0.5 + this.opts.random.next() / 2);
             await sleep(this.opts.clock, delayMs, this.stopping.signal);
         }
