--- a/batch/claims/src/claimLog.ts
+++ b/batch/claims/src/claimLog.ts
@@ -33,7 +33,7 @@
     keyValue: KeyValueService;
     clock: Clock;
     random: Random;
-    /** Returns the partition that proves ownership; undefined while this instance must not commit. */
+    /** Returns the proof of ownership; undefined while this instance must not commit. */
     ownedPartition: () => OwnedPartition | undefined;
 }
 
--- a/batch/claims/src/claimResult.ts
+++ b/batch/claims/src/claimResult.ts
@@ -5,8 +5,12 @@
 export type ClaimResult =
     | { kind: "granted"; token: ClaimToken; }
     | { kind: "recorded"; answer: RecordedResponse; }
+    /** The call is claimed and may still be running. */
     | { kind: "in-progress"; }
-    /** The call was started, but its outcome can't be determined, or not yet. */
+    /**
+     * The call may have run and its outcome is unknown: its claim has expired, or the instance that sends it is no
+     * longer listed. Its response may still be recorded.
+     */
     | { kind: "unknown"; }
     /** The idempotency key belongs to a request with another digest. */
     | { kind: "conflict"; };
--- a/batch/claims/src/claimService.ts
+++ b/batch/claims/src/claimService.ts
@@ -108,7 +108,11 @@
         }
     }
 
-    /** Records the response of a claimed call. Resolves once a repeated request will receive it. */
+    /**
+     * Records the response of a claimed call. Resolves once the owner of the shard has responded. Repeated requests
+     * then receive the response, unless the token does not hold the claim or the owner has lost the shard. Rejects if
+     * no owner responds within RECORD_RETRY_TIMEOUT_MS.
+     */
     async record(token: ClaimToken, response: RecordedResponse): Promise<void> {
         await this.callWithRetries(
             RECORD_RETRY_TIMEOUT_MS,
--- a/batch/claims/src/claimServiceOptions.ts
+++ b/batch/claims/src/claimServiceOptions.ts
@@ -28,5 +28,6 @@
     writeBudgetPerSecond?: number;
     /** How long claims and recorded responses are stored, in milliseconds. */
     retentionMs?: number;
+    /** How long the lease on this instance's shards lasts without a renewal, in milliseconds. */
     leaseTtlMs?: number;
 }
--- a/batch/claims/src/claimShard.ts
+++ b/batch/claims/src/claimShard.ts
@@ -27,8 +27,9 @@
     segmentStore: SegmentStore;
     clock: Clock;
     random: Random;
+    /** Returns the proof of ownership; undefined while this instance must not commit. */
     ownedPartition: () => OwnedPartition | undefined;
-    /** Whether the entry instance that sends a call is still live. */
+    /** Returns whether the instance list contains the entry instance that sends a call, in any state. */
     isListed: (executor: InstanceId) => boolean;
     /** Minimum time between two writes of this shard, in milliseconds. */
     commitIntervalMs: number;
--- a/batch/claims/src/claimToken.ts
+++ b/batch/claims/src/claimToken.ts
@@ -1,6 +1,6 @@
 import type { PartitionId } from "@knapweedwood/core.ids/partitionId";
 
-/** Permission to send one call once. */
+/** Identifies one attempt to claim a call. Once granted, it permits sending the call once. */
 export interface ClaimToken {
     shardId: PartitionId;
     /** Digest of team, service and idempotency key. */
