--- a/batch/items/src/batchItem.ts
+++ b/batch/items/src/batchItem.ts
@@ -10,7 +10,10 @@
 export interface BatchItem {
     jobId: JobId;
     itemIndex: ItemIndex;
-    /** Number of the attempt, starting at 1. Results are accepted only for the current attempt. */
+    /**
+     * Number of the attempt, starting at 1. A failed or returned outcome is accepted only for the current attempt, a
+     * completed or rejected one for any attempt.
+     */
     attempt: number;
     teamId: TeamId;
     service: ServiceName;
