--- a/batch/jobs/src/batchService.ts
+++ b/batch/jobs/src/batchService.ts
@@ -7,7 +7,10 @@
 
 /** Operations of the callers' API on files and batch jobs. Any entry can serve any job. */
 export interface BatchService {
-    /** Stores a streamed file. Resolves once it is stored in two copies. */
+    /**
+     * Stores a streamed file. Resolves once each of its segments has the number of copies that the segment store
+     * requires. Rejects with `LINE_TOO_LONG` for a line that does not fit into one segment.
+     */
     createFile(opts: {
         teamId: TeamId;
         fileName: string;
--- a/batch/jobs/src/fileRecord.ts
+++ b/batch/jobs/src/fileRecord.ts
@@ -8,5 +8,6 @@
     fileName: string;
     purpose: string;
     sizeBytes: number;
+    /** Time of creation, in milliseconds since the Unix epoch. */
     createdAtMs: number;
 }
--- a/batch/jobs/src/jobAcceptance.ts
+++ b/batch/jobs/src/jobAcceptance.ts
@@ -34,7 +34,8 @@
     /**
      * Accepts a job, or returns the job accepted earlier under the same idempotency key. Rejects with
      * `IDEMPOTENCY_KEY_REUSED` if that job has another input file or endpoint, with `JOB_NOT_ACCEPTED` (outcome
-     * `not-run`), or with `JOB_OUTCOME_UNKNOWN` (outcome `unknown`).
+     * `not-run`) if a concurrently accepted job was removed meanwhile, or with `JOB_OUTCOME_UNKNOWN` (outcome
+     * `unknown`) if such a job can't be read.
      */
     async accept(opts: AcceptOptions): Promise<JobRecord> {
         return await this.findAccepted(opts) ?? await this.create(opts);
--- a/batch/jobs/src/jobProgress.ts
+++ b/batch/jobs/src/jobProgress.ts
@@ -6,7 +6,10 @@
 import type { JobState } from "./jobState.js";
 import type { ResultSegment } from "./resultSegment.js";
 
-/** Progress of a job. Only a write of this record commits that a job is completed or cancelled. */
+/**
+ * Progress of a job. A job is completed or cancelled only by a write of this record. Times are milliseconds since the
+ * Unix epoch.
+ */
 export interface JobProgress {
     state: JobState;
     /** Unique to each write, so that reading the record shows whether a write with a lost response took effect. */
--- a/batch/jobs/src/keyValueBatchService.ts
+++ b/batch/jobs/src/keyValueBatchService.ts
@@ -80,7 +80,10 @@
         return files.map(file => file.value.record);
     }
 
-    /** Removes the file's record. The periodic cleanup removes segments that no record references. */
+    /**
+     * Removes the file's record. Its segments may belong to other files too, so they are left to a cleanup of segments
+     * that no record references.
+     */
     async deleteFile(opts: { teamId: TeamId; fileId: FileId; }): Promise<void> {
         await this.readStoredFile(opts);
         await this.opts.keyValue.transact([], [{ kind: "delete", key: batchKeys.file(opts.teamId, opts.fileId) }]);
