--- a/batch/segments/src/folderSegmentStore.ts
+++ b/batch/segments/src/folderSegmentStore.ts
@@ -77,7 +77,12 @@
         return await this.get(digest).then(() => 1, () => 0);
     }
 
-    /** Removes segments that are not in `referenced` and were written before `beforeMs`. @returns the number removed */
+    /**
+     * Removes segments that are not in `referenced` and were written before `beforeMs`, in milliseconds since the Unix
+     * epoch.
+     *
+     * @returns the number of segments removed
+     */
     async removeUnreferenced(referenced: ReadonlySet<SegmentDigest>, beforeMs: number): Promise<number> {
         const digests = await this.list();
         let removedCount = 0;
