--- a/batch/source/src/linkBatchSource.ts
+++ b/batch/source/src/linkBatchSource.ts
@@ -14,7 +14,7 @@
 import { setMaxListeners } from "node:events";
 
 const CALL_TIMEOUT_MS = 10_000;
-/** How long an entry that had no work is not pulled from; grows with each empty pull. */
+/** Pause before the next pull from an entry after an empty or failed pull; grows with each further one. */
 const EMPTY_PULL_PAUSE_MS = 250;
 const MAX_EMPTY_PULL_PAUSE_MS = 2000;
 const FOLLOW_UP_PULL_DELAY_MS = 1000;
@@ -23,7 +23,9 @@
 const GROUP_SIZE_RESULTS = 64;
 
 interface EntryPullState {
+    /** Number of consecutive pulls that were empty or failed. */
     emptyCount: number;
+    /** Earliest time of the next pull, in milliseconds since the Unix epoch. */
     notBeforeMs: number;
     /** Number of the last pull sent. */
     pullNumber: number;
@@ -133,7 +135,10 @@
         return items;
     }
 
-    /** Ensures that a next pull follows: with it, the owner requeues the items of a response that was lost. */
+    /**
+     * Pulls once more, without requesting items, unless another pull is sent first. From the next pull the owner
+     * recognizes that the response was lost, and requeues its items.
+     */
     private scheduleFollowUpPull(address: string, state: EntryPullState): void {
         const lostPullNumber = state.pullNumber;
         this.opts.clock.setTimer(FOLLOW_UP_PULL_DELAY_MS * (0.5 + this.opts.random.next()), () => {
