--- a/batch/ownership/src/decideOwnership.ts
+++ b/batch/ownership/src/decideOwnership.ts
@@ -3,7 +3,7 @@
 import type { OwnershipView } from "./ownershipView.js";
 
 const RANK_DELAY_MS = 300;
-/** Longer than the backoff of a holder whose calls failed during an outage. */
+/** Time for the last holder to return after an outage; longer than its backoff after the failed calls. */
 const OUTAGE_GRACE_MS = 7000;
 const MAX_RANK_DELAYS = 3;
 const REBALANCE_DELAY_MS = 5000;
--- a/batch/ownership/src/ownershipView.ts
+++ b/batch/ownership/src/ownershipView.ts
@@ -2,7 +2,7 @@
 import type { PartitionId } from "@knapweedwood/core.ids/partitionId";
 import type { OwnershipState } from "./ownershipState.js";
 
-/** The local view of one instance on which it decides about ownership. */
+/** One instance's local view of all partitions, from which it decides which to acquire and which to release. */
 export interface OwnershipView {
     nowMs: number;
     instanceId: InstanceId;
@@ -17,9 +17,12 @@
         lastHolder: InstanceId | undefined;
         /** Since when this instance has observed the partition as free; undefined while it is held. */
         freeSinceMs: number | undefined;
-        /** Whether it was found free at the end of an outage, in which leases expire while their holders are alive. */
+        /**
+         * Whether it was first observed as free at the end of an outage of the key-value service. In an outage, leases
+         * expire although their holders are alive.
+         */
         wasFreedByOutage: boolean;
-        /** Since when another instance has ranked first for a partition held here. */
+        /** Since when another instance has ranked first for the partition; undefined while this one does. */
         misplacedSinceMs: number | undefined;
     }[];
 }
--- a/batch/ownership/src/partitionOwnershipOptions.ts
+++ b/batch/ownership/src/partitionOwnershipOptions.ts
@@ -22,6 +22,7 @@
     random: Random;
     logger: Logger;
     metrics: Metrics;
+    /** How long the lease on this instance's partitions lasts without a renewal, in milliseconds. */
     leaseTtlMs?: number;
     /** Called when a partition is acquired, also when an expired one is reacquired with a new fencing number. */
     onAcquired: (partition: OwnedPartition) => void;
--- a/batch/ownership/src/partitionRecord.ts
+++ b/batch/ownership/src/partitionRecord.ts
@@ -7,5 +7,6 @@
     /** Address where the owner accepts links, as `host:port`. */
     address: string;
     fencingNumber: FencingNumber;
+    /** Unique to each write of the record. */
     writeId: string;
 }
--- a/batch/ownership/test/commitProtocol.ts
+++ b/batch/ownership/test/commitProtocol.ts
@@ -30,6 +30,7 @@
     leaseExpiriesLeft: number;
 }
 
+/** The state before the first action. The `...Left` counters limit the faults that an exploration covers. */
 export const initialState: ProtocolState = {
     owners: [createOwner(), createOwner()],
     holder: undefined,
