--- a/batch/owner/src/batchRoleOptions.ts
+++ b/batch/owner/src/batchRoleOptions.ts
@@ -22,6 +22,7 @@
     endpoint: LinkEndpoint;
     segmentStore: SegmentStore;
     services: ServiceLookup;
+    /** Returns the weight of a team in the distribution of items. */
     teamWeight: (teamId: TeamId) => number;
     logger: Logger;
     metrics: Metrics;
@@ -29,9 +30,10 @@
     partitionCount: number;
     /** Checkpoint writes per second of the whole fleet, divided evenly between the partitions. */
     writeBudgetPerSecond?: number;
+    /** How long the lease on this instance's partitions lasts without a renewal, in milliseconds. */
     leaseTtlMs?: number;
-    /** How long a job is kept after its end; undefined keeps all jobs. */
+    /** How long a job is kept after its end, in milliseconds; undefined keeps all jobs. */
     retentionMs?: number;
-    /** Mean time between two segment scans, each followed by the removal of expired jobs. */
+    /** Mean pause between two segment scans, in milliseconds. The removal of expired jobs follows each scan. */
     maintenanceIntervalMs?: number;
 }
--- a/batch/owner/src/inheritedItems.ts
+++ b/batch/owner/src/inheritedItems.ts
@@ -36,7 +36,11 @@
         this.queue.addInFlight({ ...item, attemptCount: handedOut.attempt }, handedOut, nowMs);
     }
 
-    /** Compares the items of the job that a gate holds with those that the earlier owner handed to it. */
+    /**
+     * Compares the items of the job that a gate holds with those that the earlier owner handed to it. Requeues items
+     * that the gate does not hold. Marks the items that it holds as in flight, at the latest once their line is read.
+     * Items that this owner has handed out itself are left as they are.
+     */
     confirm(held: HeldItem[], peer: PeerIdentity, nowMs: number): void {
         const heldIndexes = new Set<number>(held.map(item => item.itemIndex));
         this.requeueMissing(heldIndexes, peer);
--- a/batch/owner/src/jobRun.ts
+++ b/batch/owner/src/jobRun.ts
@@ -36,6 +36,7 @@
     private orphanGraceStartedAtMs: number;
     private readonly ownWriteIds = new Set<string>();
     private stored: StoredRecord<JobProgress>;
+    /** Items with a result, committed or not. */
     private finished: ItemSet;
     /** Items that another owner claimed and that have no result yet. */
     private readonly orphans: Set<number>;
@@ -45,7 +46,9 @@
     private readonly uncommittedClaims = new Set<number>();
     private readonly queue: ItemQueue;
     private readonly inherited: InheritedItems;
+    /** Next index to read ahead. Reset to 0 when items of dropped segments must run again. */
     private cursor = 0;
+    /** End of the indexes that were ever read ahead. */
     private readAheadEnd = 0;
     private refilling: Promise<void> | undefined;
     private firstUncommittedAtMs: number | undefined;
@@ -72,6 +75,7 @@
         return this.stored.modRevision;
     }
 
+    /** When the first uncommitted result arrived, or a record was last applied since; undefined if there is none. */
     get oldestUncommittedAtMs(): number | undefined {
         return this.firstUncommittedAtMs;
     }
@@ -159,7 +163,10 @@
         });
     }
 
-    /** Records a result. Ignores results that no longer apply, such as those of an item that already has one. */
+    /**
+     * Records a result. Ignores results that no longer apply, such as those of an item that already has one, or a
+     * failed attempt that is not in flight at this peer.
+     */
     async report(result: BatchResult, peer: PeerIdentity): Promise<void> {
         const index: number = result.itemIndex;
         if (this.progress.state !== "in_progress" || this.finished.has(index) || index >= this.progress.totalCount) {
@@ -312,6 +319,7 @@
         }
     }
 
+    /** Returns whether the item is queued. Searches the queue only for indexes that were read ahead before. */
     private isQueued(index: number): boolean {
         return index < this.readAheadEnd && this.queue.has(index);
     }
--- a/batch/owner/src/partitionOwner.ts
+++ b/batch/owner/src/partitionOwner.ts
@@ -280,6 +280,7 @@
         }
     }
 
+    /** Returns whether results of the job are not needed: its record is absent or not in progress. */
     private async needsNoResults(jobId: JobId): Promise<boolean> {
         const progress = await readRecord<JobProgress>(this.opts.keyValue, batchKeys.progress(jobId));
         return progress === undefined || progress.value.state !== "in_progress";
--- a/batch/owner/src/pullTracker.ts
+++ b/batch/owner/src/pullTracker.ts
@@ -20,6 +20,10 @@
         this.requeue = opts.requeue;
     }
 
+    /**
+     * Returns the items for a pull, shape [0..count]: those of `handOut` for a new pull, the same items again for a
+     * repeated one, and none for an older one. A pull without a number is not tracked.
+     */
     async respond(
         request: PullItemsRequest,
         peer: PeerIdentity,
--- a/batch/owner/src/teamShares.ts
+++ b/batch/owner/src/teamShares.ts
@@ -4,6 +4,7 @@
 export class TeamShares {
     private readonly weightOf: (teamId: TeamId) => number;
     private readonly weightedCounts = new Map<TeamId, number>();
+    /** Highest weighted count at which a team has received an item; no team counts as less. */
     private minimumCount = 0;
 
     constructor(opts: { weightOf: (teamId: TeamId) => number; }) {
@@ -11,8 +12,8 @@
     }
 
     /**
-     * Returns the weighted count of items that the team has received. A team that was idle starts at the level of
-     * the others.
+     * Returns the weighted count of items that the team has received. It is at least `minimumCount`, so that a team
+     * gets no extra items for the time in which it was idle.
      */
     weightedCountOf(teamId: TeamId): number {
         return Math.max(this.minimumCount, this.weightedCounts.get(teamId) ?? 0);
