--- a/batch/claims/src/claimShard.ts
+++ b/batch/claims/src/claimShard.ts
@@ -27,9 +27,10 @@
     segmentStore: SegmentStore;
     clock: Clock;
     random: Random;
+    /** Returns the proof of ownership; undefined while this instance must not commit. */
     ownedPartition: () => OwnedPartition | undefined;
-    /** Whether the entry instance that sends a call is still live. */
-    isLive: (executor: InstanceId) => boolean;
+    /** Returns whether the instance list contains the entry instance that sends a call, in any state. */
+    isListed: (executor: InstanceId) => boolean;
     /** Minimum time between two writes of this shard, in milliseconds. */
     commitIntervalMs: number;
     /** How long claims and recorded responses are stored, in milliseconds. */
@@ -210,7 +211,7 @@
         requestDigest: string,
     ): Promise<ClaimResult> {
         const nowMs = this.opts.clock.nowMs();
-        const kind = ClaimTable.classify(current, { requestDigest, nowMs, isLive: this.opts.isLive });
+        const kind = ClaimTable.classify(current, { requestDigest, nowMs, isListed: this.opts.isListed });
         return kind === "recorded" && current.kind === "recorded"
             ? { kind, answer: await this.readResponse(current.answer) }
             : { kind: kind as Exclude<typeof kind, "recorded"> };
--- a/fleet/jobs/src/openJob.ts
+++ b/fleet/jobs/src/openJob.ts
@@ -66,6 +66,7 @@
         return this.items.find(item => item.id === id);
     }
 
+    /** Applies progress to a pending item unless the item is further ahead. */
     restoreProgress(index: number, progress: ItemProgress): void {
         const item = this.items[index];
         if (item !== undefined && item.state === "pending" && progress.lastEventId >= item.lastEventId) {
@@ -104,7 +105,7 @@
         return { total: this.items.length, results, next: after + results.length };
     }
 
-    /** Calls `wake` once, at the next result. @returns a function that removes the subscription */
+    /** Calls `wake` once, at the next result. Returns a function that removes the subscription. */
     onNextResult(wake: () => void): () => void {
         this.waiters.push(wake);
         return () => {
