--- a/bench/decisions/src/callOutcome.ts
+++ b/bench/decisions/src/callOutcome.ts
@@ -3,6 +3,6 @@
     arrivedAtMs: number;
     firstEventAtMs: number | undefined;
     /** When it asked last. */
-    askedAtMs: number;
-    refusals: number;
+    lastAttemptAtMs: number;
+    rejections: number;
 }
--- a/bench/decisions/src/callOutcomes.ts
+++ b/bench/decisions/src/callOutcomes.ts
@@ -19,7 +19,7 @@
 
     /** Figures over the span of a load. */
     figures(load: LoadPattern): Omit<DecisionFigures, "policy" | "load" | "itemsOnTimeShare"> {
-        const calls = this.between(load.fromMs, load.toMs);
+        const calls = this.arrivedBetween(load.fromMs, load.toMs);
         const onTime = calls.filter(isOnTime);
         const served = calls.filter(call => call.firstEventAtMs !== undefined);
         const windows = Array.from(
@@ -32,7 +32,7 @@
             onTimeShare: onTime.length / calls.length,
             lateShare: (served.length - onTime.length) / calls.length,
             unservedShare: (calls.length - served.length) / calls.length,
-            refusedShare: calls.filter(call => call.refusals > 0).length / calls.length,
+            refusedShare: calls.filter(call => call.rejections > 0).length / calls.length,
             worstWindowShare: Math.min(...windows),
             goodputPerSecond: onTime.length * MS_PER_SECOND / (load.toMs - load.fromMs),
             recoveryMs: this.recoveryMs(load),
@@ -49,11 +49,11 @@
     }
 
     private onTimeShare(fromMs: number, lengthMs: number): number {
-        const calls = this.between(fromMs, fromMs + lengthMs);
+        const calls = this.arrivedBetween(fromMs, fromMs + lengthMs);
         return calls.length === 0 ? 1 : calls.filter(isOnTime).length / calls.length;
     }
 
-    private between(fromMs: number, toMs: number): CallOutcome[] {
+    private arrivedBetween(fromMs: number, toMs: number): CallOutcome[] {
         return this.outcomes.filter(call => call.arrivedAtMs >= fromMs && call.arrivedAtMs < toMs);
     }
 }
@@ -66,7 +66,7 @@
     if (isOnTime(call)) {
         return 1;
     }
-    const isReturnOnTime = call.refusals > 0 && call.firstEventAtMs - call.askedAtMs <= OBJECTIVE_MS;
+    const isReturnOnTime = call.rejections > 0 && call.firstEventAtMs - call.lastAttemptAtMs <= OBJECTIVE_MS;
     return isReturnOnTime ? (1 + LATE_VALUE) / 2 : LATE_VALUE;
 }
 
--- a/bench/decisions/src/waitInOrder.ts
+++ b/bench/decisions/src/firstComeQueue.ts
@@ -3,22 +3,22 @@
 import type { CallQueue } from "./callQueue.js";
 
 /** First come, first served: requests wait for a slot as long as their callers do, and none is refused before. */
-export class WaitInOrder implements CallQueue {
-    private readonly room: RequestQueue;
+export class FirstComeQueue implements CallQueue {
+    private readonly requestQueue: RequestQueue;
 
-    constructor(room: RequestQueue) {
-        this.room = room;
+    constructor(requestQueue: RequestQueue) {
+        this.requestQueue = requestQueue;
     }
 
     submit(call: QueuedRequest): void {
-        this.room.submit(Object.assign(call, { objectiveAtMs: Infinity, isRetry: false }));
+        this.requestQueue.submit(Object.assign(call, { objectiveAtMs: Infinity, isRetry: false }));
     }
 
     remove(call: QueuedRequest): void {
-        this.room.remove(call);
+        this.requestQueue.remove(call);
     }
 
     dispatch(): void {
-        this.room.dispatch();
+        this.requestQueue.dispatch();
     }
 }
--- a/bench/decisions/src/forwardAtOnce.ts
+++ b/bench/decisions/src/immediateForwarder.ts
@@ -4,17 +4,20 @@
 import type { CallQueue } from "./callQueue.js";
 
 /** A plain forwarder: each request goes at once where this gateway has the fewest in flight, full or not. */
-export class ForwardAtOnce implements CallQueue {
-    private readonly board: LoadTracker;
+export class ImmediateForwarder implements CallQueue {
+    private readonly loadTracker: LoadTracker;
     private readonly upstreams: () => Upstream[];
 
-    constructor(opts: { board: LoadTracker; upstreams: () => Upstream[]; }) {
-        this.board = opts.board;
+    constructor(opts: { loadTracker: LoadTracker; upstreams: () => Upstream[]; }) {
+        this.loadTracker = opts.loadTracker;
         this.upstreams = opts.upstreams;
     }
 
     submit(call: QueuedRequest): void {
-        const loads = this.upstreams().map(upstream => ({ upstream, own: this.board.ownOnlineCount(upstream.id) }));
+        const loads = this.upstreams().map(upstream => ({
+            upstream,
+            own: this.loadTracker.ownOnlineCount(upstream.id),
+        }));
         const [best] = loads.sort((left, right) => left.own - right.own);
         if (best !== undefined) {
             call.onPlaced(best.upstream);
--- a/bench/decisions/src/jobSimulation.ts
+++ b/bench/decisions/src/jobSimulation.ts
@@ -12,9 +12,9 @@
 import { OpenJob } from "@knapweedwood/fleet.jobs/openJob";
 import { orderStartableItems } from "@knapweedwood/fleet.jobs/orderStartableItems";
 import type { Upstream } from "@knapweedwood/fleet.view/upstream";
-import { BoardReporter } from "./boardReporter.js";
 import type { EngineRun } from "./engineRun.js";
 import type { LoadPattern } from "./loadPattern.js";
+import { LoadReporter } from "./loadReporter.js";
 import type { SimulatedEngine } from "./simulatedEngine.js";
 
 const ITEMS_PER_JOB = 10;
@@ -33,7 +33,7 @@
 
 /** The process that runs items: the decisions of the real one, without its connections and records. */
 export class JobSimulation {
-    readonly reporter = new BoardReporter("runner", () => []);
+    readonly reporter = new LoadReporter("runner", () => []);
     private readonly opts: { clock: Clock; random: Random; engines: () => SimulatedEngine[]; service: ServiceName; };
     private readonly jobs: OpenJob[] = [];
     private readonly runTimeEstimator = new ItemRunTimeEstimator();
@@ -42,14 +42,14 @@
 
     constructor(opts: JobSimulation["opts"]) {
         this.opts = opts;
-        this.submitLater();
+        this.scheduleNextJob();
     }
 
     /** Ends runs that online requests displace, and starts items where there is room. */
-    pump(): void {
-        this.endDisplaced();
+    dispatch(): void {
+        this.preemptRuns();
         const { clock, service } = this.opts;
-        if (this.reporter.board.waitingAtPeers(service) > 0) {
+        if (this.reporter.loadTracker.waitingAtPeers(service) > 0) {
             return;
         }
         const open = this.jobs.filter(job => job.items.some(item => item.state === "pending"));
@@ -57,7 +57,7 @@
             nowMs: clock.nowMs(),
             remainingMs: item => this.runTimeEstimator.remainingMs(item),
         });
-        order.every(({ job, item }) => this.startWhereThereIsRoom(job, item));
+        order.every(({ job, item }) => this.startOnFreeEngine(job, item));
     }
 
     /** Items due within the span of a load that were done by then, as a share. */
@@ -68,11 +68,11 @@
         return items.length === 0 ? 1 : onTime.length / items.length;
     }
 
-    private submitLater(): void {
+    private scheduleNextJob(): void {
         const gapMs = exponentialGap(this.opts.random, MEAN_JOB_GAP_MS);
         this.opts.clock.setTimer(gapMs, () => {
             this.jobs.push(this.createJob(`j${this.jobs.length}`));
-            this.submitLater();
+            this.scheduleNextJob();
         });
     }
 
@@ -99,7 +99,7 @@
         });
     }
 
-    private startWhereThereIsRoom(job: OpenJob, item: JobItem): boolean {
+    private startOnFreeEngine(job: OpenJob, item: JobItem): boolean {
         const engines = this.opts.engines();
         const chosen = chooseBatchUpstream(engines.map(engine => this.candidateOf(engine.upstream)))?.upstream;
         if (chosen === undefined) {
@@ -121,48 +121,51 @@
                 this.runTimeEstimator.recordOutput(ITEM_EVENTS);
                 item.state = "stored";
                 this.endedAtMs.set(item, clock.nowMs());
-                this.release(one => one.run === run);
+                this.removeRunning(runningItem => runningItem.run === run);
             },
         };
         if (engine.submit(run)) {
             item.state = "running";
-            this.reporter.board.count(engine.upstream.id, "batch", 1);
+            this.reporter.loadTracker.count(engine.upstream.id, "batch", 1);
             this.running.push({ job, item, engine, run, startedAtMs });
         }
     }
 
-    private endDisplaced(): void {
+    private preemptRuns(): void {
         const { clock } = this.opts;
-        const runs = this.running.map(one => ({
-            one,
-            upstreamId: one.engine.upstream.id as UpstreamId,
-            dueAtMs: one.job.record.dueAtMs,
-            startedAtMs: one.startedAtMs,
-            isLate: clock.nowMs() + this.runTimeEstimator.remainingMs(one.item) > one.job.record.dueAtMs,
+        const runs = this.running.map(runningItem => ({
+            runningItem,
+            upstreamId: runningItem.engine.upstream.id as UpstreamId,
+            dueAtMs: runningItem.job.record.dueAtMs,
+            startedAtMs: runningItem.startedAtMs,
+            isLate:
+                clock.nowMs() + this.runTimeEstimator.remainingMs(runningItem.item) > runningItem.job.record.dueAtMs,
         }));
-        [...new Set(this.running.map(one => one.engine.upstream))]
+        [...new Set(this.running.map(runningItem => runningItem.engine.upstream))]
             .flatMap(upstream => chooseRunsToPreempt(this.candidateOf(upstream), runs))
-            .forEach(({ one }) => this.end(one));
+            .forEach(({ runningItem }) => this.preempt(runningItem));
     }
 
-    private end(one: RunningItem): void {
-        const ranMs = this.opts.clock.nowMs() - one.startedAtMs;
-        one.engine.abort(one.run);
-        one.item.lastEventId = Math.min(
+    private preempt(runningItem: RunningItem): void {
+        const ranMs = this.opts.clock.nowMs() - runningItem.startedAtMs;
+        runningItem.engine.abort(runningItem.run);
+        runningItem.item.lastEventId = Math.min(
             ITEM_EVENTS - 1,
-            one.item.lastEventId + Math.floor(ranMs * ITEM_EVENTS / ITEM_MS),
+            runningItem.item.lastEventId + Math.floor(ranMs * ITEM_EVENTS / ITEM_MS),
         );
-        one.item.state = "pending";
-        this.release(other => other === one);
+        runningItem.item.state = "pending";
+        this.removeRunning(other => other === runningItem);
     }
 
-    private release(matches: (one: RunningItem) => boolean): void {
-        this.running.filter(matches).forEach(one => this.reporter.board.count(one.engine.upstream.id, "batch", -1));
-        this.running = this.running.filter(one => !matches(one));
+    private removeRunning(matches: (runningItem: RunningItem) => boolean): void {
+        this.running.filter(matches).forEach(runningItem =>
+            this.reporter.loadTracker.count(runningItem.engine.upstream.id, "batch", -1)
+        );
+        this.running = this.running.filter(runningItem => !matches(runningItem));
     }
 
     private candidateOf(upstream: Upstream) {
-        const { board } = this.reporter;
-        return { upstream, online: board.onlineCount(upstream.id), batch: board.batchCount(upstream.id) };
+        const { loadTracker } = this.reporter;
+        return { upstream, online: loadTracker.onlineCount(upstream.id), batch: loadTracker.batchCount(upstream.id) };
     }
 }
--- a/bench/decisions/src/loadPatterns.ts
+++ b/bench/decisions/src/loadPatterns.ts
@@ -6,11 +6,11 @@
 const BURST_PERIOD_MS = 5200;
 const BURST_MS = 2200;
 
-const isWithin = (nowMs: number) => nowMs >= FROM_MS && nowMs < TO_MS;
+const isInMeasuredSpan = (nowMs: number) => nowMs >= FROM_MS && nowMs < TO_MS;
 const isBurst = (nowMs: number) => nowMs % BURST_PERIOD_MS < BURST_MS;
 
 /** Regular bursts as the usual load has them, around a mean of 1. */
-const usual = (nowMs: number) => isBurst(nowMs) ? 1.8 : 0.4;
+const usualRateFactor = (nowMs: number) => isBurst(nowMs) ? 1.8 : 0.4;
 
 function patternOf(
     name: string,
@@ -22,14 +22,14 @@
 
 /** The loads that policies are compared on. */
 export const loadPatterns: readonly LoadPattern[] = [
-    patternOf("usual", usual),
-    patternOf("twice the usual", nowMs => usual(nowMs) * (isWithin(nowMs) ? 2 : 1)),
-    patternOf("four times the usual", nowMs => usual(nowMs) * (isWithin(nowMs) ? 4 : 1)),
-    patternOf("steady at the capacity", nowMs => isWithin(nowMs) ? 2.3 : 1),
-    patternOf("a third of the engines lost", usual, nowMs => isWithin(nowMs) ? 2 / 3 : 1),
+    patternOf("usual", usualRateFactor),
+    patternOf("twice the usual", nowMs => usualRateFactor(nowMs) * (isInMeasuredSpan(nowMs) ? 2 : 1)),
+    patternOf("four times the usual", nowMs => usualRateFactor(nowMs) * (isInMeasuredSpan(nowMs) ? 4 : 1)),
+    patternOf("steady at the capacity", nowMs => isInMeasuredSpan(nowMs) ? 2.3 : 1),
+    patternOf("a third of the engines lost", usualRateFactor, nowMs => isInMeasuredSpan(nowMs) ? 2 / 3 : 1),
     patternOf(
         "twice the usual, a third of the engines lost",
-        nowMs => usual(nowMs) * (isWithin(nowMs) ? 2 : 1),
-        nowMs => isWithin(nowMs) ? 2 / 3 : 1,
+        nowMs => usualRateFactor(nowMs) * (isInMeasuredSpan(nowMs) ? 2 : 1),
+        nowMs => isInMeasuredSpan(nowMs) ? 2 / 3 : 1,
     ),
 ];
--- a/bench/decisions/src/boardReporter.ts
+++ b/bench/decisions/src/loadReporter.ts
@@ -3,8 +3,8 @@
 import { LoadTracker } from "@knapweedwood/fleet.load/loadTracker";
 
 /** The load board of one process, and its reports to the others. */
-export class BoardReporter {
-    readonly board = new LoadTracker();
+export class LoadReporter {
+    readonly loadTracker = new LoadTracker();
     private readonly name: InstanceName;
     private readonly waiting: () => LoadReport["waiting"];
     private sequence = 0;
@@ -21,7 +21,7 @@
             startedAtMs: 0,
             sequence: this.sequence,
             isKeyValueReachable: true,
-            counts: this.board.ownCounts().map(count => ({ ...count })),
+            counts: this.loadTracker.ownCounts().map(count => ({ ...count })),
             ejected: [],
             waiting: this.waiting(),
             configurationRevision: 0,
--- a/bench/decisions/src/simulateDecisions.ts
+++ b/bench/decisions/src/simulateDecisions.ts
@@ -33,8 +33,8 @@
         (_, index) =>
             new SimulatedEngine({ clock, id: `e${index}`, service: SERVICE, zone: ZONES[index % 3]!, slots: SLOTS }),
     );
-    const usable = () => engines.slice(0, Math.round(ENGINES * load.engineShare(clock.nowMs())));
-    const upstreams = (): Upstream[] => usable().map(engine => engine.upstream);
+    const usableEngines = () => engines.slice(0, Math.round(ENGINES * load.engineShare(clock.nowMs())));
+    const upstreams = (): Upstream[] => usableEngines().map(engine => engine.upstream);
     const gateways = Array.from(
         { length: GATEWAYS },
         (_, index) =>
@@ -48,26 +48,28 @@
             }),
     );
     const outcomes = new CallOutcomes();
-    const jobs = new JobSimulation({ clock, random: randomOf(2), engines: usable, service: SERVICE });
-    const boards = [...gateways.map(gateway => gateway.reporter), jobs.reporter];
+    const jobs = new JobSimulation({ clock, random: randomOf(2), engines: usableEngines, service: SERVICE });
+    const reporters = [...gateways.map(gateway => gateway.reporter), jobs.reporter];
 
-    const exchange = () => {
-        boards.forEach(sender => {
+    const exchangeReports = () => {
+        reporters.forEach(sender => {
             const report = sender.createReport();
-            boards.filter(other => other !== sender).forEach(other => other.board.apply(report, clock.nowMs()));
+            reporters.filter(other => other !== sender).forEach(other =>
+                other.loadTracker.apply(report, clock.nowMs())
+            );
         });
         gateways.forEach(gateway => gateway.queue.dispatch());
-        jobs.pump();
-        clock.setTimer(REPORT_INTERVAL_MS, exchange);
+        jobs.dispatch();
+        clock.setTimer(REPORT_INTERVAL_MS, exchangeReports);
     };
     const random = randomOf(1);
-    const arrive = () => {
+    const startNextCaller = () => {
         const gapMs = exponentialGap(random, MEAN_GAP_MS / load.rateFactor(clock.nowMs()));
-        clock.setTimer(gapMs, arrive);
+        clock.setTimer(gapMs, startNextCaller);
         new SimulatedCaller({ clock, random, gateways, engines, outcomes }).start();
     };
-    exchange();
-    arrive();
+    exchangeReports();
+    startNextCaller();
     clock.runUntil(load.durationMs);
     return { policy, load: load.name, ...outcomes.figures(load), itemsOnTimeShare: jobs.onTimeShare(load) };
 }
--- a/bench/decisions/src/simulatedCaller.ts
+++ b/bench/decisions/src/simulatedCaller.ts
@@ -12,11 +12,11 @@
 
 const OBJECTIVE_MS = 300;
 /** A caller leaves when nothing comes for so long, and comes back once after a refusal. */
-const PATIENCE_MS = 1950;
+const CALLER_TIMEOUT_MS = 1950;
 const MEAN_HOLD_MS = 720;
 const FIRST_EVENT_MS = 40;
 /** Way between caller, gateway and engine and back. */
-const WAY_MS = 8;
+const ROUND_TRIP_MS = 8;
 
 /** One caller: asks, comes back once if refused, leaves when its patience ends. */
 export class SimulatedCaller {
@@ -35,75 +35,75 @@
         this.opts = opts;
         this.outcome = {
             arrivedAtMs: opts.clock.nowMs(),
-            askedAtMs: opts.clock.nowMs(),
+            lastAttemptAtMs: opts.clock.nowMs(),
             firstEventAtMs: undefined,
-            refusals: 0,
+            rejections: 0,
         };
         this.holdMs = MEAN_HOLD_MS * (0.5 + opts.random.next());
     }
 
     start(): void {
         this.opts.outcomes.add(this.outcome);
-        this.ask();
+        this.sendRequest();
     }
 
-    private ask(): void {
+    private sendRequest(): void {
         const { clock, random, gateways } = this.opts;
         this.attempts += 1;
         const gateway = gateways[random.nextInteger(gateways.length)]!;
         const nowMs = clock.nowMs();
-        this.outcome.askedAtMs = nowMs;
+        this.outcome.lastAttemptAtMs = nowMs;
         const call: QueuedRequest = {
             service: "model" as ServiceName,
             priority: 0,
             arrivedAtMs: nowMs,
             objectiveAtMs: nowMs + OBJECTIVE_MS,
-            callerTimeoutAtMs: nowMs + PATIENCE_MS,
+            callerTimeoutAtMs: nowMs + CALLER_TIMEOUT_MS,
             isRetry: this.attempts > 1,
             excluded: new Set<UpstreamId>(),
             onPlaced: upstream => this.run(gateway, upstream),
-            onRejected: retryAfterMs => this.onRefused(retryAfterMs),
+            onRejected: retryAfterMs => this.onRejected(retryAfterMs),
         };
         gateway.queue.submit(call);
     }
 
     private run(gateway: SimulatedGateway, upstream: Upstream): void {
         const { clock, engines } = this.opts;
-        const engine = engines.find(one => one.upstream.id === upstream.id)!;
-        const { board } = gateway.reporter;
-        board.count(upstream.id, "online", 1);
+        const engine = engines.find(candidate => candidate.upstream.id === upstream.id)!;
+        const { loadTracker } = gateway.reporter;
+        loadTracker.count(upstream.id, "online", 1);
         const startedAtMs = clock.nowMs();
-        const leaveSlot = () => {
-            board.count(upstream.id, "online", -1);
+        const releaseSlot = () => {
+            loadTracker.count(upstream.id, "online", -1);
             gateway.queue.dispatch();
         };
-        const patience = clock.setTimer(PATIENCE_MS, () => {
+        const callerTimer = clock.setTimer(CALLER_TIMEOUT_MS, () => {
             engine.abort(run);
-            leaveSlot();
+            releaseSlot();
         });
         const run: EngineRun = {
-            firstEventMs: FIRST_EVENT_MS + WAY_MS,
+            firstEventMs: FIRST_EVENT_MS + ROUND_TRIP_MS,
             holdMs: this.holdMs,
             onFirstEvent: () => {
-                patience.cancel();
+                callerTimer.cancel();
                 this.outcome.firstEventAtMs = clock.nowMs();
             },
             onEnd: () => {
                 gateway.holdTimes.record(upstream.service, clock.nowMs() - startedAtMs);
-                leaveSlot();
+                releaseSlot();
             },
         };
         if (!engine.submit(run)) {
-            patience.cancel();
-            leaveSlot();
-            this.onRefused(0);
+            callerTimer.cancel();
+            releaseSlot();
+            this.onRejected(0);
         }
     }
 
-    private onRefused(retryAfterMs: number): void {
-        this.outcome.refusals += 1;
+    private onRejected(retryAfterMs: number): void {
+        this.outcome.rejections += 1;
         if (this.attempts === 1) {
-            this.opts.clock.setTimer(retryAfterMs + WAY_MS, () => this.ask());
+            this.opts.clock.setTimer(retryAfterMs + ROUND_TRIP_MS, () => this.sendRequest());
         }
     }
 }
--- a/bench/decisions/src/simulatedGateway.ts
+++ b/bench/decisions/src/simulatedGateway.ts
@@ -5,16 +5,16 @@
 import { LeastLoadedPlacement } from "@knapweedwood/fleet.load/leastLoadedPlacement";
 import { RequestQueue } from "@knapweedwood/fleet.load/requestQueue";
 import type { Upstream } from "@knapweedwood/fleet.view/upstream";
-import { BoardReporter } from "./boardReporter.js";
 import type { CallQueue } from "./callQueue.js";
 import type { DecisionPolicy } from "./decisionPolicy.js";
-import { ForwardAtOnce } from "./forwardAtOnce.js";
-import { WaitInOrder } from "./waitInOrder.js";
+import { FirstComeQueue } from "./firstComeQueue.js";
+import { ImmediateForwarder } from "./immediateForwarder.js";
+import { LoadReporter } from "./loadReporter.js";
 
 /** One gateway: the decisions of the real one, without its connections. */
 export class SimulatedGateway {
     readonly queue: CallQueue;
-    readonly reporter: BoardReporter;
+    readonly reporter: LoadReporter;
     readonly holdTimes = new HoldTimes();
 
     constructor(opts: {
@@ -26,31 +26,31 @@
         upstreams: () => Upstream[];
     }) {
         const { clock, random, zone, upstreams } = opts;
-        this.reporter = new BoardReporter(`gateway-${opts.index}`, () => room.waitingCounts());
-        const { board } = this.reporter;
+        this.reporter = new LoadReporter(`gateway-${opts.index}`, () => requestQueue.waitingCounts());
+        const { loadTracker } = this.reporter;
         const placement = new LeastLoadedPlacement({
-            loadTracker: board,
+            loadTracker,
             random,
             zone,
             connectionShare: () => Infinity,
         });
-        const room = new RequestQueue({
+        const requestQueue = new RequestQueue({
             clock,
             random,
-            loadTracker: board,
+            loadTracker,
             holdTimes: this.holdTimes,
             placement,
             usableUpstreams: upstreams,
         });
         switch (opts.policy) {
             case "ours":
-                this.queue = room;
+                this.queue = requestQueue;
                 break;
             case "first-come":
-                this.queue = new WaitInOrder(room);
+                this.queue = new FirstComeQueue(requestQueue);
                 break;
             case "forwarder":
-                this.queue = new ForwardAtOnce({ board, upstreams });
+                this.queue = new ImmediateForwarder({ loadTracker, upstreams });
         }
     }
 }
--- a/bench/decisions/test/simulateDecisions.test.ts
+++ b/bench/decisions/test/simulateDecisions.test.ts
@@ -8,7 +8,7 @@
 const figures = compareDecisions({ seed: 1, seeds: 3 });
 
 function figuresOf(load: string, policy: DecisionFigures["policy"]): DecisionFigures {
-    return figures.find(one => one.load === load && one.policy === policy)!;
+    return figures.find(figure => figure.load === load && figure.policy === policy)!;
 }
 
 test("no load leaves callers worse off than a plain forwarder or first come, first served", () => {
@@ -21,7 +21,7 @@
 });
 
 test("after an overload all are on time again within two seconds", () => {
-    const slow = figures.filter(one => one.policy === "ours" && one.recoveryMs > 2000);
+    const slow = figures.filter(figure => figure.policy === "ours" && figure.recoveryMs > 2000);
     assert.deepEqual(slow, []);
 });
 
@@ -33,6 +33,6 @@
 
 test("the same seed gives the same figures", () => {
     const [load] = loadPatterns;
-    const play = () => simulateDecisions({ policy: "ours", load: load!, seed: 7 });
-    assert.deepEqual(play(), play());
+    const simulate = () => simulateDecisions({ policy: "ours", load: load!, seed: 7 });
+    assert.deepEqual(simulate(), simulate());
 });
