--- a/bench/load/src/isReady.ts
+++ b/bench/load/src/isReady.ts
@@ -9,20 +9,20 @@
 /** Whether a process is ready now. */
 export async function isReady(readiness: Readiness): Promise<boolean> {
     try {
-        return readiness.kind === "url" ? await answersOk(readiness.url) : await accepts(readiness.port);
+        return readiness.kind === "url" ? await respondsOk(readiness.url) : await acceptsConnections(readiness.port);
     }
     catch {
         return false;
     }
 }
 
-async function answersOk(url: string): Promise<boolean> {
-    const answer = await request(url, { signal: AbortSignal.timeout(PROBE_TIMEOUT_MS) });
-    await answer.body.dump();
-    return answer.statusCode === OK_STATUS;
+async function respondsOk(url: string): Promise<boolean> {
+    const response = await request(url, { signal: AbortSignal.timeout(PROBE_TIMEOUT_MS) });
+    await response.body.dump();
+    return response.statusCode === OK_STATUS;
 }
 
-async function accepts(port: number): Promise<boolean> {
+async function acceptsConnections(port: number): Promise<boolean> {
     const socket = connect(port, "127.0.0.1");
     try {
         await once(socket, "connect", { signal: AbortSignal.timeout(PROBE_TIMEOUT_MS) });
--- a/bench/load/src/launchedProcess.ts
+++ b/bench/load/src/launchedProcess.ts
@@ -35,9 +35,9 @@
 
     /** Stops the process gracefully, and kills it where it has not ended in time. */
     async stop(timeoutMs = DEFAULT_STOP_TIMEOUT_MS): Promise<number | undefined> {
-        const killer = setTimeout(() => this.child.kill("SIGKILL"), timeoutMs);
+        const killTimer = setTimeout(() => this.child.kill("SIGKILL"), timeoutMs);
         await this.end("SIGTERM");
-        clearTimeout(killer);
+        clearTimeout(killTimer);
         return this.exitCode;
     }
 
--- a/bench/load/src/runClosedLoop.ts
+++ b/bench/load/src/runClosedLoop.ts
@@ -12,13 +12,13 @@
     call: () => Promise<void>;
 }): Promise<number> {
     const endMs = opts.clock.nowMs() + opts.durationMs;
-    let ended = 0;
+    let completed = 0;
     const runCaller = async (): Promise<void> => {
         while (opts.clock.nowMs() < endMs) {
             await opts.call();
-            ended += opts.clock.nowMs() < endMs ? 1 : 0;
+            completed += opts.clock.nowMs() < endMs ? 1 : 0;
         }
     };
     await Promise.all(Array.from({ length: opts.concurrency }, runCaller));
-    return ended;
+    return completed;
 }
--- a/bench/load/src/svgPlot.ts
+++ b/bench/load/src/svgPlot.ts
@@ -14,7 +14,7 @@
 interface Scale {
     minimum: number;
     maximum: number;
-    place: (value: number) => number;
+    toPixel: (value: number) => number;
 }
 
 /** Draws a plot as SVG. */
@@ -45,17 +45,17 @@
     const minimum = values.reduce((least, value) => Math.min(least, value), values[0] ?? 0);
     const maximum = values.reduce((most, value) => Math.max(most, value), values[0] ?? 1);
     const range = maximum > minimum ? maximum - minimum : 1;
-    return { minimum, maximum: minimum + range, place: value => from + (value - minimum) / range * (to - from) };
+    return { minimum, maximum: minimum + range, toPixel: value => from + (value - minimum) / range * (to - from) };
 }
 
 function axes(plot: ReportPlot, x: Scale, y: Scale): string {
     const yText = (value: number) => labelOf(plot.isLogarithmic === true ? 10 ** value : value);
     const xTicks = ticksOf(x).map(value =>
-        `<text x="${x.place(value)}" y="${HEIGHT - BOTTOM + 16}" text-anchor="middle">${labelOf(value)}</text>`
+        `<text x="${x.toPixel(value)}" y="${HEIGHT - BOTTOM + 16}" text-anchor="middle">${labelOf(value)}</text>`
     );
     const yTicks = ticksOf(y).map(value =>
-        `<line x1="${LEFT}" x2="${WIDTH - RIGHT}" y1="${y.place(value)}" y2="${y.place(value)}" stroke="#ddd"/>`
-        + `<text x="${LEFT - 6}" y="${y.place(value) + 4}" text-anchor="end">${yText(value)}</text>`
+        `<line x1="${LEFT}" x2="${WIDTH - RIGHT}" y1="${y.toPixel(value)}" y2="${y.toPixel(value)}" stroke="#ddd"/>`
+        + `<text x="${LEFT - 6}" y="${y.toPixel(value) + 4}" text-anchor="end">${yText(value)}</text>`
     );
     const labels =
         `<text x="${(LEFT + WIDTH) / 2}" y="${HEIGHT - 12}" text-anchor="middle">${escapeHtml(plot.xLabel)}</text>`
@@ -75,7 +75,9 @@
 }
 
 function drawLine(line: PlotSeries, index: number, x: Scale, y: Scale): string {
-    const points = line.points.map(point => `${x.place(point.x).toFixed(1)},${y.place(point.y).toFixed(1)}`).join(" ");
+    const points = line.points.map(point => `${x.toPixel(point.x).toFixed(1)},${y.toPixel(point.y).toFixed(1)}`).join(
+        " ",
+    );
     return `<polyline points="${points}" fill="none" stroke="${colourOf(index)}" stroke-width="1.5"/>`;
 }
 
--- a/bench/load/test/arrivals.test.ts
+++ b/bench/load/test/arrivals.test.ts
@@ -33,7 +33,7 @@
     const clock = new ManualClock();
     const started: number[] = [];
     const dues: number[] = [];
-    const whole = runOpenLoop({
+    const loop = runOpenLoop({
         clock,
         arrivals: [10, 20, 30],
         call: async (_index, dueMs) => {
@@ -43,7 +43,7 @@
         },
     });
     await clock.advance(2000);
-    await whole;
+    await loop;
     assert.deepEqual(started, [10, 20, 30]);
     assert.deepEqual(dues, [10, 20, 30]);
 });
