--- a/bench/mixed/src/armFiguresOf.ts
+++ b/bench/mixed/src/armFiguresOf.ts
@@ -10,7 +10,7 @@
 /** The figures of an arm from its slices. */
 export function armFiguresOf(arm: ArmDefinition, slices: SliceRecord[], boundTokensPerSecond: number): ArmFigures {
     const calls = slices.flatMap(slice => slice.calls);
-    const answered = calls.filter(call => call.isWhole);
+    const completedCalls = calls.filter(call => call.isWhole);
     const failures = calls.flatMap(call => call.failure ?? (call.isWhole ? [] : "cut off"));
     const measuredMs = slices.reduce((sum, slice) => sum + slice.durationMs, 0);
     const totals = sumTotals(slices.map(slice => slice.totals));
@@ -18,10 +18,10 @@
     return {
         title: arm.title,
         timeToFirstToken: summarizeLatencies(
-            answered.flatMap(call => (call.tokenTimesMs[0] ?? call.dueMs) - call.dueMs),
+            completedCalls.flatMap(call => (call.tokenTimesMs[0] ?? call.dueMs) - call.dueMs),
         ),
         tokenGap: summarizeLatencies(
-            answered.flatMap(({ tokenTimesMs }) =>
+            completedCalls.flatMap(({ tokenTimesMs }) =>
                 tokenTimesMs.slice(1).map((timeMs, index) => timeMs - (tokenTimesMs[index] ?? timeMs))
             ),
         ),
--- a/bench/mixed/src/batchItemMeans.ts
+++ b/bench/mixed/src/batchItemMeans.ts
@@ -8,14 +8,14 @@
 const BLOCK_TOKENS = 16;
 
 /** Mean size of the batch items: prompt tokens outside the shared prefix, and answer tokens. */
-export function batchItemMeans(): { prefillTokens: number; answerTokens: number; } {
+export function batchItemMeans(): { prefillTokens: number; outputTokens: number; } {
     const random = createRandom(SEED);
     const bodies = Array.from({ length: SAMPLES }, () => createBatchBody(random, "bench"));
     const prompts = bodies.map(promptTextOf);
     const sharedTokens = Math.floor(tokensIn(commonPrefix(prompts)) / BLOCK_TOKENS) * BLOCK_TOKENS;
     return {
         prefillTokens: meanOf(prompts.map(tokensIn)) - sharedTokens,
-        answerTokens: meanOf(bodies.map(body => Number(body.max_tokens))),
+        outputTokens: meanOf(bodies.map(body => Number(body.max_tokens))),
     };
 }
 
--- a/bench/mixed/src/createBatchBody.ts
+++ b/bench/mixed/src/createBatchBody.ts
@@ -1,19 +1,19 @@
 import type { Random } from "@knapweedwood/core.random/random";
 import type { JsonObject } from "@knapweedwood/engines.model-engine/jsonObject";
+import { randomText } from "./randomText.js";
 import { sampleLogNormal } from "./sampleLogNormal.js";
-import { textOf } from "./textOf.js";
 
 const INSTRUCTIONS = "Assess the lot below for the allocation campaign and answer in one paragraph. ".repeat(12);
 const LOT_CHARACTERS = { median: 280, sigma: 0.5, min: 80, max: 1200 };
-const ANSWER_TOKENS = { median: 60, sigma: 0.5, min: 12, max: 200 };
+const OUTPUT_TOKENS = { median: 60, sigma: 0.5, min: 12, max: 200 };
 
 /** The body of one batch item: instructions that all items share, and a lot. */
 export function createBatchBody(random: Random, model: string): JsonObject {
-    const lot = textOf(random, sampleLogNormal(random, LOT_CHARACTERS));
+    const lot = randomText(random, sampleLogNormal(random, LOT_CHARACTERS));
     return {
         model,
         messages: [{ role: "system", content: INSTRUCTIONS }, { role: "user", content: lot }],
-        max_tokens: sampleLogNormal(random, ANSWER_TOKENS),
+        max_tokens: sampleLogNormal(random, OUTPUT_TOKENS),
         user: "batch",
     };
 }
--- a/bench/mixed/src/createWorkload.ts
+++ b/bench/mixed/src/createWorkload.ts
@@ -1,15 +1,15 @@
 import type { Random } from "@knapweedwood/core.random/random";
 import { createRandom } from "./createRandom.js";
 import type { OnlineArrival } from "./onlineArrival.js";
+import { randomText } from "./randomText.js";
 import { sampleLogNormal } from "./sampleLogNormal.js";
-import { textOf } from "./textOf.js";
 import type { WorkloadOptions } from "./workloadOptions.js";
 
 const MS_PER_SECOND = 1000;
 const SHARED_PREFIXES = 4;
 const SHARED_PREFIX_CHARACTERS = 512;
 const PROMPT_CHARACTERS = { median: 480, sigma: 0.9, min: 40, max: 8000 };
-const ANSWER_TOKENS = { median: 24, sigma: 0.8, min: 4, max: 200 };
+const OUTPUT_TOKENS = { median: 24, sigma: 0.8, min: 4, max: 200 };
 /** The base rate swings by this share over the workload, as it does over a day. */
 const DIURNAL_SHARE = 0.4;
 
@@ -17,7 +17,7 @@
 export function createWorkload(opts: WorkloadOptions): OnlineArrival[] {
     const random = createRandom(opts.seed);
     const texts = createRandom(opts.textSeed);
-    const prefixes = Array.from({ length: SHARED_PREFIXES }, () => textOf(texts, SHARED_PREFIX_CHARACTERS));
+    const prefixes = Array.from({ length: SHARED_PREFIXES }, () => randomText(texts, SHARED_PREFIX_CHARACTERS));
     const bursts = createBursts(random, opts);
     const peakRate = opts.baseRatePerSecond * (1 + DIURNAL_SHARE) * opts.burstFactor;
     const arrivals: OnlineArrival[] = [];
@@ -57,16 +57,16 @@
 
 function createArrival(
     random: Random,
-    part: { atMs: number; prefixes: string[]; texts: Random; opts: WorkloadOptions; index: number; },
+    context: { atMs: number; prefixes: string[]; texts: Random; opts: WorkloadOptions; index: number; },
 ): OnlineArrival {
-    const prefix = part.prefixes[random.nextInteger(part.prefixes.length)];
-    const question = textOf(part.texts, sampleLogNormal(random, PROMPT_CHARACTERS));
-    const answerTokens = sampleLogNormal(random, ANSWER_TOKENS);
+    const prefix = context.prefixes[random.nextInteger(context.prefixes.length)];
+    const question = randomText(context.texts, sampleLogNormal(random, PROMPT_CHARACTERS));
+    const outputTokens = sampleLogNormal(random, OUTPUT_TOKENS);
     const body = {
-        model: part.opts.model,
+        model: context.opts.model,
         messages: [{ role: "system", content: prefix }, { role: "user", content: question }],
-        max_tokens: answerTokens,
-        user: `online-${part.index}`,
+        max_tokens: outputTokens,
+        user: `online-${context.index}`,
     };
-    return { atMs: part.atMs, answerTokens, request: { endpoint: "/v1/chat/completions", body } };
+    return { atMs: context.atMs, outputTokens, request: { endpoint: "/v1/chat/completions", body } };
 }
--- a/bench/mixed/src/endlessBatchSource.ts
+++ b/bench/mixed/src/endlessBatchSource.ts
@@ -15,13 +15,13 @@
 const DUE_MS = 3_600_000;
 
 /** A source of batch items that never ends, for simulations. */
-export class BatchSupply implements BatchSource {
+export class EndlessBatchSource implements BatchSource {
     readonly results: BatchResult[] = [];
     private readonly clock: Clock;
     private readonly random: Random;
     private readonly model: string;
     private readonly returned: BatchItem[] = [];
-    private readonly given = new Map<number, BatchItem>();
+    private readonly handedOut = new Map<number, BatchItem>();
     private count = 0;
 
     constructor(opts: { clock: Clock; seed: number; model: string; }) {
@@ -37,12 +37,12 @@
 
     report(results: BatchResult[]): Promise<void> {
         results.forEach(result => {
-            const item = this.given.get(result.itemIndex);
+            const item = this.handedOut.get(result.itemIndex);
             if (result.outcome.kind === "returned" && item !== undefined) {
                 this.returned.push({ ...item, resumeFrom: result.outcome.resumeFrom });
                 return;
             }
-            this.given.delete(result.itemIndex);
+            this.handedOut.delete(result.itemIndex);
             this.results.push(result);
         });
         return Promise.resolve();
@@ -61,7 +61,7 @@
             dueAtMs: this.clock.nowMs() + DUE_MS,
             repeatable: true,
         };
-        this.given.set(this.count, item);
+        this.handedOut.set(this.count, item);
         return item;
     }
 }
--- a/bench/mixed/src/idleCapacityTokens.ts
+++ b/bench/mixed/src/idleCapacityTokens.ts
@@ -12,15 +12,15 @@
     durationMs: number;
     /** What online work alone did in that time. */
     online: Pick<EngineTotals, "decodeTokens" | "prefillTokens">;
-    batchItem: { prefillTokens: number; answerTokens: number; };
+    batchItem: { prefillTokens: number; outputTokens: number; };
 }): number {
     const { stepModel, durationMs, online, batchItem } = opts;
-    const prefillPerTokenMs = stepModel.perPrefillTokenMs * batchItem.prefillTokens / batchItem.answerTokens;
+    const prefillPerTokenMs = stepModel.perPrefillTokenMs * batchItem.prefillTokens / batchItem.outputTokens;
     const batchTokenMs = stepModel.perSequenceMs + prefillPerTokenMs;
     const onlineMs = stepModel.perSequenceMs * online.decodeTokens + stepModel.perPrefillTokenMs * online.prefillTokens;
-    const byStepTime = (steps: number) => (durationMs - onlineMs - steps * stepModel.fixedMs) / batchTokenMs;
+    const batchTokensFor = (steps: number) => (durationMs - onlineMs - steps * stepModel.fixedMs) / batchTokenMs;
     const fewestSteps = durationMs / opts.objectiveMs;
     const slotSteps = (durationMs - onlineMs + online.decodeTokens * batchTokenMs)
         / (stepModel.fixedMs + stepModel.maxSequences * batchTokenMs);
-    return Math.max(0, byStepTime(Math.max(fewestSteps, slotSteps)));
+    return Math.max(0, batchTokensFor(Math.max(fewestSteps, slotSteps)));
 }
--- a/bench/mixed/src/mixedReportOf.ts
+++ b/bench/mixed/src/mixedReportOf.ts
@@ -20,22 +20,22 @@
 
 /** The report of the experiment from its slices. */
 export function mixedReportOf(slices: SliceRecord[], context: ReportContext): MixedReport {
-    const whole = ratiosOf(slices, context);
+    const overall = ratiosOf(slices, context);
     const rounds = [...new Set(slices.filter(slice => slice.arm === "d").map(slice => slice.round))];
     const byRound = rounds.map(round => ratiosOf(slices.filter(slice => slice.round === round), context));
     return {
         seed: context.seed,
         seconds: slices.reduce((sum, slice) => sum + slice.durationMs, 0) / MS_PER_SECOND,
         engines: context.engines,
-        ...whole.ratios,
-        boundTokensPerSecond: whole.boundTokensPerSecond,
+        ...overall.ratios,
+        boundTokensPerSecond: overall.boundTokensPerSecond,
         rounds: rounds.length,
         spread: {
             ttftP99Ratio: spreadOf(byRound.map(({ ratios }) => ratios.ttftP99Ratio)),
             tokenGapP99Ratio: spreadOf(byRound.map(({ ratios }) => ratios.tokenGapP99Ratio)),
             batchShareOfBound: spreadOf(byRound.map(({ ratios }) => ratios.batchShareOfBound)),
         },
-        arms: whole.arms,
+        arms: overall.arms,
     };
 }
 
--- a/bench/mixed/src/mixedTestBed.ts
+++ b/bench/mixed/src/mixedTestBed.ts
@@ -14,9 +14,9 @@
 
 const HOST = "127.0.0.1";
 const ENTRIES = 2;
-const SERVE_TIMEOUT_MS = 60_000;
-const SERVE_CHECK_MS = 100;
-const ANSWERS_A_MODEL = 4;
+const READY_TIMEOUT_MS = 60_000;
+const READY_CHECK_INTERVAL_MS = 100;
+const CHECKS_PER_ENTRY = 4;
 const OK = 200;
 
 interface SideGroup {
@@ -41,7 +41,7 @@
     };
     private readonly processes: LaunchedProcess[] = [];
     private readonly engineUrls: string[] = [];
-    private lastRefusal = "";
+    private lastErrorText = "";
     private platform = { keyValueUrl: "", instanceListUrl: "" };
 
     constructor(opts: MixedTestBed["opts"]) {
@@ -66,20 +66,20 @@
 
     /** What all engines have done so far. */
     async totals(): Promise<EngineTotals> {
-        const answers = await Promise.all(this.engineUrls.map(url => request(`${url}/__totals`)));
-        return sumTotals(await Promise.all(answers.map(answer => answer.body.json() as Promise<EngineTotals>)));
+        const responses = await Promise.all(this.engineUrls.map(url => request(`${url}/__totals`)));
+        return sumTotals(await Promise.all(responses.map(response => response.body.json() as Promise<EngineTotals>)));
     }
 
     /** Sends a request of the callers' or operators' API to an entry. */
     async call(method: "GET" | "POST", path: string, body?: string | Uint8Array, contentType = "application/json") {
-        const answer = await request(`${this.entryUrls[0]}${path}`, {
+        const response = await request(`${this.entryUrls[0]}${path}`, {
             method,
             headers: { authorization: `Bearer ${this.operatorKey}`, "content-type": contentType },
             body,
         });
-        const text = await answer.body.text();
-        if (answer.statusCode !== OK) {
-            throw new KnapweedError("BENCH_CALL_FAILED", `${method} ${path}: ${answer.statusCode} ${text}`);
+        const text = await response.body.text();
+        if (response.statusCode !== OK) {
+            throw new KnapweedError("BENCH_CALL_FAILED", `${method} ${path}: ${response.statusCode} ${text}`);
         }
         return JSON.parse(text) as { [field: string]: unknown; };
     }
@@ -173,25 +173,25 @@
     }
 
     private async waitUntilServing(): Promise<void> {
-        const endMs = performance.now() + SERVE_TIMEOUT_MS;
+        const endMs = performance.now() + READY_TIMEOUT_MS;
         const checks = this.opts.models.flatMap(model =>
-            this.entryUrls.flatMap(url => Array.from({ length: ANSWERS_A_MODEL }, () => ({ model, url })))
+            this.entryUrls.flatMap(url => Array.from({ length: CHECKS_PER_ENTRY }, () => ({ model, url })))
         );
         for (const check of checks) {
-            while (!await this.isAnswered(check)) {
+            while (!await this.acceptsCall(check)) {
                 if (performance.now() > endMs) {
                     throw new KnapweedError(
                         "NOT_READY",
-                        `The model ${check.model} can't be called: ${this.lastRefusal}`,
+                        `The model ${check.model} can't be called: ${this.lastErrorText}`,
                     );
                 }
-                await sleep(SERVE_CHECK_MS);
+                await sleep(READY_CHECK_INTERVAL_MS);
             }
         }
     }
 
-    private async isAnswered(opts: { url: string; model: string; }): Promise<boolean> {
-        const answer = await request(`${opts.url}/v1/chat/completions`, {
+    private async acceptsCall(opts: { url: string; model: string; }): Promise<boolean> {
+        const response = await request(`${opts.url}/v1/chat/completions`, {
             method: "POST",
             headers: { authorization: `Bearer ${this.operatorKey}`, "content-type": "application/json" },
             body: JSON.stringify({
@@ -200,9 +200,9 @@
                 max_tokens: 1,
             }),
         });
-        const text = await answer.body.text();
-        this.lastRefusal = answer.statusCode === OK ? "" : text;
-        return answer.statusCode === OK;
+        const text = await response.body.text();
+        this.lastErrorText = response.statusCode === OK ? "" : text;
+        return response.statusCode === OK;
     }
 
     private async launch(opts: Omit<LaunchOptions, "folder">): Promise<void> {
--- a/bench/mixed/src/onlineArrival.ts
+++ b/bench/mixed/src/onlineArrival.ts
@@ -5,5 +5,5 @@
     /** Since the start of the workload. */
     atMs: number;
     request: GenerateRequest;
-    answerTokens: number;
+    outputTokens: number;
 }
--- a/bench/mixed/src/onlineCaller.ts
+++ b/bench/mixed/src/onlineCaller.ts
@@ -12,7 +12,7 @@
 export class OnlineCaller {
     private readonly opts: { entryUrls: string[]; key: string; };
     private readonly agent = new Agent({ connections: 512, pipelining: 1 });
-    private turn = 0;
+    private callCount = 0;
 
     constructor(opts: OnlineCaller["opts"]) {
         this.opts = opts;
@@ -20,12 +20,12 @@
 
     /** @param dueMs when the call was to be sent, by `performance.now()`; its wait counts from then */
     async call(body: JsonObject, dueMs: number): Promise<CallRecord> {
-        this.turn += 1;
+        this.callCount += 1;
         const promptCharacters = promptTextOf(body).length;
         const tokenTimesMs: number[] = [];
         try {
-            const answer = await request(
-                `${this.opts.entryUrls[this.turn % this.opts.entryUrls.length]}/v1/chat/completions`,
+            const response = await request(
+                `${this.opts.entryUrls[this.callCount % this.opts.entryUrls.length]}/v1/chat/completions`,
                 {
                     dispatcher: this.agent,
                     method: "POST",
@@ -33,19 +33,19 @@
                     body: JSON.stringify({ ...body, stream: true }),
                 },
             );
-            if (answer.statusCode !== OK) {
-                const text = await answer.body.text();
+            if (response.statusCode !== OK) {
+                const text = await response.body.text();
                 return {
                     dueMs,
                     promptCharacters,
                     tokenTimesMs,
                     isWhole: false,
-                    failure: `${answer.statusCode} ${text}`,
+                    failure: `${response.statusCode} ${text}`,
                 };
             }
             let isWhole = false;
             const reader = new ServerSentEventReader();
-            for await (const bytes of answer.body as AsyncIterable<Uint8Array>) {
+            for await (const bytes of response.body as AsyncIterable<Uint8Array>) {
                 const events = reader.read(bytes);
                 isWhole ||= events.includes(END_OF_STREAM);
                 events
@@ -54,8 +54,8 @@
             }
             return { dueMs, promptCharacters, tokenTimesMs, isWhole, failure: undefined };
         }
-        catch (thrown) {
-            return { dueMs, promptCharacters, tokenTimesMs, isWhole: false, failure: String(thrown) };
+        catch (error) {
+            return { dueMs, promptCharacters, tokenTimesMs, isWhole: false, failure: String(error) };
         }
     }
 
--- a/bench/mixed/src/randomText.ts
+++ b/bench/mixed/src/randomText.ts
@@ -5,7 +5,7 @@
 const WORD_CHARACTERS = 5;
 
 /** Random words, about `characters` long. */
-export function textOf(random: Random, characters: number): string {
+export function randomText(random: Random, characters: number): string {
     const length = Math.ceil(characters / WORD_CHARACTERS);
     return Array.from({ length }, () => random.nextInteger(WORD_RANGE).toString(BASE_36).padStart(4, "0")).join(" ");
 }
--- a/bench/mixed/src/runMixed.ts
+++ b/bench/mixed/src/runMixed.ts
@@ -16,7 +16,7 @@
 const SLICE_MS = 10_000;
 /** Warm-up, drain and settling of a slice. */
 const SLICE_OVERHEAD_MS = 5500;
-const START_MS = 20_000;
+const STARTUP_MS = 20_000;
 /** The baselines are run in every third round only: their figures are far from those of the others. */
 const BASELINE_EVERY_ROUNDS = 3;
 const SEED_STRIDE = 1000;
@@ -52,7 +52,7 @@
 async function runRounds(testBed: MixedTestBed, arms: ArmDefinition[], opts: MixedOptions): Promise<SliceRecord[]> {
     const caller = new OnlineCaller({ entryUrls: testBed.entryUrls, key: testBed.operatorKey });
     const slices: SliceRecord[] = [];
-    for (const { arm, round } of scheduleOf(arms, opts.durationMs - START_MS)) {
+    for (const { arm, round } of scheduleOf(arms, opts.durationMs - STARTUP_MS)) {
         const seed = opts.seed * SEED_STRIDE + round;
         slices.push(
             await runSlice({
--- a/bench/mixed/src/runSlice.ts
+++ b/bench/mixed/src/runSlice.ts
@@ -14,7 +14,7 @@
 const SAMPLE_MS = 1000;
 const SETTLE_MS = 1200;
 /** More than the fleet can complete in a slice. */
-const BATCH_ITEMS_A_SECOND = 90;
+const BATCH_ITEMS_PER_SECOND = 90;
 const MS_PER_SECOND = 1000;
 
 /** Clock of the measurement: that of `performance.now()`. */
@@ -36,13 +36,13 @@
     caller: OnlineCaller;
 }): Promise<SliceRecord> {
     const { arm, testBed, caller, durationMs } = opts;
-    const wholeMs = WARM_UP_MS + durationMs;
+    const totalMs = WARM_UP_MS + durationMs;
     const job = arm.batchModel === undefined ? undefined : await BatchJob.submit(testBed, {
         seed: opts.workload.textSeed,
         model: arm.batchModel,
-        items: Math.ceil(wholeMs / MS_PER_SECOND * BATCH_ITEMS_A_SECOND),
+        items: Math.ceil(totalMs / MS_PER_SECOND * BATCH_ITEMS_PER_SECOND),
     });
-    const arrivals = createWorkload({ ...opts.workload, durationMs: wholeMs, model: arm.onlineModel });
+    const arrivals = createWorkload({ ...opts.workload, durationMs: totalMs, model: arm.onlineModel });
     const startMs = performance.now() + WARM_UP_MS;
     const records: CallRecord[] = [];
     const calls = runOpenLoop({
--- a/bench/mixed/src/simulateArm.ts
+++ b/bench/mixed/src/simulateArm.ts
@@ -16,7 +16,7 @@
     const fleet = new SimulatedFleet(opts);
     const firstTokenMs: (number | undefined)[] = opts.arrivals.map(() => undefined);
     const gapsMs: number[] = [];
-    let refused = 0;
+    let failedCalls = 0;
     const call = async (arrival: OnlineArrival, index: number) => {
         const startMs = fleet.clock.nowMs();
         const tokenTimesMs = await fleet.call(arrival);
@@ -26,7 +26,7 @@
     opts.arrivals.forEach((arrival, index) =>
         fleet.clock.setTimer(WARM_UP_MS + arrival.atMs, () =>
             void call(arrival, index).catch(() => {
-                refused += 1;
+                failedCalls += 1;
             }))
     );
     await fleet.clock.advance(WARM_UP_MS);
@@ -36,7 +36,7 @@
         timeToFirstToken: summarizeLatencies(firstTokenMs.flatMap(timeMs => timeMs ?? [])),
         firstTokenMs,
         tokenGap: summarizeLatencies(gapsMs),
-        refused,
+        failedCalls,
         totals: sumTotals([fleet.totals(), before], [1, -1]),
     };
 }
--- a/bench/mixed/src/simulatedArm.ts
+++ b/bench/mixed/src/simulatedArm.ts
@@ -7,6 +7,6 @@
     /** By arrival, shape [arrivals]; undefined where the call did not end in time. */
     firstTokenMs: (number | undefined)[];
     tokenGap: LatencySummary;
-    refused: number;
+    failedCalls: number;
     totals: EngineTotals;
 }
--- a/bench/mixed/src/simulatedFleet.ts
+++ b/bench/mixed/src/simulatedFleet.ts
@@ -7,12 +7,12 @@
 import type { EngineTotals } from "@knapweedwood/standins.engine/engineTotals";
 import { InMemoryEngine } from "@knapweedwood/standins.engine/inMemoryEngine";
 import type { StepModel } from "@knapweedwood/standins.engine/stepModel";
-import { BatchSupply } from "./batchSupply.js";
+import { EndlessBatchSource } from "./endlessBatchSource.js";
 import type { OnlineArrival } from "./onlineArrival.js";
 import { sumTotals } from "./sumTotals.js";
 
 /** A backlog of so many prompt tokens weighs as much as one more call in the choice of a gate. */
-const PREFILL_TOKENS_A_CALL = 64;
+const PREFILL_TOKENS_PER_CALL = 64;
 
 /** Engines with their gates in one process, on a clock that is moved by hand. */
 export class SimulatedFleet {
@@ -32,7 +32,7 @@
         batchOnlyEngines: number;
     }) {
         const { clock } = this;
-        const supply = new BatchSupply({ clock, seed: opts.seed, model: "bench" });
+        const batchSource = new EndlessBatchSource({ clock, seed: opts.seed, model: "bench" });
         const firstBatchEngine = opts.batchOnlyEngines === 0 ? 0 : opts.engines - opts.batchOnlyEngines;
         this.engines = Array.from(
             { length: opts.engines },
@@ -46,7 +46,7 @@
                 metrics: silentMetrics,
                 policy: opts.createPolicy(),
                 objective: opts.objective,
-                batchSource: opts.withBatch && index >= firstBatchEngine ? supply : undefined,
+                batchSource: opts.withBatch && index >= firstBatchEngine ? batchSource : undefined,
             })
         );
         this.onlineGates = this.gates.slice(0, opts.engines - opts.batchOnlyEngines);
@@ -73,5 +73,5 @@
 
 function loadOf(gate: Gate): number {
     const load = gate.load();
-    return load.onlineRunning + load.onlineQueued + load.onlinePrefillTokens / PREFILL_TOKENS_A_CALL;
+    return load.onlineRunning + load.onlineQueued + load.onlinePrefillTokens / PREFILL_TOKENS_PER_CALL;
 }
--- a/bench/mixed/test/simulateMixed.test.ts
+++ b/bench/mixed/test/simulateMixed.test.ts
@@ -23,16 +23,16 @@
     assert.ok(p99MsOf("d") < 1.25 * p99MsOf("a"), `${p99MsOf("d")} beside ${p99MsOf("a")}`);
     assert.ok(p99MsOf("b") > 2 * p99MsOf("d"), `${p99MsOf("b")} beside ${p99MsOf("d")}`);
     assert.ok(batchTokens > 0.7 * boundTokens && batchTokens <= boundTokens, `${batchTokens} of ${boundTokens}`);
-    assert.equal(arms.d?.refused, 0);
+    assert.equal(arms.d?.failedCalls, 0);
 });
 
 test("another text seed gives the same arrivals and lengths with other words", () => {
     const workloadOf = (textSeed: number) =>
         createWorkload({ ...workloadRates, seed: 1, textSeed, durationMs: DURATION_MS, model: "m" });
     const shapeOf = (textSeed: number) =>
-        workloadOf(textSeed).map(({ atMs, answerTokens, request }) => [
+        workloadOf(textSeed).map(({ atMs, outputTokens, request }) => [
             atMs,
-            answerTokens,
+            outputTokens,
             JSON.stringify(request).length,
         ]);
     assert.deepEqual(shapeOf(1), shapeOf(2));
