--- a/bench/overhead/src/chatClient.ts
+++ b/bench/overhead/src/chatClient.ts
@@ -10,7 +10,7 @@
     private readonly target: ChatTarget;
     private readonly model: string;
     private readonly agent = new Agent({ connections: 512, pipelining: 1 });
-    private turn = 0;
+    private requestCount = 0;
 
     constructor(opts: { target: ChatTarget; model: string; }) {
         this.target = opts.target;
@@ -19,8 +19,8 @@
 
     /** Asks for a whole answer. Throws where it is not answered with status 200. */
     async complete(maxTokens: number): Promise<void> {
-        const answer = await this.post({ max_tokens: maxTokens });
-        await answer.body.text();
+        const response = await this.post({ max_tokens: maxTokens });
+        await response.body.text();
     }
 
     /**
@@ -30,9 +30,9 @@
      * @returns the tokens that arrived
      */
     async stream(maxTokens: number, onFirstToken: () => void = () => undefined): Promise<number> {
-        const answer = await this.post({ max_tokens: maxTokens, stream: true });
+        const response = await this.post({ max_tokens: maxTokens, stream: true });
         let tokens = 0;
-        for await (const chunk of answer.body as AsyncIterable<Buffer>) {
+        for await (const chunk of response.body as AsyncIterable<Buffer>) {
             const arrived = countOf(chunk.toString("latin1"), TOKEN_MARK);
             if (tokens === 0 && arrived > 0) {
                 onFirstToken();
@@ -48,8 +48,8 @@
 
     private async post(fields: object): Promise<Dispatcher.ResponseData> {
         const { baseUrls, key } = this.target;
-        this.turn += 1;
-        const answer = await request(`${baseUrls[this.turn % baseUrls.length]}/v1/chat/completions`, {
+        this.requestCount += 1;
+        const response = await request(`${baseUrls[this.requestCount % baseUrls.length]}/v1/chat/completions`, {
             dispatcher: this.agent,
             method: "POST",
             headers: {
@@ -58,14 +58,17 @@
             },
             body: JSON.stringify({
                 model: this.model,
-                messages: [{ role: "user", content: `Summarise the note of cask ${this.turn}.` }],
+                messages: [{ role: "user", content: `Summarise the note of cask ${this.requestCount}.` }],
                 ...fields,
             }),
         });
-        if (answer.statusCode !== OK_STATUS) {
-            throw new KnapweedError("BENCH_CALL_FAILED", `Status ${answer.statusCode}: ${await answer.body.text()}`);
+        if (response.statusCode !== OK_STATUS) {
+            throw new KnapweedError(
+                "BENCH_CALL_FAILED",
+                `Status ${response.statusCode}: ${await response.body.text()}`,
+            );
         }
-        return answer;
+        return response;
     }
 }
 
--- a/bench/overhead/src/overheadExperiment.ts
+++ b/bench/overhead/src/overheadExperiment.ts
@@ -24,19 +24,19 @@
     /** Failed calls, by what was wrong. */
     readonly failures: { [reason: string]: number; } = {};
     private readonly plan: OverheadPlan;
-    private readonly bed: TestBed;
+    private readonly testBed: TestBed;
     private readonly clock = new SystemClock();
     private readonly random: SeededRandom;
     private readonly clients: { [path in Path]: ChatClient; };
 
-    constructor(plan: OverheadPlan, bed: TestBed) {
+    constructor(plan: OverheadPlan, testBed: TestBed) {
         this.plan = plan;
-        this.bed = bed;
+        this.testBed = testBed;
         this.random = new SeededRandom(plan.seed);
         this.clients = {
-            direct: new ChatClient({ target: bed.direct, model: bed.model }),
-            passThrough: new ChatClient({ target: bed.passThrough, model: bed.model }),
-            entry: new ChatClient({ target: bed.throughEntry, model: bed.model }),
+            direct: new ChatClient({ target: testBed.direct, model: testBed.model }),
+            passThrough: new ChatClient({ target: testBed.passThrough, model: testBed.model }),
+            entry: new ChatClient({ target: testBed.throughEntry, model: testBed.model }),
         };
     }
 
@@ -48,7 +48,7 @@
     }
 
     async measureRequests(): Promise<OverheadReport["requests"]> {
-        const rounds = await this.inTurn(path => this.requestRate(path));
+        const rounds = await this.measureInRounds(path => this.requestRate(path));
         return {
             direct: rounds.direct.summary(),
             passThrough: rounds.passThrough.summary(),
@@ -58,7 +58,7 @@
     }
 
     async measureTokens(): Promise<OverheadReport["tokens"]> {
-        const rounds = await this.inTurn(path => this.tokenRate(path));
+        const rounds = await this.measureInRounds(path => this.tokenRate(path));
         return {
             direct: rounds.direct.summary(),
             passThrough: rounds.passThrough.summary(),
@@ -94,15 +94,15 @@
     /** Processor time that the entry and the sides spend on a whole answer of one token. */
     async measureProcessorTime(): Promise<OverheadReport["processorTime"]> {
         const timesMs = async () => ({
-            entry: await this.bed.entry.processorTimeMs(),
-            sides: sum(await Promise.all(this.bed.sides.map(side => side.processorTimeMs()))),
+            entry: await this.testBed.entry.processorTimeMs(),
+            sides: sum(await Promise.all(this.testBed.sides.map(side => side.processorTimeMs()))),
         });
         const before = await timesMs();
-        const answered = await this.requestRate("entry") * this.plan.phaseMs / MS_PER_S;
+        const completedRequests = await this.requestRate("entry") * this.plan.phaseMs / MS_PER_S;
         const after = await timesMs();
         return {
-            entryMsPerRequest: (after.entry - before.entry) / answered,
-            sideMsPerRequest: (after.sides - before.sides) / answered,
+            entryMsPerRequest: (after.entry - before.entry) / completedRequests,
+            sideMsPerRequest: (after.sides - before.sides) / completedRequests,
         };
     }
 
@@ -110,7 +110,7 @@
         await Promise.all(PATHS.map(path => this.clients[path].close()));
     }
 
-    private async inTurn(measure: (path: Path) => Promise<number>): Promise<{ [path in Path]: RateRounds; }> {
+    private async measureInRounds(measure: (path: Path) => Promise<number>): Promise<{ [path in Path]: RateRounds; }> {
         const rounds = { direct: new RateRounds(), passThrough: new RateRounds(), entry: new RateRounds() };
         for (let round = 0; round < this.plan.rounds; round += 1) {
             for (const path of PATHS) {
@@ -137,7 +137,7 @@
             clock: this.clock,
             concurrency: CONCURRENCY,
             durationMs: this.plan.phaseMs,
-            call: () => this.counted(call),
+            call: () => this.callCountingFailures(call),
         });
     }
 
@@ -146,13 +146,13 @@
             clock: this.clock,
             arrivals: poissonArrivals({ ratePerS, durationMs: this.plan.phaseMs, random: this.random }),
             call: (_index, dueMs) =>
-                this.counted(async () => {
+                this.callCountingFailures(async () => {
                     await this.clients[path].stream(STREAM_TOKENS, () => recorder.record(this.clock.nowMs() - dueMs));
                 }),
         });
     }
 
-    private async counted(call: () => Promise<void>): Promise<void> {
+    private async callCountingFailures(call: () => Promise<void>): Promise<void> {
         try {
             await call();
         }
--- a/bench/overhead/src/passThroughMain.ts
+++ b/bench/overhead/src/passThroughMain.ts
@@ -11,22 +11,22 @@
 
 const settings = readChildSettings<PassThroughSettings>();
 const pools = settings.enginePorts.map(port => new Pool(`http://${HOST}:${port}`, { connections: CONNECTIONS }));
-let turn = 0;
+let requestCount = 0;
 
-async function pass(request: IncomingMessage, response: ServerResponse): Promise<void> {
-    turn += 1;
-    const answer = await pools[turn % pools.length]!.request({
+async function forwardRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
+    requestCount += 1;
+    const engineResponse = await pools[requestCount % pools.length]!.request({
         method: "POST",
         path: request.url ?? "/",
         headers: { "content-type": "application/json" },
         body: request,
     });
-    response.writeHead(answer.statusCode, { "content-type": answer.headers["content-type"] });
-    await pipeline(answer.body, response);
+    response.writeHead(engineResponse.statusCode, { "content-type": engineResponse.headers["content-type"] });
+    await pipeline(engineResponse.body, response);
 }
 
 createServer((request, response) => {
-    pass(request, response).catch(() => {
+    forwardRequest(request, response).catch(() => {
         response.statusCode = BAD_GATEWAY_STATUS;
         response.end();
     });
--- a/bench/overhead/src/runOverhead.ts
+++ b/bench/overhead/src/runOverhead.ts
@@ -12,13 +12,13 @@
 /** Measures what an entry and a side add to calling the stand-in engine directly, on real processes on loopback. */
 export async function runOverhead(opts: OverheadOptions): Promise<OverheadReport> {
     const plan = await planOf(opts);
-    const bed = new TestBed(plan);
+    const testBed = new TestBed(plan);
     const [loadBefore = 0] = loadavg();
     try {
-        await bed.start();
+        await testBed.start();
         await sleep(IDLE_MS);
-        const memory = await measureMemory(bed);
-        const experiment = new OverheadExperiment(plan, bed);
+        const memory = await measureMemory(testBed);
+        const experiment = new OverheadExperiment(plan, testBed);
         await experiment.warmUp();
         const requests = await experiment.measureRequests();
         const tokens = await experiment.measureTokens();
@@ -32,14 +32,14 @@
         return { ...figures, targets: targetsOf(figures) };
     }
     finally {
-        await bed.stop();
+        await testBed.stop();
     }
 }
 
-async function measureMemory(bed: TestBed): Promise<OverheadReport["memory"]> {
-    const emptyBytes = await bed.empty.residentMemoryBytes();
-    const entryBytes = await bed.entry.residentMemoryBytes();
-    const sideBytes = await bed.sides[0]!.residentMemoryBytes();
+async function measureMemory(testBed: TestBed): Promise<OverheadReport["memory"]> {
+    const emptyBytes = await testBed.empty.residentMemoryBytes();
+    const entryBytes = await testBed.entry.residentMemoryBytes();
+    const sideBytes = await testBed.sides[0]!.residentMemoryBytes();
     return {
         emptyBytes,
         entryBytes,
--- a/bench/overhead/src/testBed.ts
+++ b/bench/overhead/src/testBed.ts
@@ -15,9 +15,9 @@
 const MODEL = "bench-chat";
 const SERVICE = "bench";
 const OPERATOR_KEY = "bench-operator-key";
-const SERVE_TIMEOUT_MS = 30_000;
-const SERVE_CHECK_MS = 100;
-const CONSECUTIVE_ANSWERS = 20;
+const READY_TIMEOUT_MS = 30_000;
+const READY_CHECK_INTERVAL_MS = 100;
+const CONSECUTIVE_RESPONSES = 20;
 
 /** Engines with their sides, one entry, the pass-through and the platform's stand-ins, a process each. */
 export class TestBed {
@@ -36,11 +36,11 @@
     }
 
     get entry(): LaunchedProcess {
-        return required(this.entryProcess);
+        return requireStarted(this.entryProcess);
     }
 
     get empty(): LaunchedProcess {
-        return required(this.emptyProcess);
+        return requireStarted(this.emptyProcess);
     }
 
     async start(): Promise<void> {
@@ -48,7 +48,7 @@
         const instanceListPort = await freePort();
         await this.launch({
             name: "platform",
-            mainFile: ownMain("platformMain"),
+            mainFile: mainFileOf("platformMain"),
             settings: { keyValuePort, instanceListPort },
             readiness: { kind: "port", port: instanceListPort },
         });
@@ -59,7 +59,7 @@
             enginePorts.push(await this.startEngine(index, instanceListUrl));
         }
         await this.startPassThrough(enginePorts);
-        this.emptyProcess = await this.launch({ name: "empty", mainFile: ownMain("emptyMain") });
+        this.emptyProcess = await this.launch({ name: "empty", mainFile: mainFileOf("emptyMain") });
         await this.publish();
         await this.waitUntilServing();
     }
@@ -79,7 +79,7 @@
             mainFile: fileURLToPath(import.meta.resolve("@knapweedwood/daemons.entry/main")),
             nodeArguments: this.profileArguments(),
             settings: {
-                ...identity("entry-1"),
+                ...identityOf("entry-1"),
                 http: { host: HOST, port },
                 platform,
                 bootstrapKeyHash: createHash("sha256").update(OPERATOR_KEY).digest("hex"),
@@ -93,7 +93,7 @@
         const port = await freePort();
         await this.launch({
             name: `engine-${index + 1}`,
-            mainFile: ownMain("engineMain"),
+            mainFile: mainFileOf("engineMain"),
             settings: { port, seed: this.plan.seed + index, model: MODEL },
             readiness: { kind: "url", url: `http://${HOST}:${port}/v1/models` },
         });
@@ -104,7 +104,7 @@
             mainFile: fileURLToPath(import.meta.resolve("@knapweedwood/daemons.side/main")),
             nodeArguments: index === 0 ? this.profileArguments() : [],
             settings: {
-                ...identity(`side-${index + 1}`),
+                ...identityOf(`side-${index + 1}`),
                 link: { host: HOST, port: linkPort },
                 service: SERVICE,
                 upstream: { kind: "model-engine", url: `http://${HOST}:${port}` },
@@ -120,7 +120,7 @@
         const port = await freePort();
         await this.launch({
             name: "pass-through",
-            mainFile: ownMain("passThroughMain"),
+            mainFile: mainFileOf("passThroughMain"),
             settings: { port, enginePorts },
             readiness: { kind: "port", port },
         });
@@ -138,43 +138,43 @@
     }
 
     private async publish(): Promise<void> {
-        const answer = await request(`${this.throughEntry.baseUrls[0]}/admin/v1/configuration/publish`, {
+        const response = await request(`${this.throughEntry.baseUrls[0]}/admin/v1/configuration/publish`, {
             method: "POST",
             headers: { "content-type": "application/json", authorization: `Bearer ${OPERATOR_KEY}` },
             body: JSON.stringify({ files: [{ path: "knapweed.yaml", text: serviceFile() }], message: "bench" }),
         });
-        const text = await answer.body.text();
-        if (answer.statusCode !== 200) {
+        const text = await response.body.text();
+        if (response.statusCode !== 200) {
             throw new KnapweedError("BENCH_NOT_PUBLISHED", text);
         }
     }
 
     private async waitUntilServing(): Promise<void> {
         const client = new ChatClient({ target: this.throughEntry, model: MODEL });
-        const endMs = performance.now() + SERVE_TIMEOUT_MS;
-        let answered = 0;
-        while (answered < CONSECUTIVE_ANSWERS) {
+        const endMs = performance.now() + READY_TIMEOUT_MS;
+        let succeeded = 0;
+        while (succeeded < CONSECUTIVE_RESPONSES) {
             try {
                 await client.complete(1);
-                answered += 1;
+                succeeded += 1;
             }
             catch (error) {
-                answered = 0;
+                succeeded = 0;
                 if (performance.now() > endMs) {
                     throw error;
                 }
-                await sleep(SERVE_CHECK_MS);
+                await sleep(READY_CHECK_INTERVAL_MS);
             }
         }
         await client.close();
     }
 }
 
-function identity(instanceId: string) {
+function identityOf(instanceId: string) {
     return { instanceId, region: "bench", zone: "bench-a", link: { host: HOST, port: 0 }, logs: { level: "warn" } };
 }
 
-function ownMain(name: string): string {
+function mainFileOf(name: string): string {
     return fileURLToPath(new URL(`./${name}.js`, import.meta.url));
 }
 
@@ -195,7 +195,7 @@
     ].join("\n");
 }
 
-function required(launched: LaunchedProcess | undefined): LaunchedProcess {
+function requireStarted(launched: LaunchedProcess | undefined): LaunchedProcess {
     if (launched === undefined) {
         throw new KnapweedError("BENCH_NOT_STARTED", "The processes have not been started.");
     }
