--- a/bench/decisions/src/callOutcome.ts
+++ b/bench/decisions/src/callOutcome.ts
@@ -1,8 +1,10 @@
-/** What became of one caller. */
+/** Outcome of one call. Times are in milliseconds of the simulation clock. */
 export interface CallOutcome {
     arrivedAtMs: number;
+    /** Undefined where no event arrived. */
     firstEventAtMs: number | undefined;
-    /** When it asked last. */
+    /** Start of the last attempt. */
     lastAttemptAtMs: number;
+    /** How many attempts were rejected. */
     rejections: number;
 }
--- a/bench/decisions/src/callOutcomes.ts
+++ b/bench/decisions/src/callOutcomes.ts
@@ -3,13 +3,13 @@
 import type { LoadPattern } from "./loadPattern.js";
 
 const OBJECTIVE_MS = 300;
-/** What a late answer is worth beside one on time. */
+/** Value of a late response, where one on time has the value 1. */
 const LATE_VALUE = 0.15;
 const WINDOW_MS = 2000;
 const RECOVERY_WINDOW_MS = 500;
 const MS_PER_SECOND = 1000;
 
-/** What became of all callers. */
+/** Collects the outcomes of all calls and computes figures from them. */
 export class CallOutcomes {
     private readonly outcomes: CallOutcome[] = [];
 
@@ -17,7 +17,7 @@
         this.outcomes.push(outcome);
     }
 
-    /** Figures over the span of a load. */
+    /** Returns the figures of the calls that arrived within the measured span of a load. */
     figures(load: LoadPattern): Omit<DecisionFigures, "policy" | "load" | "itemsOnTimeShare"> {
         const calls = this.arrivedBetween(load.fromMs, load.toMs);
         const onTime = calls.filter(isOnTime);
@@ -39,6 +39,7 @@
         };
     }
 
+    /** Time after the span until every call of a window is on time; Infinity where that never happens. */
     private recoveryMs(load: LoadPattern): number {
         for (let fromMs = load.toMs; fromMs < load.durationMs - WINDOW_MS; fromMs += RECOVERY_WINDOW_MS) {
             if (this.onTimeShare(fromMs, RECOVERY_WINDOW_MS) === 1) {
@@ -58,7 +59,10 @@
     }
 }
 
-/** On time at once counts fully, on time after a refusal and a return half as if late, late a little. */
+/**
+ * A call on time at its first attempt has the value 1. One on time at the attempt after a rejection counts halfway
+ * between on time and late. A late call has LATE_VALUE, an unserved one 0.
+ */
 function valueOf(call: CallOutcome): number {
     if (call.firstEventAtMs === undefined) {
         return 0;
--- a/bench/decisions/src/callQueue.ts
+++ b/bench/decisions/src/callQueue.ts
@@ -1,6 +1,6 @@
 import type { QueuedRequest } from "@knapweedwood/fleet.load/queuedRequest";
 
-/** Where requests of one gateway wait and are placed: the way that is compared. */
+/** Queues the requests of one gateway and places them on upstreams. Each compared policy has an implementation. */
 export interface CallQueue {
     submit(call: QueuedRequest): void;
     remove(call: QueuedRequest): void;
--- a/bench/decisions/src/compareDecisions.ts
+++ b/bench/decisions/src/compareDecisions.ts
@@ -5,7 +5,11 @@
 
 const POLICIES: DecisionPolicy[] = ["ours", "first-come", "forwarder"];
 
-/** Plays all loads against all policies; figures are means over the seeds. */
+/**
+ * Simulates each load with each policy.
+ *
+ * @returns means over the seeds, shape [loads * policies]
+ */
 export function compareDecisions(opts: { seed: number; seeds: number; }): DecisionFigures[] {
     return loadPatterns.flatMap(load =>
         POLICIES.map(policy => {
--- a/bench/decisions/src/decisionFigures.ts
+++ b/bench/decisions/src/decisionFigures.ts
@@ -1,22 +1,22 @@
-/** What one load did to its callers, over the span of its pattern. */
+/** Figures of one policy under one load, over the measured span of the load pattern. */
 export interface DecisionFigures {
     policy: string;
     load: string;
     calls: number;
-    /** What a call was worth to its caller: 1 on time, less after a refusal, little when late, 0 unserved. */
+    /** Mean value of a call to its caller: 1 on time, less after a rejection, little where late, 0 where unserved. */
     meanValue: number;
-    /** Shares of the calls: first event in time, counted from the first attempt; later; never. */
+    /** Shares of the calls by their first event: on time counted from the first attempt, late, never. */
     onTimeShare: number;
     lateShare: number;
     unservedShare: number;
-    /** Calls refused at least once, as a share. */
+    /** Share of the calls that were rejected at least once. */
     refusedShare: number;
-    /** Share on time in the worst two seconds. */
+    /** Smallest share on time of all windows of two seconds. */
     worstWindowShare: number;
-    /** Calls on time a second. */
+    /** Calls on time per second. */
     goodputPerSecond: number;
-    /** Time after the span until a half second is all on time. */
+    /** Time after the span until all calls of half a second are on time; Infinity where that never happens. */
     recoveryMs: number;
-    /** Items due in the span with their result in time, as a share. */
+    /** Share of the items due in the span whose result was stored on time. */
     itemsOnTimeShare: number;
 }
--- a/bench/decisions/src/decisionPolicy.ts
+++ b/bench/decisions/src/decisionPolicy.ts
@@ -1,2 +1,2 @@
-/** The ways that are compared: ours, first come first served before shared counts, and a plain forwarder. */
+/** The compared policies: the gateway's own, first come, first served with shared counts, and a plain forwarder. */
 export type DecisionPolicy = "ours" | "first-come" | "forwarder";
--- a/bench/decisions/src/engineRun.ts
+++ b/bench/decisions/src/engineRun.ts
@@ -1,8 +1,8 @@
-/** Work that an engine has, or that waits in its queue. */
+/** Work that an engine runs or has queued. */
 export interface EngineRun {
     /** Time from the start of the work to its first event. */
     firstEventMs: number;
-    /** Time for which it holds a slot. */
+    /** Time for which the work holds a slot. */
     holdMs: number;
     onFirstEvent(): void;
     onEnd(): void;
--- a/bench/decisions/src/firstComeQueue.ts
+++ b/bench/decisions/src/firstComeQueue.ts
@@ -2,7 +2,7 @@
 import type { RequestQueue } from "@knapweedwood/fleet.load/requestQueue";
 import type { CallQueue } from "./callQueue.js";
 
-/** First come, first served: requests wait for a slot as long as their callers do, and none is refused before. */
+/** Serves requests in order of arrival. They wait for a slot until their callers time out, and none is rejected. */
 export class FirstComeQueue implements CallQueue {
     private readonly requestQueue: RequestQueue;
 
--- a/bench/decisions/src/immediateForwarder.ts
+++ b/bench/decisions/src/immediateForwarder.ts
@@ -3,7 +3,10 @@
 import type { Upstream } from "@knapweedwood/fleet.view/upstream";
 import type { CallQueue } from "./callQueue.js";
 
-/** A plain forwarder: each request goes at once where this gateway has the fewest in flight, full or not. */
+/**
+ * Forwards each request immediately to the upstream with the fewest in-flight requests of this gateway, even where all
+ * its slots are taken.
+ */
 export class ImmediateForwarder implements CallQueue {
     private readonly loadTracker: LoadTracker;
     private readonly upstreams: () => Upstream[];
--- a/bench/decisions/src/jobSimulation.ts
+++ b/bench/decisions/src/jobSimulation.ts
@@ -31,7 +31,7 @@
     startedAtMs: number;
 }
 
-/** The process that runs items: the decisions of the real one, without its connections and records. */
+/** Simulates the process that runs batch items: makes the real decisions, without connections and records. */
 export class JobSimulation {
     readonly reporter = new LoadReporter("runner", () => []);
     private readonly opts: { clock: Clock; random: Random; engines: () => SimulatedEngine[]; service: ServiceName; };
@@ -45,7 +45,7 @@
         this.scheduleNextJob();
     }
 
-    /** Ends runs that online requests displace, and starts items where there is room. */
+    /** Preempts the runs that online requests displace, then starts items on engines with free slots. */
     dispatch(): void {
         this.preemptRuns();
         const { clock, service } = this.opts;
@@ -60,7 +60,7 @@
         order.every(({ job, item }) => this.startOnFreeEngine(job, item));
     }
 
-    /** Items due within the span of a load that were done by then, as a share. */
+    /** Returns the share of the items due within the span of a load that were done by their due time. */
     onTimeShare(load: LoadPattern): number {
         const due = this.jobs.filter(job => job.record.dueAtMs >= load.fromMs && job.record.dueAtMs < load.toMs);
         const items = due.flatMap(job => job.items.map(item => ({ job, item })));
--- a/bench/decisions/src/loadPattern.ts
+++ b/bench/decisions/src/loadPattern.ts
@@ -1,8 +1,8 @@
-/** A load: how many times the usual rate arrives, and which share of the engines is there, by time. */
+/** A load over time: the arrival rate as a multiple of the usual rate, and the share of available engines. */
 export interface LoadPattern {
     name: string;
     durationMs: number;
-    /** Span that the figures are taken over, and after which recovery is timed. */
+    /** Measured span. Recovery is timed from its end. */
     fromMs: number;
     toMs: number;
     rateFactor: (nowMs: number) => number;
--- a/bench/decisions/src/loadPatterns.ts
+++ b/bench/decisions/src/loadPatterns.ts
@@ -9,7 +9,7 @@
 const isInMeasuredSpan = (nowMs: number) => nowMs >= FROM_MS && nowMs < TO_MS;
 const isBurst = (nowMs: number) => nowMs % BURST_PERIOD_MS < BURST_MS;
 
-/** Regular bursts as the usual load has them, around a mean of 1. */
+/** Regular bursts of the usual load, with a mean factor of about 1. */
 const usualRateFactor = (nowMs: number) => isBurst(nowMs) ? 1.8 : 0.4;
 
 function patternOf(
@@ -20,7 +20,7 @@
     return { name, durationMs: DURATION_MS, fromMs: FROM_MS, toMs: TO_MS, rateFactor, engineShare };
 }
 
-/** The loads that policies are compared on. */
+/** The loads under which the policies are compared. */
 export const loadPatterns: readonly LoadPattern[] = [
     patternOf("usual", usualRateFactor),
     patternOf("twice the usual", nowMs => usualRateFactor(nowMs) * (isInMeasuredSpan(nowMs) ? 2 : 1)),
--- a/bench/decisions/src/loadReporter.ts
+++ b/bench/decisions/src/loadReporter.ts
@@ -2,7 +2,7 @@
 import type { LoadReport } from "@knapweedwood/fleet.load/loadReport";
 import { LoadTracker } from "@knapweedwood/fleet.load/loadTracker";
 
-/** The load board of one process, and its reports to the others. */
+/** Tracks the load that one simulated process sees, and creates the reports that it sends to the other processes. */
 export class LoadReporter {
     readonly loadTracker = new LoadTracker();
     private readonly name: InstanceName;
@@ -14,6 +14,7 @@
         this.waiting = waiting;
     }
 
+    /** Returns a report of the own counts with the next sequence number. */
     createReport(): LoadReport {
         this.sequence += 1;
         return {
--- a/bench/decisions/src/simulateDecisions.ts
+++ b/bench/decisions/src/simulateDecisions.ts
@@ -18,12 +18,12 @@
 const ENGINES = 8;
 const SLOTS = 8;
 const GATEWAYS = 4;
-/** Mean time between online requests at the usual load: 39 come a second. */
+/** Mean time between online requests at the usual load of 39 per second. */
 const MEAN_GAP_MS = 1000 / 39;
 const REPORT_INTERVAL_MS = 15;
 const SEED_FACTOR = 7919;
 
-/** Plays one load against one policy. The same seed gives the same arrivals for every policy. */
+/** Simulates one load with one policy. The same seed gives the same arrivals for every policy. */
 export function simulateDecisions(opts: { policy: DecisionPolicy; load: LoadPattern; seed: number; }): DecisionFigures {
     const { policy, load } = opts;
     const clock = new SimulationClock();
--- a/bench/decisions/src/simulatedCaller.ts
+++ b/bench/decisions/src/simulatedCaller.ts
@@ -11,14 +11,14 @@
 import type { SimulatedGateway } from "./simulatedGateway.js";
 
 const OBJECTIVE_MS = 300;
-/** A caller leaves when nothing comes for so long, and comes back once after a refusal. */
+/** A caller abandons a call after this time without an event. */
 const CALLER_TIMEOUT_MS = 1950;
 const MEAN_HOLD_MS = 720;
 const FIRST_EVENT_MS = 40;
-/** Way between caller, gateway and engine and back. */
+/** Round trip between caller, gateway and engine. */
 const ROUND_TRIP_MS = 8;
 
-/** One caller: asks, comes back once if refused, leaves when its patience ends. */
+/** Simulates one caller: sends a request, retries once after a rejection, and abandons the call at its timeout. */
 export class SimulatedCaller {
     private readonly opts: {
         clock: Clock;
@@ -42,6 +42,7 @@
         this.holdMs = MEAN_HOLD_MS * (0.5 + opts.random.next());
     }
 
+    /** Adds the outcome to the collected ones and sends the first request. */
     start(): void {
         this.opts.outcomes.add(this.outcome);
         this.sendRequest();
--- a/bench/decisions/src/simulatedEngine.ts
+++ b/bench/decisions/src/simulatedEngine.ts
@@ -6,10 +6,10 @@
 import type { Upstream } from "@knapweedwood/fleet.view/upstream";
 import type { EngineRun } from "./engineRun.js";
 
-/** Requests that wait in the engine, out of reach, before it refuses. */
+/** Requests that wait in the engine's own queue, beyond the control of the gateways, before it rejects more. */
 const MAX_QUEUED = 24;
 
-/** An engine that admits requests in order of their arrival. */
+/** Simulates an engine that admits requests in order of arrival. */
 export class SimulatedEngine {
     readonly upstream: Upstream;
     private readonly clock: Clock;
@@ -29,7 +29,7 @@
         };
     }
 
-    /** @returns whether the engine took the work in */
+    /** Starts or queues the work. Returns false where the queue is full. */
     submit(run: EngineRun): boolean {
         if (this.running.size < this.upstream.slots) {
             this.start(run);
@@ -42,7 +42,7 @@
         return true;
     }
 
-    /** Ends work whose sender has left. */
+    /** Ends or dequeues work whose sender no longer waits for it. */
     abort(run: EngineRun): void {
         this.queue = this.queue.filter(other => other !== run);
         this.running.get(run)?.forEach(timer => timer.cancel());
--- a/bench/decisions/src/simulatedGateway.ts
+++ b/bench/decisions/src/simulatedGateway.ts
@@ -11,7 +11,7 @@
 import { ImmediateForwarder } from "./immediateForwarder.js";
 import { LoadReporter } from "./loadReporter.js";
 
-/** One gateway: the decisions of the real one, without its connections. */
+/** Simulates one gateway: makes the real placement decisions, without connections. */
 export class SimulatedGateway {
     readonly queue: CallQueue;
     readonly reporter: LoadReporter;
--- a/bench/decisions/src/simulationClock.ts
+++ b/bench/decisions/src/simulationClock.ts
@@ -3,16 +3,16 @@
 
 interface PendingTimer {
     dueMs: number;
-    /** Timers that are due together fire in the order in which they were set. */
+    /** Timers due at the same time fire in the order in which they were set. */
     order: number;
     action: (() => void) | undefined;
 }
 
-/** A clock that fires its timers without waiting. */
+/** A clock for simulations. It moves from one timer to the next without waiting. */
 export class SimulationClock implements Clock {
     private currentMs = 0;
     private setCount = 0;
-    /** A binary heap, the timer that is due first at its root. */
+    /** Binary heap with the next due timer at its root. */
     private readonly heap: PendingTimer[] = [];
 
     nowMs(): number {
@@ -29,7 +29,7 @@
         };
     }
 
-    /** Fires all timers that are due until then. */
+    /** Fires all timers due up to `endMs`, then sets the current time to it. */
     runUntil(endMs: number): void {
         for (let next = this.heap[0]; next !== undefined && next.dueMs <= endMs; next = this.heap[0]) {
             this.pop();
