--- a/bench/load/src/burstArrivals.ts
+++ b/bench/load/src/burstArrivals.ts
@@ -3,9 +3,9 @@
 import { poissonArrivals } from "./poissonArrivals.js";
 
 /**
- * Arrivals in bursts; begins with an off period.
+ * Draws arrivals in bursts, starting with an off period.
  *
- * @returns moments in milliseconds from the start, in order, shape [arrivals]
+ * @returns arrival times in milliseconds from the start, ascending, shape [arrivals]
  */
 export function burstArrivals(opts: BurstArrivalsOptions): number[] {
     const arrivals: number[] = [];
--- a/bench/load/src/burstArrivalsOptions.ts
+++ b/bench/load/src/burstArrivalsOptions.ts
@@ -1,6 +1,6 @@
 import type { Random } from "@knapweedwood/core.random/random";
 
-/** An on/off process: exponential on and off periods, with Poisson arrivals at a rate of its own in each. */
+/** An on/off process: on and off periods of exponential length, with Poisson arrivals at a separate rate in each. */
 export interface BurstArrivalsOptions {
     onRatePerS: number;
     offRatePerS: number;
--- a/bench/load/src/escapeHtml.ts
+++ b/bench/load/src/escapeHtml.ts
@@ -1,6 +1,6 @@
 const ENTITIES: { [character: string]: string; } = { "&": "&amp;", "<": "&lt;", ">": "&gt;", '"': "&quot;" };
 
-/** Text as it may stand in HTML. */
+/** Escapes text for HTML content and quoted attribute values. */
 export function escapeHtml(text: string): string {
     return text.replace(/[&<>"]/gu, character => ENTITIES[character] ?? character);
 }
--- a/bench/load/src/freePort.ts
+++ b/bench/load/src/freePort.ts
@@ -1,7 +1,7 @@
 import { once } from "node:events";
 import { type AddressInfo, createServer } from "node:net";
 
-/** A loopback port that nobody listens on now. */
+/** Returns a loopback port on which nothing listens at the moment. */
 export async function freePort(): Promise<number> {
     const server = createServer();
     server.listen(0, "127.0.0.1");
--- a/bench/load/src/htmlReport.ts
+++ b/bench/load/src/htmlReport.ts
@@ -6,7 +6,7 @@
 const STYLE = "body{font-family:sans-serif;margin:2em;max-width:60em}table{border-collapse:collapse}"
     + "td,th{border:1px solid #ccc;padding:3px 8px;text-align:right}td:first-child,th:first-child{text-align:left}";
 
-/** A report as one HTML page that needs no other file. */
+/** Renders a report as one self-contained HTML page. */
 export function htmlReport(title: string, sections: ReportSection[]): string {
     const parts = sections.map(section =>
         `<h2>${escapeHtml(section.title)}</h2>${section.kind === "plot" ? svgPlot(section) : tableHtml(section)}`
--- a/bench/load/src/isReady.ts
+++ b/bench/load/src/isReady.ts
@@ -6,7 +6,7 @@
 const PROBE_TIMEOUT_MS = 1000;
 const OK_STATUS = 200;
 
-/** Whether a process is ready now. */
+/** Checks once whether a process is ready. Returns false where the probe fails or times out. */
 export async function isReady(readiness: Readiness): Promise<boolean> {
     try {
         return readiness.kind === "url" ? await respondsOk(readiness.url) : await acceptsConnections(readiness.port);
--- a/bench/load/src/latencySummary.ts
+++ b/bench/load/src/latencySummary.ts
@@ -1,4 +1,4 @@
-/** Percentiles of a set of durations. */
+/** Count, mean, maximum and percentiles of a set of durations. */
 export interface LatencySummary {
     count: number;
     meanMs: number;
--- a/bench/load/src/launchProcess.ts
+++ b/bench/load/src/launchProcess.ts
@@ -15,7 +15,7 @@
 
 /**
  * Starts `node MAIN_FILE --settings FILE` and waits until it is ready. Throws `LAUNCH_FAILED` with the end of its log
- * where it exits or is not ready in time.
+ * where the process exits or doesn't become ready before the timeout.
  */
 export async function launchProcess(opts: LaunchOptions): Promise<LaunchedProcess> {
     await mkdir(opts.folder, { recursive: true });
@@ -49,7 +49,7 @@
     const deadlineMs = performance.now() + (opts.readyTimeoutMs ?? DEFAULT_READY_TIMEOUT_MS);
     while (!await isReady(opts.readiness)) {
         if (launched.hasExited || performance.now() > deadlineMs) {
-            const reason = launched.hasExited ? "exited" : "is not ready in time";
+            const reason = launched.hasExited ? "exited" : "did not become ready before the timeout";
             await launched.kill();
             const log = await launched.readLog();
             throw new KnapweedError("LAUNCH_FAILED", `${opts.name} ${reason}:\n${log.slice(-LOG_TAIL_LENGTH)}`);
--- a/bench/load/src/launchedProcess.ts
+++ b/bench/load/src/launchedProcess.ts
@@ -8,7 +8,7 @@
 const USER_TICKS_FIELD = 11;
 const SYSTEM_TICKS_FIELD = 12;
 
-/** A child process that this program started, and stops by its id. */
+/** A child process of this program, which is signalled by its process id. */
 export class LaunchedProcess {
     readonly name: string;
     readonly logFile: string;
@@ -28,12 +28,12 @@
         return this.child.exitCode !== null || this.child.signalCode !== null;
     }
 
-    /** Exit code, undefined while it runs and where a signal ended it. */
+    /** Exit code; undefined while the process runs and after a signal ended it. */
     get exitCode(): number | undefined {
         return this.child.exitCode ?? undefined;
     }
 
-    /** Stops the process gracefully, and kills it where it has not ended in time. */
+    /** Sends SIGTERM, then SIGKILL where the process hasn't exited before the timeout. Returns the exit code. */
     async stop(timeoutMs = DEFAULT_STOP_TIMEOUT_MS): Promise<number | undefined> {
         const killTimer = setTimeout(() => this.child.kill("SIGKILL"), timeoutMs);
         await this.end("SIGTERM");
@@ -41,12 +41,12 @@
         return this.exitCode;
     }
 
-    /** Ends the process at once, as the loss of its instance would. */
+    /** Kills the process immediately, as the loss of its instance would. */
     kill(): Promise<void> {
         return this.end("SIGKILL");
     }
 
-    /** Stops the process from running, until `resume`. */
+    /** Suspends the process until `resume`. */
     pause(): void {
         this.child.kill("SIGSTOP");
     }
@@ -55,13 +55,13 @@
         this.child.kill("SIGCONT");
     }
 
-    /** Resident memory. */
+    /** Returns the resident memory. */
     async residentMemoryBytes(): Promise<number> {
         const [, residentPages = 0] = (await this.readProcess("statm")).split(" ").map(Number);
         return residentPages * PAGE_SIZE_BYTES;
     }
 
-    /** Processor time used so far. */
+    /** Returns the processor time used so far, user and system. */
     async processorTimeMs(): Promise<number> {
         const stat = await this.readProcess("stat");
         const fields = stat.slice(stat.lastIndexOf(")") + 2).split(" ");
--- a/bench/load/src/plotSeries.ts
+++ b/bench/load/src/plotSeries.ts
@@ -1,4 +1,4 @@
-/** One line of a plot. */
+/** Named line of a plot. */
 export interface PlotSeries {
     name: string;
     /** Shape [points]. */
--- a/bench/load/src/poissonArrivals.ts
+++ b/bench/load/src/poissonArrivals.ts
@@ -3,9 +3,9 @@
 const MS_PER_S = 1000;
 
 /**
- * Arrivals at random moments with a constant mean rate.
+ * Draws the arrivals of a Poisson process with a constant rate.
  *
- * @returns moments in milliseconds from the start, in order, shape [arrivals]
+ * @returns arrival times in milliseconds from the start, ascending, shape [arrivals]
  */
 export function poissonArrivals(opts: { ratePerS: number; durationMs: number; random: Random; }): number[] {
     const arrivals: number[] = [];
--- a/bench/load/src/readiness.ts
+++ b/bench/load/src/readiness.ts
@@ -1,6 +1,6 @@
-/** How a launched process shows that it is ready. */
+/** Condition under which a launched process counts as ready. */
 export type Readiness =
-    /** The URL answers with status 200. */
+    /** A GET request to the URL returns status 200. */
     | { kind: "url"; url: string; }
     /** The loopback port accepts connections. */
     | { kind: "port"; port: number; };
--- a/bench/load/src/recorder.ts
+++ b/bench/load/src/recorder.ts
@@ -5,7 +5,7 @@
 const HIGHEST_US = 3_600_000_000;
 const SIGNIFICANT_DIGITS = 3;
 
-/** Durations in an HDR histogram, with a resolution of one microsecond. */
+/** Records durations in an HDR histogram with a resolution of one microsecond, up to one hour. */
 export class Recorder {
     private readonly histogram: Histogram = build({
         lowestDiscernibleValue: 1,
@@ -19,7 +19,7 @@
         this.histogram.recordValue(Math.min(HIGHEST_US, Math.max(1, durationUs)));
     }
 
-    /** Adds what another recorder holds. */
+    /** Adds the durations of another recorder. */
     add(other: Recorder): void {
         this.histogram.add(other.histogram);
     }
--- a/bench/load/src/reportPlot.ts
+++ b/bench/load/src/reportPlot.ts
@@ -1,14 +1,14 @@
 import type { PlotSeries } from "./plotSeries.js";
 
-/** A line plot of a report. */
+/** Line plot of a report. */
 export interface ReportPlot {
     kind: "plot";
     title: string;
-    /** Name of the x axis with its unit. */
+    /** Label of the x axis with its unit. */
     xLabel: string;
-    /** Name of the y axis with its unit. */
+    /** Label of the y axis with its unit. */
     yLabel: string;
-    /** Whether the y axis is logarithmic; values of 0 and less are left out. */
+    /** Whether the y axis is logarithmic; it omits values of 0 and less. */
     isLogarithmic?: boolean;
     series: PlotSeries[];
 }
--- a/bench/load/src/reportSection.ts
+++ b/bench/load/src/reportSection.ts
@@ -1,5 +1,5 @@
 import type { ReportPlot } from "./reportPlot.js";
 import type { ReportTable } from "./reportTable.js";
 
-/** One part of a report. */
+/** Section of a report: a table or a plot. */
 export type ReportSection = ReportTable | ReportPlot;
--- a/bench/load/src/reportTable.ts
+++ b/bench/load/src/reportTable.ts
@@ -1,9 +1,9 @@
-/** A table of a report. */
+/** Table of a report. */
 export interface ReportTable {
     kind: "table";
     title: string;
-    /** Shape [columns]. */
+    /** Column headers, shape [columns]. */
     columns: string[];
-    /** Shape [rows, columns]. */
+    /** Cells, shape [rows, columns]. */
     rows: (string | number)[][];
 }
--- a/bench/load/src/runClosedLoop.ts
+++ b/bench/load/src/runClosedLoop.ts
@@ -1,9 +1,9 @@
 import type { Clock } from "@knapweedwood/core.clock/clock";
 
 /**
- * Keeps `concurrency` calls in progress for `durationMs`.
+ * Keeps `concurrency` calls in progress for `durationMs`, then waits for the last ones.
  *
- * @returns calls that ended within the time
+ * @returns how many calls ended within `durationMs`
  */
 export async function runClosedLoop(opts: {
     clock: Clock;
--- a/bench/load/src/runOpenLoop.ts
+++ b/bench/load/src/runOpenLoop.ts
@@ -2,14 +2,14 @@
 import { sleep } from "@knapweedwood/core.clock/sleep";
 
 /**
- * Starts each call at its moment, whether or not earlier ones have ended, and resolves when all have ended. Latency is
- * to be measured from `dueMs`, so that a late start counts.
+ * Starts each call at its arrival time, whether or not earlier calls have ended. Resolves when all calls have ended.
+ * Callers measure latency from `dueMs`, so that it includes a late start.
  */
 export async function runOpenLoop(opts: {
     clock: Clock;
-    /** Moments in milliseconds from the start, in order, shape [arrivals]. */
+    /** Arrival times in milliseconds from the start, ascending, shape [arrivals]. */
     arrivals: number[];
-    /** Handles its own failures. */
+    /** Runs one call. Must handle its own errors. */
     call: (index: number, dueMs: number) => Promise<void>;
 }): Promise<void> {
     const startMs = opts.clock.nowMs();
--- a/bench/load/src/svgPlot.ts
+++ b/bench/load/src/svgPlot.ts
@@ -17,7 +17,7 @@
     toPixel: (value: number) => number;
 }
 
-/** Draws a plot as SVG. */
+/** Renders a line plot as an SVG element. */
 export function svgPlot(plot: ReportPlot): string {
     const series = plot.isLogarithmic === true ? plot.series.map(logarithmic) : plot.series;
     const points = series.flatMap(line => line.points);
--- a/bench/load/src/writeReport.ts
+++ b/bench/load/src/writeReport.ts
@@ -2,7 +2,7 @@
 import { htmlReport } from "./htmlReport.js";
 import type { ReportSection } from "./reportSection.js";
 
-/** Writes an experiment's figures as JSON, and as an HTML page with plots beside it where a file for one is given. */
+/** Writes the figures as JSON to `jsonFile`, and the sections as an HTML page to `htmlFile`, each where given. */
 export async function writeReport(opts: {
     title: string;
     figures: unknown;
--- a/bench/load/test/arrivals.test.ts
+++ b/bench/load/test/arrivals.test.ts
@@ -6,7 +6,7 @@
 import { poissonArrivals } from "../src/poissonArrivals.js";
 import { runOpenLoop } from "../src/runOpenLoop.js";
 
-test("Poisson arrivals are in order, of the rate asked for, and the same for the same seed", () => {
+test("Poisson arrivals are ascending, match the requested rate, and are the same for the same seed", () => {
     const arrive = () => poissonArrivals({ ratePerS: 100, durationMs: 100_000, random: new SeededRandom(1) });
     const arrivals = arrive();
     assert.deepEqual(arrivals, arrive());
@@ -14,7 +14,7 @@
     assert.ok(Math.abs(arrivals.length - 10_000) < 400, `${arrivals.length} arrivals`);
 });
 
-test("bursts have the mean rate of their on and off periods", () => {
+test("bursts have the mean rate of their on and off periods and vary more than Poisson arrivals", () => {
     const opts = { onRatePerS: 180, offRatePerS: 20, meanOnMs: 500, meanOffMs: 500, durationMs: 400_000 };
     const arrivals = burstArrivals({ ...opts, random: new SeededRandom(2) });
     assert.ok(Math.abs(arrivals.length - 40_000) < 4000, `${arrivals.length} arrivals`);
@@ -26,10 +26,10 @@
     const counts = [...perSecond.values()];
     const mean = counts.reduce((total, count) => total + count, 0) / counts.length;
     const variance = counts.reduce((total, count) => total + (count - mean) ** 2, 0) / counts.length;
-    assert.ok(variance > 5 * mean, "bursts vary more than Poisson arrivals do");
+    assert.ok(variance > 5 * mean, "bursts should vary more than Poisson arrivals");
 });
 
-test("an open loop starts calls at their moments though earlier ones have not ended", async () => {
+test("an open loop starts calls at their arrival times while earlier calls are in progress", async () => {
     const clock = new ManualClock();
     const started: number[] = [];
     const dues: number[] = [];
--- a/bench/load/test/launchProcess.test.ts
+++ b/bench/load/test/launchProcess.test.ts
@@ -15,7 +15,7 @@
 process.on("SIGTERM", () => process.exit(7));
 `;
 
-test("a process is launched with its settings, waited for, measured and stopped", async t => {
+test("a process is started with its settings, awaited until it is ready, measured and stopped", async t => {
     const folder = await mkdtemp(path.join(tmpdir(), "launch-"));
     t.after(() => rm(folder, { recursive: true }));
     const mainFile = path.join(folder, "server.cjs");
@@ -28,7 +28,7 @@
     assert.equal(await launched.stop(), 7);
 });
 
-test("a process that exits before it is ready is reported with its log", async t => {
+test("launchProcess rejects with the log of a process that exits before it is ready", async t => {
     const folder = await mkdtemp(path.join(tmpdir(), "launch-"));
     t.after(() => rm(folder, { recursive: true }));
     const mainFile = path.join(folder, "server.cjs");
--- a/bench/load/test/reports.test.ts
+++ b/bench/load/test/reports.test.ts
@@ -3,7 +3,7 @@
 import { htmlReport } from "../src/htmlReport.js";
 import { Recorder } from "../src/recorder.js";
 
-test("a recorder gives percentiles within its resolution", () => {
+test("a recorder returns percentiles within its resolution", () => {
     const recorder = new Recorder();
     Array.from({ length: 1000 }, (_, index) => index + 1).forEach(durationMs => recorder.record(durationMs));
     const summary = recorder.summary();
@@ -13,7 +13,7 @@
     assert.ok(Math.abs(summary.maxMs - 1000) <= 1);
 });
 
-test("a report draws each point of a plot and escapes its texts", () => {
+test("an HTML report contains every point of a plot and escapes its texts", () => {
     const html = htmlReport("a < b", [
         { kind: "table", title: "t", columns: ["name", "value"], rows: [["x & y", 1.234]] },
         {
