--- a/bench/mixed/src/armDefinition.ts
+++ b/bench/mixed/src/armDefinition.ts
@@ -1,11 +1,11 @@
 import type { ArmName } from "./armName.js";
 
-/** How an arm uses the deployment. */
+/** Definition of an arm: which models its online calls and batch items go to. */
 export interface ArmDefinition {
     name: ArmName;
     title: string;
-    /** Model, and service of the same name, that online calls go to. */
+    /** Model of the online calls, served by the service of the same name. */
     onlineModel: string;
-    /** That of batch items; undefined where there are none. */
+    /** Model of the batch items; undefined where the arm has none. */
     batchModel: string | undefined;
 }
--- a/bench/mixed/src/armFigures.ts
+++ b/bench/mixed/src/armFigures.ts
@@ -1,20 +1,20 @@
 import type { LatencySummary } from "./latencySummary.js";
 
-/** What an arm measured, over all its slices. */
+/** Figures of one arm over all its slices. */
 export interface ArmFigures {
     title: string;
     timeToFirstToken: LatencySummary;
     tokenGap: LatencySummary;
     batchTokensPerSecond: number;
     onlineTokensPerSecond: number;
-    /** Share of the bound (e); 0 for online alone. */
+    /** Batch tokens as a share of the bound (e); 0 for online alone. */
     batchShareOfBound: number;
-    /** Batch streams cancelled. */
+    /** Number of cancelled batch streams. */
     preemptions: number;
-    /** Tokens of cancelled batch streams that were not resumed from within the slices. */
+    /** Tokens of cancelled batch streams from which no stream resumed within the slices. */
     tokensThrownAway: number;
     failedCalls: number;
-    /** Texts of the first failures, shape [0..3]. */
+    /** Error texts of the first failures, at most 3. */
     failures: string[];
     measuredMs: number;
 }
--- a/bench/mixed/src/armFiguresOf.ts
+++ b/bench/mixed/src/armFiguresOf.ts
@@ -7,7 +7,7 @@
 const MS_PER_SECOND = 1000;
 const SHOWN_FAILURES = 3;
 
-/** The figures of an arm from its slices. */
+/** Computes the figures of an arm from its slices. Latencies include only calls whose stream ended completely. */
 export function armFiguresOf(arm: ArmDefinition, slices: SliceRecord[], boundTokensPerSecond: number): ArmFigures {
     const calls = slices.flatMap(slice => slice.calls);
     const completedCalls = calls.filter(call => call.isWhole);
--- a/bench/mixed/src/armName.ts
+++ b/bench/mixed/src/armName.ts
@@ -1,2 +1,2 @@
-/** Online alone, first come first served, fleet split in two, the gate. */
+/** Name of an arm: a online alone, b first come, first served, c fleet split in two, d the gate. */
 export type ArmName = "a" | "b" | "c" | "d";
--- a/bench/mixed/src/batchItemMeans.ts
+++ b/bench/mixed/src/batchItemMeans.ts
@@ -7,7 +7,7 @@
 const SEED = 1;
 const BLOCK_TOKENS = 16;
 
-/** Mean size of the batch items: prompt tokens outside the shared prefix, and answer tokens. */
+/** Estimates the mean size of a batch item: prompt tokens outside the shared prefix, and output tokens. */
 export function batchItemMeans(): { prefillTokens: number; outputTokens: number; } {
     const random = createRandom(SEED);
     const bodies = Array.from({ length: SAMPLES }, () => createBatchBody(random, "bench"));
--- a/bench/mixed/src/batchJob.ts
+++ b/bench/mixed/src/batchJob.ts
@@ -4,7 +4,7 @@
 
 const BOUNDARY = "knapweed-bench-boundary";
 
-/** A batch job that keeps the fleet busy for a slice. */
+/** A batch job with enough items to keep the fleet busy for a slice. */
 export class BatchJob {
     private readonly testBed: MixedTestBed;
     private readonly jobId: string;
@@ -14,7 +14,7 @@
         this.jobId = jobId;
     }
 
-    /** Uploads `items` items and creates their job. */
+    /** Uploads a file of `items` items and creates a job for it. */
     static async submit(
         testBed: MixedTestBed,
         opts: { seed: number; model: string; items: number; },
@@ -41,7 +41,7 @@
         return new BatchJob(testBed, String(job.id));
     }
 
-    /** Cancels the job. @returns items completed so far */
+    /** Cancels the job. Returns the number of items completed so far. */
     async cancel(): Promise<number> {
         const job = await this.testBed.call("POST", `/v1/batches/${this.jobId}/cancel`, "{}");
         return (job.request_counts as { completed: number; }).completed;
--- a/bench/mixed/src/benchStepModel.ts
+++ b/bench/mixed/src/benchStepModel.ts
@@ -1,6 +1,6 @@
 import type { StepModel } from "@knapweedwood/standins.engine/stepModel";
 
-/** The engines of the experiment. */
+/** Step costs and limits of the experiment's engines. */
 export const benchStepModel: StepModel = {
     fixedMs: 35,
     perSequenceMs: 0.4,
--- a/bench/mixed/src/callRecord.ts
+++ b/bench/mixed/src/callRecord.ts
@@ -1,9 +1,11 @@
-/** What came of one online call. Times are by `performance.now()`. */
+/** Record of one online call. Times are in milliseconds of `performance.now()`. */
 export interface CallRecord {
     dueMs: number;
     promptCharacters: number;
-    /** Shape [tokens]. */
+    /** Arrival times of the tokens, shape [tokens]. */
     tokenTimesMs: number[];
+    /** Whether the stream ended completely. */
     isWhole: boolean;
+    /** Error text where the request failed or was rejected; undefined otherwise. */
     failure: string | undefined;
 }
--- a/bench/mixed/src/createBatchBody.ts
+++ b/bench/mixed/src/createBatchBody.ts
@@ -7,7 +7,7 @@
 const LOT_CHARACTERS = { median: 280, sigma: 0.5, min: 80, max: 1200 };
 const OUTPUT_TOKENS = { median: 60, sigma: 0.5, min: 12, max: 200 };
 
-/** The body of one batch item: instructions that all items share, and a lot. */
+/** Creates the request body of one batch item: instructions that all items share, and random text as the lot. */
 export function createBatchBody(random: Random, model: string): JsonObject {
     const lot = randomText(random, sampleLogNormal(random, LOT_CHARACTERS));
     return {
--- a/bench/mixed/src/createWorkload.ts
+++ b/bench/mixed/src/createWorkload.ts
@@ -10,10 +10,14 @@
 const SHARED_PREFIX_CHARACTERS = 512;
 const PROMPT_CHARACTERS = { median: 480, sigma: 0.9, min: 40, max: 8000 };
 const OUTPUT_TOKENS = { median: 24, sigma: 0.8, min: 4, max: 200 };
-/** The base rate swings by this share over the workload, as it does over a day. */
+/** Amplitude of the base rate as a share of its mean. One daily cycle spans the workload. */
 const DIURNAL_SHARE = 0.4;
 
-/** Open-loop arrivals: a diurnal base, bursts of seconds, heavy-tailed lengths and shared prefixes. */
+/**
+ * Creates open-loop arrivals with a diurnal base rate, bursts of seconds, heavy-tailed lengths and shared prefixes.
+ *
+ * @returns arrivals by ascending time, shape [arrivals]
+ */
 export function createWorkload(opts: WorkloadOptions): OnlineArrival[] {
     const random = createRandom(opts.seed);
     const texts = createRandom(opts.textSeed);
--- a/bench/mixed/src/endlessBatchSource.ts
+++ b/bench/mixed/src/endlessBatchSource.ts
@@ -14,7 +14,7 @@
 const PULL_DELAY_MS = 3;
 const DUE_MS = 3_600_000;
 
-/** A source of batch items that never ends, for simulations. */
+/** A batch source for simulations that never runs out of items. It hands out returned items first. */
 export class EndlessBatchSource implements BatchSource {
     readonly results: BatchResult[] = [];
     private readonly clock: Clock;
--- a/bench/mixed/src/engineSettings.ts
+++ b/bench/mixed/src/engineSettings.ts
@@ -1,6 +1,6 @@
 import type { StepModel } from "@knapweedwood/standins.engine/stepModel";
 
-/** Settings of an engine process of the experiment. */
+/** Settings of a stand-in engine process. */
 export interface EngineSettings {
     port: number;
     seed: number;
--- a/bench/mixed/src/idleCapacityTokens.ts
+++ b/bench/mixed/src/idleCapacityTokens.ts
@@ -2,15 +2,15 @@
 import type { StepModel } from "@knapweedwood/standins.engine/stepModel";
 
 /**
- * The batch tokens that the capacity left idle by online work could have yielded: the engine runs without a pause, each
- * step as full as its slots and the objective allow, and all that online work did not need goes to batch items whose
- * shared prefix is cached. Neither bursts nor the moments of arrivals cost it anything.
+ * Computes an upper bound of the batch tokens that the capacity left idle by online work could yield. The engine runs
+ * without a pause, and each step is as full as its slots and the objective allow. All capacity that online work doesn't
+ * need goes to batch items whose shared prefix is cached. Bursts and arrival times cause no loss.
  */
 export function idleCapacityTokens(opts: {
     stepModel: StepModel;
     objectiveMs: number;
     durationMs: number;
-    /** What online work alone did in that time. */
+    /** Totals of online work alone in that time. */
     online: Pick<EngineTotals, "decodeTokens" | "prefillTokens">;
     batchItem: { prefillTokens: number; outputTokens: number; };
 }): number {
--- a/bench/mixed/src/latencySummary.ts
+++ b/bench/mixed/src/latencySummary.ts
@@ -1,4 +1,4 @@
-/** Quantiles of a latency, in milliseconds. */
+/** Sample count and quantiles of a latency, in milliseconds. */
 export interface LatencySummary {
     count: number;
     p50Ms: number;
--- a/bench/mixed/src/main.ts
+++ b/bench/mixed/src/main.ts
@@ -8,7 +8,8 @@
 import { runMixed } from "./runMixed.js";
 import { steepStepModel } from "./steepStepModel.js";
 
-// node main.js [--json FILE] [--html FILE] [--seconds N] [--seed N] [--arms abcd] [--balance SHARE] [--steep] [--slices FILE] [--metrics PORT]
+// node main.js [--json FILE] [--html FILE] [--seconds N] [--seed N] [--arms abcd] [--balance SHARE] [--steep]
+//     [--slices FILE] [--metrics PORT]
 const MS_PER_SECOND = 1000;
 
 const { values } = parseArgs({
--- a/bench/mixed/src/mixedOptions.ts
+++ b/bench/mixed/src/mixedOptions.ts
@@ -3,17 +3,17 @@
 
 /** Options of the experiment with online and batch work on one fleet. */
 export interface MixedOptions {
-    /** Folder for settings and log files of the processes. */
+    /** Folder for the settings and log files of the processes. */
     folder: string;
     seed: number;
-    /** Length of the whole run, about. */
+    /** Approximate length of the whole run. */
     durationMs: number;
     engineCount?: number;
     stepModel?: StepModel;
     tokenGapObjectiveMs?: number;
     batchBalance?: number;
-    /** Port on this machine that the sides send their metrics to. */
+    /** Port on this machine to which the sides send their metrics. */
     metricsPort?: number;
-    /** The arms to run; all where undefined. */
+    /** Arms to run; all where undefined. */
     arms?: ArmName[];
 }
--- a/bench/mixed/src/mixedReport.ts
+++ b/bench/mixed/src/mixedReport.ts
@@ -2,7 +2,7 @@
 import type { ArmName } from "./armName.js";
 import type { Spread } from "./spread.js";
 
-/** Outcome of the experiment with online and batch work on one fleet. */
+/** Report of the experiment with online and batch work on one fleet. */
 export interface MixedReport {
     seed: number;
     seconds: number;
@@ -13,10 +13,10 @@
     tokenGapP99Ratio: number;
     /** Arm (d) over the bound (e). */
     batchShareOfBound: number;
-    /** The bound (e): batch tokens a second that the capacity left idle by arm (a) could have yielded. */
+    /** The bound (e): batch tokens per second that the capacity left idle by arm (a) could yield. */
     boundTokensPerSecond: number;
     rounds: number;
-    /** Over the rounds. */
+    /** Smallest and largest value over the rounds. */
     spread: { ttftP99Ratio: Spread; tokenGapP99Ratio: Spread; batchShareOfBound: Spread; };
     arms: { [Name in ArmName]?: ArmFigures; };
 }
--- a/bench/mixed/src/mixedReportOf.ts
+++ b/bench/mixed/src/mixedReportOf.ts
@@ -18,7 +18,7 @@
     arms: ArmDefinition[];
 }
 
-/** The report of the experiment from its slices. */
+/** Computes the report of the experiment from its slices. */
 export function mixedReportOf(slices: SliceRecord[], context: ReportContext): MixedReport {
     const overall = ratiosOf(slices, context);
     const rounds = [...new Set(slices.filter(slice => slice.arm === "d").map(slice => slice.round))];
--- a/bench/mixed/src/mixedSections.ts
+++ b/bench/mixed/src/mixedSections.ts
@@ -5,7 +5,7 @@
 
 const MS_PER_SECOND = 1000;
 
-/** The report's tables and plots. */
+/** Returns the report's tables and plots. The plots by second show the last round of arm d. */
 export function mixedSections(report: MixedReport, slices: SliceRecord[]): ReportSection[] {
     const arms = Object.entries(report.arms) as [string, ArmFigures][];
     const lastRound = slices.filter(slice => slice.arm === "d").at(-1)?.round;
--- a/bench/mixed/src/mixedSimulation.ts
+++ b/bench/mixed/src/mixedSimulation.ts
@@ -1,9 +1,9 @@
 import type { ArmName } from "./armName.js";
 import type { SimulatedArm } from "./simulatedArm.js";
 
-/** Arms of a simulation, and the bound that they are compared with. */
+/** Results of a simulation by arm, and the bound for comparison. */
 export interface MixedSimulation {
     arms: { [Name in ArmName]?: SimulatedArm; };
-    /** Batch tokens over the whole time. */
+    /** Upper bound of the batch tokens over the whole simulated time. */
     boundTokens: number;
 }
--- a/bench/mixed/src/mixedTestBed.ts
+++ b/bench/mixed/src/mixedTestBed.ts
@@ -25,7 +25,10 @@
     engines: number[];
 }
 
-/** Two entries, engines with their sides for each arm, and the platform's stand-ins, a process each. */
+/**
+ * Runs two entries, the engines, and a side next to each engine for each service on it, each in a separate process. The
+ * platform's stand-ins share one process.
+ */
 export class MixedTestBed {
     readonly operatorKey = "bench-operator-key";
     readonly entryUrls: string[] = [];
@@ -48,6 +51,7 @@
         this.opts = opts;
     }
 
+    /** Starts all processes, publishes the service file and waits until both entries serve every model. */
     async start(): Promise<void> {
         await this.startPlatform();
         await Promise.all(Array.from({ length: this.opts.engineCount }, (_, index) => this.startEngine(index)));
@@ -64,13 +68,13 @@
         await Promise.all(this.processes.toReversed().map(launched => launched.stop()));
     }
 
-    /** What all engines have done so far. */
+    /** Returns the summed totals of all engines so far. */
     async totals(): Promise<EngineTotals> {
         const responses = await Promise.all(this.engineUrls.map(url => request(`${url}/__totals`)));
         return sumTotals(await Promise.all(responses.map(response => response.body.json() as Promise<EngineTotals>)));
     }
 
-    /** Sends a request of the callers' or operators' API to an entry. */
+    /** Sends a request to the API of the first entry. Throws `BENCH_CALL_FAILED` unless the status is 200. */
     async call(method: "GET" | "POST", path: string, body?: string | Uint8Array, contentType = "application/json") {
         const response = await request(`${this.entryUrls[0]}${path}`, {
             method,
@@ -182,7 +186,7 @@
                 if (performance.now() > endMs) {
                     throw new KnapweedError(
                         "NOT_READY",
-                        `The model ${check.model} can't be called: ${this.lastErrorText}`,
+                        `Model ${check.model} did not become available before the timeout: ${this.lastErrorText}`,
                     );
                 }
                 await sleep(READY_CHECK_INTERVAL_MS);
--- a/bench/mixed/src/onlineArrival.ts
+++ b/bench/mixed/src/onlineArrival.ts
@@ -1,8 +1,8 @@
 import type { GenerateRequest } from "@knapweedwood/engines.model-engine/generateRequest";
 
-/** One online call of the workload. */
+/** Online call of a workload with its arrival time. */
 export interface OnlineArrival {
-    /** Since the start of the workload. */
+    /** Arrival time since the start of the workload. */
     atMs: number;
     request: GenerateRequest;
     outputTokens: number;
--- a/bench/mixed/src/onlineCaller.ts
+++ b/bench/mixed/src/onlineCaller.ts
@@ -8,7 +8,7 @@
 const TOKEN_MARK = '"content":"';
 const END_OF_STREAM = "[DONE]";
 
-/** Sends online calls to the entries in turn, as callers' clients do, and takes the times of their tokens. */
+/** Sends online calls to the entries in turn, as callers' clients do, and records the arrival times of their tokens. */
 export class OnlineCaller {
     private readonly opts: { entryUrls: string[]; key: string; };
     private readonly agent = new Agent({ connections: 512, pipelining: 1 });
@@ -18,7 +18,11 @@
         this.opts = opts;
     }
 
-    /** @param dueMs when the call was to be sent, by `performance.now()`; its wait counts from then */
+    /**
+     * Sends one streaming call. Errors are recorded in the result, not thrown.
+     *
+     * @param dueMs time at which the call was due, by `performance.now()`; latency counts from it
+     */
     async call(body: JsonObject, dueMs: number): Promise<CallRecord> {
         this.callCount += 1;
         const promptCharacters = promptTextOf(body).length;
--- a/bench/mixed/src/runMixed.ts
+++ b/bench/mixed/src/runMixed.ts
@@ -14,14 +14,14 @@
 const DEFAULT_ENGINES = 6;
 const DEFAULT_OBJECTIVE_MS = 70;
 const SLICE_MS = 10_000;
-/** Warm-up, drain and settling of a slice. */
+/** Time of a slice besides its measurement: warm-up, drain and settling. */
 const SLICE_OVERHEAD_MS = 5500;
 const STARTUP_MS = 20_000;
-/** The baselines are run in every third round only: their figures are far from those of the others. */
+/** Baselines run in every third round only, because their figures differ widely from those of the other arms. */
 const BASELINE_EVERY_ROUNDS = 3;
 const SEED_STRIDE = 1000;
 
-/** Runs the experiment and returns its figures with the slices they come from. */
+/** Runs the experiment on real processes. Returns its report and the slices from which the report is computed. */
 export async function runMixed(opts: MixedOptions): Promise<{ report: MixedReport; slices: SliceRecord[]; }> {
     const arms = armDefinitions.filter(arm => opts.arms?.includes(arm.name) ?? true);
     const settings = {
@@ -69,7 +69,7 @@
     return slices;
 }
 
-/** The slices in order: in each round the arms change places. */
+/** Returns the slices in order. The order of the arms alternates from round to round. */
 function scheduleOf(arms: ArmDefinition[], durationMs: number): { arm: ArmDefinition; round: number; }[] {
     const count = Math.floor(durationMs / (SLICE_MS + SLICE_OVERHEAD_MS));
     const isBaseline = (name: ArmName) => name === "b" || name === "c";
--- a/bench/mixed/src/runSlice.ts
+++ b/bench/mixed/src/runSlice.ts
@@ -13,11 +13,11 @@
 const WARM_UP_MS = 2500;
 const SAMPLE_MS = 1000;
 const SETTLE_MS = 1200;
-/** More than the fleet can complete in a slice. */
+/** Batch items submitted per second of a slice; more than the fleet can complete. */
 const BATCH_ITEMS_PER_SECOND = 90;
 const MS_PER_SECOND = 1000;
 
-/** Clock of the measurement: that of `performance.now()`. */
+/** Clock by `performance.now()`. */
 const clock = {
     nowMs: () => performance.now(),
     setTimer: (delayMs: number, action: () => void) => {
@@ -26,7 +26,7 @@
     },
 };
 
-/** Runs one slice of an arm: warm-up, measurement, drain. */
+/** Runs one slice of an arm: warm-up, measurement and drain. */
 export async function runSlice(opts: {
     arm: ArmDefinition;
     round: number;
--- a/bench/mixed/src/sampleLogNormal.ts
+++ b/bench/mixed/src/sampleLogNormal.ts
@@ -1,6 +1,6 @@
 import type { Random } from "@knapweedwood/core.random/random";
 
-/** A number from a log-normal distribution, within bounds. */
+/** Draws an integer from a log-normal distribution, clamped to the bounds. */
 export function sampleLogNormal(
     random: Random,
     opts: { median: number; sigma: number; min: number; max: number; },
--- a/bench/mixed/src/serviceFileOf.ts
+++ b/bench/mixed/src/serviceFileOf.ts
@@ -1,4 +1,4 @@
-/** The service file of the experiment: one service a model. */
+/** Returns the experiment's service file, with one service per model. */
 export function serviceFileOf(opts: {
     models: string[];
     tokenGapObjectiveMs: number;
--- a/bench/mixed/src/simulateArm.ts
+++ b/bench/mixed/src/simulateArm.ts
@@ -4,12 +4,12 @@
 import { summarizeLatencies } from "./summarizeLatencies.js";
 import { sumTotals } from "./sumTotals.js";
 
-/** The engines work on batch items for so long before the first online call, so that costs are learned. */
+/** Time for which engines run batch items before the first online call, so that the gates can estimate their costs. */
 const WARM_UP_MS = 3000;
 
 type FleetOptions = ConstructorParameters<typeof SimulatedFleet>[0];
 
-/** Runs one arm in simulated time. */
+/** Runs one arm in simulated time. Totals cover the time after the warm-up. */
 export async function simulateArm(
     opts: FleetOptions & { arrivals: OnlineArrival[]; durationMs: number; },
 ): Promise<SimulatedArm> {
--- a/bench/mixed/src/simulateMixed.ts
+++ b/bench/mixed/src/simulateMixed.ts
@@ -12,7 +12,10 @@
 
 const MODEL = "bench";
 
-/** Runs arms of the experiment in simulated time: seconds instead of minutes, and the same outcome for the same seed. */
+/**
+ * Runs arms of the experiment in simulated time, which takes seconds instead of minutes. The same seed gives the same
+ * result. Arm a always runs, because the bound is computed from it.
+ */
 export async function simulateMixed(opts: {
     seed: number;
     durationMs: number;
--- a/bench/mixed/src/simulatedArm.ts
+++ b/bench/mixed/src/simulatedArm.ts
@@ -1,10 +1,10 @@
 import type { EngineTotals } from "@knapweedwood/standins.engine/engineTotals";
 import type { LatencySummary } from "./latencySummary.js";
 
-/** What one arm of a simulation measured. */
+/** Figures of one arm of a simulation. */
 export interface SimulatedArm {
     timeToFirstToken: LatencySummary;
-    /** By arrival, shape [arrivals]; undefined where the call did not end in time. */
+    /** Time to first token by arrival, shape [arrivals]; undefined where the call did not end within the simulation. */
     firstTokenMs: (number | undefined)[];
     tokenGap: LatencySummary;
     failedCalls: number;
--- a/bench/mixed/src/simulatedFleet.ts
+++ b/bench/mixed/src/simulatedFleet.ts
@@ -11,10 +11,10 @@
 import type { OnlineArrival } from "./onlineArrival.js";
 import { sumTotals } from "./sumTotals.js";
 
-/** A backlog of so many prompt tokens weighs as much as one more call in the choice of a gate. */
+/** Number of waiting prompt tokens that count as one more call when the least loaded gate is chosen. */
 const PREFILL_TOKENS_PER_CALL = 64;
 
-/** Engines with their gates in one process, on a clock that is moved by hand. */
+/** Simulates engines with their gates in one process, on a manual clock. */
 export class SimulatedFleet {
     readonly clock = new ManualClock();
     private readonly engines: InMemoryEngine[];
@@ -28,7 +28,7 @@
         objective: GateObjective;
         createPolicy: () => AdmissionPolicy;
         withBatch: boolean;
-        /** How many of the engines, the last ones, serve batch work only; all serve both where 0. */
+        /** Number of engines, the last ones, that serve only batch work; where 0, all engines serve both kinds. */
         batchOnlyEngines: number;
     }) {
         const { clock } = this;
@@ -53,7 +53,7 @@
         this.gates.forEach(gate => gate.start());
     }
 
-    /** Runs a call at the least loaded gate. @returns the times of its tokens, shape [tokens] */
+    /** Runs a call on the least loaded gate. Returns the arrival times of its tokens, shape [tokens]. */
     async call(arrival: OnlineArrival): Promise<number[]> {
         const gate = this.onlineGates.reduce((best, other) => loadOf(other) < loadOf(best) ? other : best);
         const tokenTimesMs: number[] = [];
@@ -65,7 +65,7 @@
         return tokenTimesMs;
     }
 
-    /** What all engines have done so far. */
+    /** Returns the summed totals of all engines so far. */
     totals(): EngineTotals {
         return sumTotals(this.engines.map(engine => ({ ...engine.core.totals })));
     }
--- a/bench/mixed/src/sliceRecord.ts
+++ b/bench/mixed/src/sliceRecord.ts
@@ -2,16 +2,16 @@
 import type { ArmName } from "./armName.js";
 import type { CallRecord } from "./callRecord.js";
 
-/** What one slice of an arm measured. */
+/** Measurements of one slice of an arm. */
 export interface SliceRecord {
     arm: ArmName;
     round: number;
     durationMs: number;
     startMs: number;
-    /** Calls that were due in the slice, after its warm-up. */
+    /** Calls that were due after the warm-up of the slice. */
     calls: CallRecord[];
-    /** What the engines did in the slice. */
+    /** Totals of the engines in the slice. */
     totals: EngineTotals;
-    /** Batch tokens a second, second by second, shape [seconds]. */
+    /** Batch tokens per second in each second, shape [seconds]. */
     batchTokensBySecond: number[];
 }
--- a/bench/mixed/src/spread.ts
+++ b/bench/mixed/src/spread.ts
@@ -1,4 +1,4 @@
-/** Smallest and largest figure of the rounds, each with a seed of its own. */
+/** Smallest and largest value of a figure over the rounds. Each round has a separate seed. */
 export interface Spread {
     min: number;
     max: number;
--- a/bench/mixed/src/steepStepModel.ts
+++ b/bench/mixed/src/steepStepModel.ts
@@ -1,5 +1,5 @@
 import type { StepModel } from "@knapweedwood/standins.engine/stepModel";
 import { benchStepModel } from "./benchStepModel.js";
 
-/** Engines that slow down more with each sequence. */
+/** Step model of engines that slow down more with each running sequence. */
 export const steepStepModel: StepModel = { ...benchStepModel, fixedMs: 32, perSequenceMs: 0.8 };
--- a/bench/mixed/src/sumTotals.ts
+++ b/bench/mixed/src/sumTotals.ts
@@ -1,6 +1,6 @@
 import type { EngineTotals } from "@knapweedwood/standins.engine/engineTotals";
 
-/** The sum of the totals of several engines, times `factors`. */
+/** Sums the totals, each multiplied by its factor; factors default to 1. */
 export function sumTotals(totals: EngineTotals[], factors: number[] = totals.map(() => 1)): EngineTotals {
     const fields = Object.keys(totals[0] ?? {}) as (keyof EngineTotals)[];
     return Object.fromEntries(
--- a/bench/mixed/src/workloadRates.ts
+++ b/bench/mixed/src/workloadRates.ts
@@ -1,4 +1,4 @@
-/** Rates of the experiment's workload. */
+/** Arrival and burst rates of the experiment's workload. */
 export const workloadRates = {
     baseRatePerSecond: 20,
     burstFactor: 3,
