--- a/bench/overhead/src/chatClient.ts
+++ b/bench/overhead/src/chatClient.ts
@@ -5,7 +5,7 @@
 const OK_STATUS = 200;
 const TOKEN_MARK = '"content":';
 
-/** Asks one target for completions. */
+/** Requests chat completions from one target, from its servers in turn. */
 export class ChatClient {
     private readonly target: ChatTarget;
     private readonly model: string;
@@ -17,17 +17,17 @@
         this.model = opts.model;
     }
 
-    /** Asks for a whole answer. Throws where it is not answered with status 200. */
+    /** Requests a completion without streaming. Throws `BENCH_CALL_FAILED` unless the status is 200. */
     async complete(maxTokens: number): Promise<void> {
         const response = await this.post({ max_tokens: maxTokens });
         await response.body.text();
     }
 
     /**
-     * Asks for a streamed answer.
+     * Requests a streamed completion. Throws `BENCH_CALL_FAILED` unless the status is 200.
      *
-     * @param onFirstToken called when the first token has arrived
-     * @returns the tokens that arrived
+     * @param onFirstToken called when the first token arrives
+     * @returns number of received tokens
      */
     async stream(maxTokens: number, onFirstToken: () => void = () => undefined): Promise<number> {
         const response = await this.post({ max_tokens: maxTokens, stream: true });
--- a/bench/overhead/src/chatTarget.ts
+++ b/bench/overhead/src/chatTarget.ts
@@ -1,7 +1,7 @@
-/** Where completions are asked for. */
+/** Servers from which a client requests completions. */
 export interface ChatTarget {
     /** Base URLs, called in turn, shape [servers]. */
     baseUrls: string[];
-    /** Bearer key; none where undefined. */
+    /** Bearer key; requests carry none where undefined. */
     key?: string;
 }
--- a/bench/overhead/src/emptyMain.ts
+++ b/bench/overhead/src/emptyMain.ts
@@ -1,2 +1,2 @@
-// An empty Node.js process, against which the memory of the others is measured.
+// An idle Node.js process, the baseline for the memory of the other processes.
 setInterval(() => undefined, 60_000);
--- a/bench/overhead/src/engineMain.ts
+++ b/bench/overhead/src/engineMain.ts
@@ -5,7 +5,7 @@
 
 const HOST = "127.0.0.1";
 
-/** Steps so short and wide that the engine is never what limits a request. */
+/** Steps are short and wide enough that the engine never limits a request. */
 const STEP_MODEL = {
     fixedMs: 1,
     perSequenceMs: 0,
--- a/bench/overhead/src/engineSettings.ts
+++ b/bench/overhead/src/engineSettings.ts
@@ -1,4 +1,4 @@
-/** Settings of a stand-in engine's process. */
+/** Settings of a stand-in engine process. */
 export interface EngineSettings {
     port: number;
     seed: number;
--- a/bench/overhead/src/overheadExperiment.ts
+++ b/bench/overhead/src/overheadExperiment.ts
@@ -19,9 +19,9 @@
 type Path = "direct" | "passThrough" | "entry";
 const PATHS: Path[] = ["direct", "passThrough", "entry"];
 
-/** Measures rates and latency of each path in turn, so that all see the same state of the machine. */
+/** Measures rates and latency of the paths in alternation, so that the state of the machine affects all alike. */
 export class OverheadExperiment {
-    /** Failed calls, by what was wrong. */
+    /** Number of failed calls by error message. */
     readonly failures: { [reason: string]: number; } = {};
     private readonly plan: OverheadPlan;
     private readonly testBed: TestBed;
@@ -40,6 +40,7 @@
         };
     }
 
+    /** Runs both closed loops on each path once and discards the rates. */
     async warmUp(): Promise<void> {
         for (const path of PATHS) {
             await this.requestRate(path);
@@ -47,6 +48,7 @@
         }
     }
 
+    /** Measures the rate of one-token completions, in closed loops. */
     async measureRequests(): Promise<OverheadReport["requests"]> {
         const rounds = await this.measureInRounds(path => this.requestRate(path));
         return {
@@ -57,6 +59,7 @@
         };
     }
 
+    /** Measures streamed tokens per second, in closed loops. */
     async measureTokens(): Promise<OverheadReport["tokens"]> {
         const rounds = await this.measureInRounds(path => this.tokenRate(path));
         return {
@@ -66,7 +69,11 @@
         };
     }
 
-    /** @param tokensPerS streamed tokens a second at which the entry is saturated */
+    /**
+     * Measures the time to first token at a share of the entry's saturation, in open loops.
+     *
+     * @param tokensPerS streamed tokens per second at which the entry is saturated
+     */
     async measureFirstToken(tokensPerS: number): Promise<OverheadReport["firstToken"]> {
         const saturationPerS = tokensPerS / STREAM_TOKENS;
         const offeredPerS = saturationPerS * LOAD_SHARE;
@@ -91,7 +98,7 @@
         };
     }
 
-    /** Processor time that the entry and the sides spend on a whole answer of one token. */
+    /** Measures the processor time that the entry and the sides spend on a completion of one token. */
     async measureProcessorTime(): Promise<OverheadReport["processorTime"]> {
         const timesMs = async () => ({
             entry: await this.testBed.entry.processorTimeMs(),
--- a/bench/overhead/src/overheadOptions.ts
+++ b/bench/overhead/src/overheadOptions.ts
@@ -1,14 +1,14 @@
 /** Options of the experiment. */
 export interface OverheadOptions {
-    /** Length of the measured part, all phases together. */
+    /** Total length of the measured phases. */
     seconds?: number;
     seed?: number;
-    /** How often each phase is repeated, in turn with the others. */
+    /** Number of rounds; each round runs every phase once. */
     rounds?: number;
     /** Model-engine replicas, each with a side. */
     engineCount?: number;
-    /** Folder for settings, logs and profiles of the processes; a temporary one by default. */
+    /** Folder for settings, logs and profiles of the processes; a temporary folder by default. */
     folder?: string;
-    /** Whether the entry and one side write a CPU profile into the folder. */
+    /** Whether the entry and one side write CPU profiles to the folder. */
     isProfiled?: boolean;
 }
--- a/bench/overhead/src/overheadReport.ts
+++ b/bench/overhead/src/overheadReport.ts
@@ -1,8 +1,8 @@
 import type { LatencySummary } from "@knapweedwood/bench.load/latencySummary";
 
-/** Figures of the experiment. */
+/** Report of the experiment. */
 export interface OverheadReport {
-    /** Whole answers of one token a second, best of the rounds and mean of them. */
+    /** Rate of one-token completions: mean of the rounds, and the rate of each round. */
     requests: {
         direct: RateSummary;
         passThrough: RateSummary;
@@ -10,21 +10,21 @@
         /** Mean of the entry over the mean of the pass-through. */
         entryShare: number;
     };
-    /** Streamed tokens a second. */
+    /** Streamed tokens per second. */
     tokens: { direct: RateSummary; passThrough: RateSummary; entry: RateSummary; };
     /** Time to first token at a share of the entry's streaming saturation. */
     firstToken: {
         saturationPerS: number;
         offeredPerS: number;
         direct: LatencySummary;
-        /** Control: what the machine itself makes of one more process in the path. */
+        /** Control: the effect of one more process in the path on this machine. */
         passThrough: LatencySummary;
         entry: LatencySummary;
         addedP50Ms: number;
         addedP99Ms: number;
         passThroughAddedP99Ms: number;
     };
-    /** Processor time of one request, by process. */
+    /** Processor time per request, by process. */
     processorTime: { entryMsPerRequest: number; sideMsPerRequest: number; };
     memory: {
         emptyBytes: number;
@@ -33,15 +33,15 @@
         entryBeyondBytes: number;
         sideBeyondBytes: number;
     };
-    /** Failed calls, by what was wrong. */
+    /** Number of failed calls by error message. */
     failures: { [reason: string]: number; };
-    /** Load of the machine, mean of one minute, and its processors. */
+    /** One-minute load average of the machine before and after the run, and its number of processors. */
     machine: { loadBefore: number; loadAfter: number; processors: number; };
     targets: { name: string; target: string; measured: string; isMet: boolean; }[];
 }
 
 interface RateSummary {
     meanPerS: number;
-    /** Shape [rounds]. */
+    /** Rate of each round, shape [rounds]. */
     roundsPerS: number[];
 }
--- a/bench/overhead/src/overheadSections.ts
+++ b/bench/overhead/src/overheadSections.ts
@@ -1,7 +1,7 @@
 import type { ReportSection } from "@knapweedwood/bench.load/reportSection";
 import type { OverheadReport } from "./overheadReport.js";
 
-/** The report's tables and plots. */
+/** Returns the report's tables and plots. */
 export function overheadSections(report: OverheadReport): ReportSection[] {
     const { requests, tokens, firstToken } = report;
     return [
--- a/bench/overhead/src/passThroughMain.ts
+++ b/bench/overhead/src/passThroughMain.ts
@@ -4,7 +4,7 @@
 import type { PassThroughSettings } from "./passThroughSettings.js";
 import { readChildSettings } from "./readChildSettings.js";
 
-// The baseline: hands each request on to an engine and the answer back, with nothing in between.
+// The baseline: forwards each request to an engine and its response to the caller, without any other processing.
 const HOST = "127.0.0.1";
 const BAD_GATEWAY_STATUS = 502;
 const CONNECTIONS = 256;
--- a/bench/overhead/src/passThroughSettings.ts
+++ b/bench/overhead/src/passThroughSettings.ts
@@ -1,4 +1,4 @@
-/** Settings of the pass-through. */
+/** Settings of the pass-through process. */
 export interface PassThroughSettings {
     port: number;
     /** Ports of the engines, called in turn, shape [engines]. */
--- a/bench/overhead/src/planOf.ts
+++ b/bench/overhead/src/planOf.ts
@@ -8,10 +8,10 @@
 const DEFAULT_ROUNDS = 3;
 const DEFAULT_ENGINE_COUNT = 2;
 const MS_PER_S = 1000;
-/** Requests/s, tokens/s and time to first token, each on three paths. */
+/** Three measurements (requests/s, tokens/s, time to first token) on each of three paths. */
 const PHASES_PER_ROUND = 9;
 
-/** Fills in the options that were left out. */
+/** Applies the defaults to the options. Creates a temporary folder where none is given. */
 export async function planOf(opts: OverheadOptions): Promise<OverheadPlan> {
     const rounds = opts.rounds ?? DEFAULT_ROUNDS;
     return {
--- a/bench/overhead/src/platformSettings.ts
+++ b/bench/overhead/src/platformSettings.ts
@@ -1,4 +1,4 @@
-/** Settings of the process that carries the platform's stand-ins. */
+/** Settings of the process that runs the platform's stand-ins. */
 export interface PlatformSettings {
     keyValuePort: number;
     instanceListPort: number;
--- a/bench/overhead/src/rateRounds.ts
+++ b/bench/overhead/src/rateRounds.ts
@@ -1,4 +1,4 @@
-/** Rates measured over the rounds of an experiment. */
+/** Collects the rates of the rounds of an experiment. */
 export class RateRounds {
     private readonly rates: number[] = [];
 
--- a/bench/overhead/src/runOverhead.ts
+++ b/bench/overhead/src/runOverhead.ts
@@ -9,7 +9,10 @@
 
 const IDLE_MS = 8000;
 
-/** Measures what an entry and a side add to calling the stand-in engine directly, on real processes on loopback. */
+/**
+ * Measures the overhead of an entry and a side compared with direct calls to the stand-in engine, on real processes on
+ * loopback.
+ */
 export async function runOverhead(opts: OverheadOptions): Promise<OverheadReport> {
     const plan = await planOf(opts);
     const testBed = new TestBed(plan);
--- a/bench/overhead/src/targetsOf.ts
+++ b/bench/overhead/src/targetsOf.ts
@@ -5,7 +5,7 @@
 const MAX_BEYOND_MIB = 64;
 const BYTES_PER_MIB = 1024 * 1024;
 
-/** The figures against their targets. */
+/** Compares the figures with their targets. */
 export function targetsOf(figures: Omit<OverheadReport, "targets">): OverheadReport["targets"] {
     const { firstToken, requests, memory } = figures;
     const failed = Object.values(figures.failures).reduce((total, count) => total + count, 0);
--- a/bench/overhead/src/testBed.ts
+++ b/bench/overhead/src/testBed.ts
@@ -19,7 +19,10 @@
 const READY_CHECK_INTERVAL_MS = 100;
 const CONSECUTIVE_RESPONSES = 20;
 
-/** Engines with their sides, one entry, the pass-through and the platform's stand-ins, a process each. */
+/**
+ * Runs engines with their sides, one entry, the pass-through and an empty process, each in a separate process. The
+ * platform's stand-ins share one process.
+ */
 export class TestBed {
     readonly model = MODEL;
     readonly direct: ChatTarget = { baseUrls: [] };
@@ -43,6 +46,7 @@
         return requireStarted(this.emptyProcess);
     }
 
+    /** Starts all processes, publishes the service file and waits until the entry serves calls reliably. */
     async start(): Promise<void> {
         const keyValuePort = await freePort();
         const instanceListPort = await freePort();
@@ -64,7 +68,7 @@
         await this.waitUntilServing();
     }
 
-    /** Stops the entry and the sides gracefully, then what they depend on. */
+    /** Stops the entry and the sides gracefully, then the processes on which they depend. */
     async stop(): Promise<void> {
         const dependents = [...this.sides, ...this.entryProcess === undefined ? [] : [this.entryProcess]];
         await Promise.all(dependents.map(launched => launched.stop()));
--- a/bench/overhead/test/runOverhead.test.ts
+++ b/bench/overhead/test/runOverhead.test.ts
@@ -3,10 +3,10 @@
 import { runOverhead } from "../src/runOverhead.js";
 import { targetsOf } from "../src/targetsOf.js";
 
-// A machine that stalls for longer than a link may be silent makes the entry refuse calls, truthfully and by design.
+// The entry rejects calls correctly where the machine stalls for longer than the silence timeout of a link.
 const REFUSAL = /^Status 503: .*ERR_KNAPWEED_NO_UPSTREAM/u;
 
-test("the experiment measures each path, with no failure but refusals of a stalled machine", async () => {
+test("the experiment measures each path, with no failed calls except rejections while the machine stalls", async () => {
     const report = await runOverhead({ seconds: 9, rounds: 1, engineCount: 2 });
     assert.deepEqual(Object.keys(report.failures).filter(reason => !REFUSAL.test(reason)), []);
     [report.requests.direct, report.requests.passThrough, report.requests.entry, report.tokens.entry]
