--- a/bench/mixed/src/onlineCaller.ts
+++ b/bench/mixed/src/onlineCaller.ts
@@ -8,24 +8,28 @@
 const TOKEN_MARK = '"content":"';
 const END_OF_STREAM = "[DONE]";
 
-/** Sends online calls to the entries in turn, as callers' clients do, and takes the times of their tokens. */
+/** Sends online calls to the entries in turn, as callers' clients do, and records the arrival times of their tokens. */
 export class OnlineCaller {
     private readonly opts: { entryUrls: string[]; key: string; };
     private readonly agent = new Agent({ connections: 512, pipelining: 1 });
-    private turn = 0;
+    private callCount = 0;
 
     constructor(opts: OnlineCaller["opts"]) {
         this.opts = opts;
     }
 
-    /** @param dueMs when the call was to be sent, by `performance.now()`; its wait counts from then */
+    /**
+     * Sends one streaming call. Errors are recorded in the result, not thrown.
+     *
+     * @param dueMs time at which the call was due, by `performance.now()`; latency counts from it
+     */
     async call(body: JsonObject, dueMs: number): Promise<CallRecord> {
-        this.turn += 1;
+        this.callCount += 1;
         const promptCharacters = promptTextOf(body).length;
         const tokenTimesMs: number[] = [];
         try {
-            const answer = await request(
-                `${this.opts.entryUrls[this.turn % this.opts.entryUrls.length]}/v1/chat/completions`,
+            const response = await request(
+                `${this.opts.entryUrls[this.callCount % this.opts.entryUrls.length]}/v1/chat/completions`,
                 {
                     dispatcher: this.agent,
                     method: "POST",
@@ -33,19 +37,19 @@
                     body: JSON.stringify({ ...body, stream: true }),
                 },
             );
-            if (answer.statusCode !== OK) {
-                const text = await answer.body.text();
+            if (response.statusCode !== OK) {
+                const text = await response.body.text();
                 return {
                     dueMs,
                     promptCharacters,
                     tokenTimesMs,
                     isWhole: false,
-                    failure: `${answer.statusCode} ${text}`,
+                    failure: `${response.statusCode} ${text}`,
                 };
             }
             let isWhole = false;
             const reader = new ServerSentEventReader();
-            for await (const bytes of answer.body as AsyncIterable<Uint8Array>) {
+            for await (const bytes of response.body as AsyncIterable<Uint8Array>) {
                 const events = reader.read(bytes);
                 isWhole ||= events.includes(END_OF_STREAM);
                 events
@@ -54,8 +58,8 @@
             }
             return { dueMs, promptCharacters, tokenTimesMs, isWhole, failure: undefined };
         }
-        catch (thrown) {
-            return { dueMs, promptCharacters, tokenTimesMs, isWhole: false, failure: String(thrown) };
+        catch (error) {
+            return { dueMs, promptCharacters, tokenTimesMs, isWhole: false, failure: String(error) };
         }
     }
 
--- a/bench/overhead/src/passThroughMain.ts
+++ b/bench/overhead/src/passThroughMain.ts
@@ -4,29 +4,29 @@
 import type { PassThroughSettings } from "./passThroughSettings.js";
 import { readChildSettings } from "./readChildSettings.js";
 
-// The baseline: hands each request on to an engine and the answer back, with nothing in between.
+// The baseline: forwards each request to an engine and its response to the caller, without any other processing.
 const HOST = "127.0.0.1";
 const BAD_GATEWAY_STATUS = 502;
 const CONNECTIONS = 256;
 
 const settings = readChildSettings<PassThroughSettings>();
 const pools = settings.enginePorts.map(port => new Pool(`http://${HOST}:${port}`, { connections: CONNECTIONS }));
-let turn = 0;
+let requestCount = 0;
 
-async function pass(request: IncomingMessage, response: ServerResponse): Promise<void> {
-    turn += 1;
-    const answer = await pools[turn % pools.length]!.request({
+async function forwardRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
+    requestCount += 1;
+    const engineResponse = await pools[requestCount % pools.length]!.request({
         method: "POST",
         path: request.url ?? "/",
         headers: { "content-type": "application/json" },
         body: request,
     });
-    response.writeHead(answer.statusCode, { "content-type": answer.headers["content-type"] });
-    await pipeline(answer.body, response);
+    response.writeHead(engineResponse.statusCode, { "content-type": engineResponse.headers["content-type"] });
+    await pipeline(engineResponse.body, response);
 }
 
 createServer((request, response) => {
-    pass(request, response).catch(() => {
+    forwardRequest(request, response).catch(() => {
         response.statusCode = BAD_GATEWAY_STATUS;
         response.end();
     });
