--- a/fuzz/soak/src/checkAnswers.ts
+++ b/fuzz/soak/src/checkResponses.ts
@@ -1,5 +1,5 @@
 import type { CallRecord } from "./callRecord.js";
-import { expectedAnswer } from "./expectedAnswer.js";
+import { expectedAnswer } from "./expectedResponseBody.js";
 import type { SoakRecord } from "./soakRecord.js";
 import type { Violation } from "./violation.js";
 
--- a/fuzz/soak/src/faultInjector.ts
+++ b/fuzz/soak/src/faultInjector.ts
@@ -5,7 +5,7 @@
 import type { SoakProcess } from "./soakProcess.js";
 import type { SoakRecord } from "./soakRecord.js";
 import type { SoakUpstream } from "./soakUpstream.js";
-import type { UpstreamMood } from "./upstreamMood.js";
+import type { UpstreamMood } from "./upstreamBehaviour.js";
 
 const RESTART_MS = 400;
 const SLOW_STORE_MS = 250;
--- a/fuzz/soak/src/oracle.ts
+++ b/fuzz/soak/src/oracle.ts
@@ -1,4 +1,4 @@
-import { checkAnswers } from "./checkAnswers.js";
+import { checkAnswers } from "./checkResponses.js";
 import { checkConfiguration } from "./checkConfiguration.js";
 import { checkDraining } from "./checkDraining.js";
 import { checkJobs } from "./checkJobs.js";
--- a/fuzz/soak/src/runRecord.ts
+++ b/fuzz/soak/src/runRecord.ts
@@ -1,4 +1,4 @@
-import type { UpstreamMood } from "./upstreamMood.js";
+import type { UpstreamMood } from "./upstreamBehaviour.js";
 
 /** A request that an upstream began to work on. */
 export interface RunRecord {
--- a/fuzz/soak/src/soakUpstream.ts
+++ b/fuzz/soak/src/soakUpstream.ts
@@ -13,7 +13,7 @@
 import { pause } from "./pause.js";
 import type { RunRecord } from "./runRecord.js";
 import type { SoakRecord } from "./soakRecord.js";
-import type { UpstreamMood } from "./upstreamMood.js";
+import type { UpstreamMood } from "./upstreamBehaviour.js";
 
 const EVENT_MS = 8;
 const ANSWER_MS = 15;
