--- a/fuzz/soak/src/callRecord.ts
+++ b/fuzz/soak/src/callRecord.ts
@@ -16,7 +16,7 @@
     statusCode: number;
     /** Whether the answer ended as HTTP wants it. */
     isComplete: boolean;
-    answer: string;
+    responseBody: string;
     hasProof: boolean;
     /** For probes: the configuration whose route is asked for. */
     version: number | undefined;
--- a/fuzz/soak/src/callerConnection.ts
+++ b/fuzz/soak/src/callerConnection.ts
@@ -4,7 +4,7 @@
 import type { SoakGateway } from "./soakGateway.js";
 import { CALLERS_HOST } from "./soakNames.js";
 
-interface ConnectionAnswer {
+interface ConnectionResponse {
     statusCode: number;
     isComplete: boolean;
     body: string;
@@ -30,7 +30,7 @@
         body: string;
         timeoutMs: number;
         headers?: { [name: string]: string; };
-    }): Promise<ConnectionAnswer> {
+    }): Promise<ConnectionResponse> {
         return new Promise(resolve => {
             const request = sendRequest({
                 agent: this.agent,
@@ -47,13 +47,13 @@
                 },
             });
             const timer = setTimeout(() => request.destroy(), opts.timeoutMs);
-            const finish = (answer: ConnectionAnswer) => {
+            const finish = (result: ConnectionResponse) => {
                 clearTimeout(timer);
-                resolve(answer);
+                resolve(result);
             };
-            request.on("socket", socket => this.watch(socket));
+            request.on("socket", socket => this.watchSocket(socket));
             request.on("error", () => finish({ statusCode: 0, isComplete: false, body: "", hasProof: false }));
-            request.on("response", response => this.read(response, finish));
+            request.on("response", response => this.readResponse(response, finish));
             request.end(opts.body);
         });
     }
@@ -63,14 +63,14 @@
         this.agent.destroy();
     }
 
-    private watch(socket: Socket): void {
+    private watchSocket(socket: Socket): void {
         if (this.socket !== socket) {
             this.socket = socket;
             socket.once("close", () => this.close());
         }
     }
 
-    private read(response: IncomingMessage, finish: (answer: ConnectionAnswer) => void): void {
+    private readResponse(response: IncomingMessage, finish: (result: ConnectionResponse) => void): void {
         const chunks: Buffer[] = [];
         response.on("data", (chunk: Buffer) => chunks.push(chunk));
         response.on("error", () => undefined);
--- a/fuzz/soak/src/checkConfiguration.ts
+++ b/fuzz/soak/src/checkConfiguration.ts
@@ -4,8 +4,8 @@
 import type { VersionRecord } from "./versionRecord.js";
 import type { Violation } from "./violation.js";
 
-const IN_FORCE_MS = 2000;
-const CONTACT_MS = 3000;
+const PROPAGATION_MS = 2000;
+const FAULT_SLACK_MS = 3000;
 const HTTP_OK = 200;
 const HTTP_NOT_FOUND = 404;
 
@@ -14,10 +14,10 @@
     const probes = record.calls
         .filter(call => call.kind === "probe" && call.endedAtMs !== undefined)
         .filter(call => call.statusCode === HTTP_OK || call.statusCode === HTTP_NOT_FOUND);
-    return [...checkBackwards(probes), ...probes.flatMap(probe => checkInForce(probe, record))];
+    return [...checkVersionOrder(probes), ...probes.flatMap(probe => checkActiveVersion(probe, record))];
 }
 
-function checkBackwards(probes: CallRecord[]): Violation[] {
+function checkVersionOrder(probes: CallRecord[]): Violation[] {
     const byStart = groupBy(probes, probe => `${probe.gateway} start ${probe.startNumber}`);
     return [...byStart].flatMap(([start, calls]) =>
         calls.filter(call => call.statusCode === HTTP_OK).flatMap(older => {
@@ -32,12 +32,13 @@
     );
 }
 
-function checkInForce(probe: CallRecord, record: SoakRecord): Violation[] {
-    const settled = record.versions.filter(version => version.ackedAtMs + IN_FORCE_MS < probe.sentAtMs);
-    const newest = settled.at(-1);
-    const isCurrent = newest !== undefined && isNewestThrough(record.versions, newest, probe.endedAtMs!);
-    const isCalm = newest !== undefined && record.isCalm(newest.writtenAtMs, probe.endedAtMs!, { slackMs: CONTACT_MS });
-    if (!isCurrent || !isCalm) {
+function checkActiveVersion(probe: CallRecord, record: SoakRecord): Violation[] {
+    const propagated = record.versions.filter(version => version.ackedAtMs + PROPAGATION_MS < probe.sentAtMs);
+    const newest = propagated.at(-1);
+    const isCurrent = newest !== undefined && isNewestUntil(record.versions, newest, probe.endedAtMs!);
+    const isFaultFree = newest !== undefined
+        && record.isFaultFree(newest.writtenAtMs, probe.endedAtMs!, { slackMs: FAULT_SLACK_MS });
+    if (!isCurrent || !isFaultFree) {
         return [];
     }
     const expected = probe.version === newest.version ? HTTP_OK : HTTP_NOT_FOUND;
@@ -48,6 +49,6 @@
     }];
 }
 
-function isNewestThrough(versions: VersionRecord[], newest: VersionRecord, untilMs: number): boolean {
+function isNewestUntil(versions: VersionRecord[], newest: VersionRecord, untilMs: number): boolean {
     return versions.every(other => other.version <= newest.version || other.writtenAtMs > untilMs);
 }
--- a/fuzz/soak/src/checkJobs.ts
+++ b/fuzz/soak/src/checkJobs.ts
@@ -7,7 +7,7 @@
 const CANCEL_MS = 3000;
 /** Failures of upstreams after which an item may be given up, as its route says. */
 const MAX_ATTEMPTS = 3;
-const CONTACT_MS = 3000;
+const FAULT_SLACK_MS = 3000;
 /** Time after its acceptance in which a job may not be found yet. */
 const SETTLE_MS = 1000;
 
@@ -21,20 +21,22 @@
 function checkResults(job: JobRecord, record: SoakRecord): Violation[] {
     const seen = new Set<string>();
     const wrong = job.results.flatMap((result, position): Violation[] => {
-        const item = job.items.find(one => one.id === result.itemId);
-        const where = `${job.id} position ${position} item ${result.itemId}`;
+        const item = job.items.find(candidate => candidate.id === result.itemId);
+        const location = `${job.id} position ${position} item ${result.itemId}`;
         if (item === undefined || seen.has(result.itemId)) {
-            return [{ promise: "item-once", detail: where }];
+            return [{ promise: "item-once", detail: location }];
         }
         seen.add(result.itemId);
         if (result.state !== "completed") {
-            const failures = record.runs.filter(run => run.callId === item.id && run.spoiledBy === "errors").length;
+            const failures = record.runs.filter(run =>
+                run.callId === item.id && run.injectedBehaviour === "errors"
+            ).length;
             return failures >= MAX_ATTEMPTS
                 ? []
-                : [{ promise: "given-up-only-when-allowed", detail: `${where}: ${result.state}` }];
+                : [{ promise: "given-up-only-when-allowed", detail: `${location}: ${result.state}` }];
         }
         const isWhole = result.output === expectedEvents(item.body).join("\n");
-        return isWhole ? [] : [{ promise: "item-text-whole", detail: `${where}: ${result.output.slice(0, 200)}` }];
+        return isWhole ? [] : [{ promise: "item-text-whole", detail: `${location}: ${result.output.slice(0, 200)}` }];
     });
     const moved = job.contradictions.map(detail => ({ promise: "positions-stay", detail: `${job.id}: ${detail}` }));
     return [...wrong, ...moved];
@@ -42,7 +44,9 @@
 
 function checkEnd(job: JobRecord, record: SoakRecord): Violation[] {
     const missed = job.missedAtMs
-        .filter(atMs => atMs > job.acceptedAtMs! + SETTLE_MS && record.isCalm(atMs, atMs, { slackMs: CONTACT_MS }))
+        .filter(atMs =>
+            atMs > job.acceptedAtMs! + SETTLE_MS && record.isFaultFree(atMs, atMs, { slackMs: FAULT_SLACK_MS })
+        )
         .map(atMs => ({ promise: "job-kept", detail: `${job.id} not found at ${atMs}` }));
     const isOpen = job.cancelledAtMs === undefined && job.results.length < job.items.length;
     return record.endedAtMs !== undefined && isOpen
@@ -60,6 +64,6 @@
     }
     return record.runs
         .filter(run => job.items.some(item => item.id === run.callId) && run.atMs > cancelledAtMs + CANCEL_MS)
-        .filter(run => record.isCalm(cancelledAtMs, run.atMs, { slackMs: CONTACT_MS }))
+        .filter(run => record.isFaultFree(cancelledAtMs, run.atMs, { slackMs: FAULT_SLACK_MS }))
         .map(run => ({ promise: "cancelled-stays", detail: `${run.callId} ran ${run.atMs - cancelledAtMs} ms after` }));
 }
--- a/fuzz/soak/src/checkRecovery.ts
+++ b/fuzz/soak/src/checkRecovery.ts
@@ -1,7 +1,7 @@
 import type { SoakRecord } from "./soakRecord.js";
 import type { Violation } from "./violation.js";
 
-const RECOVER_MS = 12_000;
+const RECOVERY_MS = 12_000;
 /** Fewer calls say nothing. */
 const MIN_CALLS = 20;
 const MIN_SERVED_SHARE = 0.25;
@@ -13,7 +13,7 @@
         return [];
     }
     const calls = record.calls.filter(call =>
-        call.kind !== "probe" && call.endedAtMs !== undefined && call.sentAtMs > healedAtMs + RECOVER_MS
+        call.kind !== "probe" && call.endedAtMs !== undefined && call.sentAtMs > healedAtMs + RECOVERY_MS
     );
     const served = calls.filter(call => call.statusCode === 200 && call.isComplete);
     return calls.length < MIN_CALLS || served.length >= calls.length * MIN_SERVED_SHARE
--- a/fuzz/soak/src/checkResponses.ts
+++ b/fuzz/soak/src/checkResponses.ts
@@ -1,20 +1,20 @@
 import type { CallRecord } from "./callRecord.js";
-import { expectedAnswer } from "./expectedResponseBody.js";
+import { expectedResponseBody } from "./expectedResponseBody.js";
 import type { SoakRecord } from "./soakRecord.js";
 import type { Violation } from "./violation.js";
 
 const isSuccess = (call: CallRecord) => call.statusCode >= 200 && call.statusCode < 300;
 
 /** An answer belongs to its request: whole where it looks whole, and in order as far as it came. */
-export function checkAnswers(record: SoakRecord): Violation[] {
+export function checkResponses(record: SoakRecord): Violation[] {
     return record.calls.filter(call => isSuccess(call) && call.endedAtMs !== undefined).flatMap(call => {
-        const expected = expectedAnswer(call);
-        const isWhole = call.answer === expected;
-        if (call.isComplete ? isWhole && call.hasProof : expected.startsWith(call.answer)) {
+        const expected = expectedResponseBody(call);
+        const isExact = call.responseBody === expected;
+        if (call.isComplete ? isExact && call.hasProof : expected.startsWith(call.responseBody)) {
             return [];
         }
         const promise = call.kind === "stream" || call.kind === "stream-once" ? "events-in-order" : "answer-belongs";
-        const detail = `${call.id} ${call.kind} at ${call.gateway}: ${JSON.stringify(call.answer.slice(0, 200))}`
+        const detail = `${call.id} ${call.kind} at ${call.gateway}: ${JSON.stringify(call.responseBody.slice(0, 200))}`
             + ` instead of ${
                 JSON.stringify(expected.slice(0, 200))
             }, complete ${call.isComplete}, proof ${call.hasProof}`;
--- a/fuzz/soak/src/checkRuns.ts
+++ b/fuzz/soak/src/checkRuns.ts
@@ -3,7 +3,7 @@
 import type { SoakRecord } from "./soakRecord.js";
 import type { Violation } from "./violation.js";
 
-const ONCE: CallKind[] = ["once", "stream-once"];
+const RUN_ONCE_KINDS: CallKind[] = ["once", "stream-once"];
 /** Answers that say that a request has not run and never will. */
 const NOT_RUN_STATUSES = [408, 421, 429, 503];
 
@@ -13,12 +13,12 @@
     const calls = new Map(record.calls.map(call => [call.id, call]));
     const items = new Map(record.jobs.flatMap(job => job.items.map(item => [item.id, { job, item }])));
     const twice = record.calls
-        .filter(call => ONCE.includes(call.kind) && (runsById.get(call.id)?.length ?? 0) > 1)
+        .filter(call => RUN_ONCE_KINDS.includes(call.kind) && (runsById.get(call.id)?.length ?? 0) > 1)
         .map(call => ({ promise: "run-once", detail: `${call.id} ran ${runsById.get(call.id)!.length} times` }));
-    const refused = record.calls
+    const rejected = record.calls
         .filter(call => NOT_RUN_STATUSES.includes(call.statusCode) && runsById.has(call.id))
         .map(call => ({ promise: "not-run-is-true", detail: `${call.id} got ${call.statusCode} and ran` }));
-    const refusedJobs = record.jobs
+    const rejectedJobs = record.jobs
         .filter(job => job.attemptStatuses.length > 0)
         .filter(job => job.attemptStatuses.every(status => NOT_RUN_STATUSES.includes(status)))
         .filter(job => job.items.some(item => runsById.has(item.id)))
@@ -27,12 +27,15 @@
         const source = calls.get(run.callId) ?? items.get(run.callId)?.item;
         const path = calls.get(run.callId)?.path ?? "/job/item";
         const prefix = `/${run.path.split("/")[1]}/`;
-        const isRight = source !== undefined && run.body === source.body && run.path === path && run.method === "POST";
+        const isUnchanged = source !== undefined && run.body === source.body && run.path === path
+            && run.method === "POST";
         const isAllowed = record.servicesOfPrefix.get(prefix) === run.service;
         return [
-            ...isRight ? [] : [{ promise: "unchanged", detail: `${run.callId} ${run.method} ${run.path} ${run.body}` }],
+            ...isUnchanged
+                ? []
+                : [{ promise: "unchanged", detail: `${run.callId} ${run.method} ${run.path} ${run.body}` }],
             ...isAllowed ? [] : [{ promise: "right-service", detail: `${run.callId} ${run.path} at ${run.service}` }],
         ];
     });
-    return [...twice, ...refused, ...refusedJobs, ...changed];
+    return [...twice, ...rejected, ...rejectedJobs, ...changed];
 }
--- a/fuzz/soak/src/checkStops.ts
+++ b/fuzz/soak/src/checkStops.ts
@@ -2,7 +2,7 @@
 import type { SoakRecord } from "./soakRecord.js";
 import type { Violation } from "./violation.js";
 
-const CONTACT_MS = 3000;
+const FAULT_SLACK_MS = 3000;
 /** Requests that are sent later after the signal may meet the end of the process's grace. */
 const SENT_WITHIN_MS = 3000;
 
@@ -16,9 +16,9 @@
         record.calls
             .filter(call => call.gateway === stop.target && call.endedAtMs !== undefined && !call.isComplete)
             .filter(call => call.sentAtMs < stop.fromMs + SENT_WITHIN_MS && call.endedAtMs! >= stop.fromMs)
-            .filter(call => call.sentAtMs < stop.toMs && wasPassedOn(call, record))
+            .filter(call => call.sentAtMs < stop.toMs && wasForwarded(call, record))
             .filter(call =>
-                record.isCalm(call.sentAtMs, call.endedAtMs!, { slackMs: CONTACT_MS, ignoresPlanned: true })
+                record.isFaultFree(call.sentAtMs, call.endedAtMs!, { slackMs: FAULT_SLACK_MS, ignoresPlanned: true })
             )
             .map(call => ({
                 promise: "stop-cuts-nothing",
@@ -29,7 +29,7 @@
     return [...exits, ...cut];
 }
 
-function wasPassedOn(call: CallRecord, record: SoakRecord): boolean {
+function wasForwarded(call: CallRecord, record: SoakRecord): boolean {
     const runs = record.runs.filter(run => run.callId === call.id);
-    return runs.length > 0 && !runs.some(run => run.spoiledBy !== undefined);
+    return runs.length > 0 && !runs.some(run => run.injectedBehaviour !== undefined);
 }
--- a/fuzz/soak/src/expectedResponseBody.ts
+++ b/fuzz/soak/src/expectedResponseBody.ts
@@ -2,7 +2,7 @@
 import { expectedEvents } from "./expectedEvents.js";
 
 /** The whole body of the one right answer to a call. */
-export function expectedAnswer(call: { kind: CallKind; body: string; }): string {
+export function expectedResponseBody(call: { kind: CallKind; body: string; }): string {
     const events = expectedEvents(call.body);
     return call.kind === "stream" || call.kind === "stream-once"
         ? events.map((data, index) => `id: ${index + 1}\ndata: ${data}\n\n`).join("")
--- a/fuzz/soak/src/faultInjector.ts
+++ b/fuzz/soak/src/faultInjector.ts
@@ -5,25 +5,25 @@
 import type { SoakProcess } from "./soakProcess.js";
 import type { SoakRecord } from "./soakRecord.js";
 import type { SoakUpstream } from "./soakUpstream.js";
-import type { UpstreamMood } from "./upstreamBehaviour.js";
+import type { UpstreamBehaviour } from "./upstreamBehaviour.js";
 
-const RESTART_MS = 400;
-const SLOW_STORE_MS = 250;
+const RESTART_DELAY_MS = 400;
+const STORE_DELAY_MS = 250;
 const LINK_DELAY_MS = 150;
-const LOST_ANSWERS = 5;
+const LOST_RESPONSES = 5;
 /** Time after which the entry of an upstream that crashed goes. */
-const ENTRY_LAPSE_MS = 3600;
+const ENTRY_EXPIRY_MS = 3600;
 /** Time for which an upstream goes on after it announced that it leaves. */
 const DRAIN_MS = 3200;
 /** Time that a process needs to be at work again after its start. */
-const START_MS = 1500;
+const PROCESS_START_MS = 1500;
 
 /** Makes the planned trouble, and notes when it lasted. */
 export class FaultInjector {
     private readonly fleet: SoakFleet;
     private readonly record: SoakRecord;
     private readonly nowMs: () => number;
-    private readonly busy = new Set<SoakProcess | SoakUpstream | "store">();
+    private readonly activeTargets = new Set<SoakProcess | SoakUpstream | "store">();
     private readonly pending = new Set<Promise<void>>();
 
     constructor(opts: { fleet: SoakFleet; record: SoakRecord; nowMs: () => number; }) {
@@ -33,31 +33,31 @@
     }
 
     /** Begins the trouble; what is in trouble already is left alone. */
-    strike(fault: PlannedFault): void {
-        const done = this.begin(fault);
+    inject(fault: PlannedFault): void {
+        const done = this.execute(fault);
         this.pending.add(done);
         void done.finally(() => this.pending.delete(done));
     }
 
     /** Resolves when all trouble is over. */
-    async settled(): Promise<void> {
+    async waitForPending(): Promise<void> {
         await Promise.all(this.pending);
     }
 
-    private async begin(fault: PlannedFault): Promise<void> {
-        const [family, detail = ""] = splitOnce(fault.kind);
+    private async execute(fault: PlannedFault): Promise<void> {
+        const [family, variant = ""] = splitOnce(fault.kind);
         switch (family) {
             case "kill":
-                await (detail === "all" ? this.killAll() : this.onProcess(fault, process => this.restart(process)));
+                await (variant === "all" ? this.killAll() : this.onProcess(fault, process => this.restart(process)));
                 return;
             case "wipe":
             case "tear":
                 await this.onProcess(fault, async process => {
                     await process.kill();
-                    await pause(RESTART_MS);
+                    await pause(RESTART_DELAY_MS);
                     process[family === "wipe" ? "wipeDisk" : "tearNewestFile"]();
                     process.start();
-                    await pause(START_MS);
+                    await pause(PROCESS_START_MS);
                 });
                 return;
             case "pause":
@@ -70,28 +70,28 @@
             case "stop":
                 await this.onProcess(fault, async process => {
                     await process.stop();
-                    await pause(RESTART_MS);
+                    await pause(RESTART_DELAY_MS);
                     process.start();
-                    await pause(START_MS);
+                    await pause(PROCESS_START_MS);
                 }, { isPlanned: true });
                 return;
             case "reload":
                 await this.onProcess(fault, async process => process.signal("SIGHUP"), { isPlanned: true });
                 return;
             case "store":
-                await this.troubleStore(fault, detail);
+                await this.applyStoreFault(fault, variant);
                 return;
             case "upstream":
                 await this.onUpstream(
                     fault,
                     upstream =>
-                        detail === "crash"
+                        variant === "crash"
                             ? this.crash(upstream, fault.durationMs)
-                            : this.upset(upstream, detail, fault),
+                            : this.applyBehaviour(upstream, variant, fault),
                 );
                 return;
             case "link":
-                await this.onUpstream(fault, upstream => this.troubleLink(upstream, detail, fault.durationMs));
+                await this.onUpstream(fault, upstream => this.applyLinkFault(upstream, variant, fault.durationMs));
                 return;
             default:
                 await this.onUpstream(fault, upstream => this.drain(upstream), { isPlanned: true });
@@ -100,40 +100,45 @@
 
     private async restart(process: SoakProcess): Promise<void> {
         await process.kill();
-        await pause(RESTART_MS);
+        await pause(RESTART_DELAY_MS);
         process.start();
-        await pause(START_MS);
+        await pause(PROCESS_START_MS);
     }
 
     private async killAll(): Promise<void> {
-        const processes = this.fleet.members.map(member => member.process).filter(process => !this.busy.has(process));
-        await this.during("kill-all", "all", processes, false, async () => {
+        const processes = this.fleet.members.map(member => member.process).filter(process =>
+            !this.activeTargets.has(process)
+        );
+        await this.runRecorded("kill-all", "all", processes, false, async () => {
             await Promise.all(processes.map(process => this.restart(process)));
         });
     }
 
-    private async troubleStore(fault: PlannedFault, detail: string): Promise<void> {
-        if (detail.startsWith("cut")) {
-            await this.onProcess(fault, (_process, relay) => this.cut(relay, detail === "cut-one-way", fault));
+    private async applyStoreFault(fault: PlannedFault, variant: string): Promise<void> {
+        if (variant.startsWith("cut")) {
+            await this.onProcess(
+                fault,
+                (_process, relay) => this.silenceRelay(relay, variant === "cut-one-way", fault),
+            );
             return;
         }
-        if (this.busy.has("store")) {
+        if (this.activeTargets.has("store")) {
             return;
         }
-        const { store, memory } = this.fleet;
-        await this.during(fault.kind, "store", ["store"], false, async () => {
-            switch (detail) {
+        const { store, keyValueService } = this.fleet;
+        await this.runRecorded(fault.kind, "store", ["store"], false, async () => {
+            switch (variant) {
                 case "slow":
-                    store.delayMs = SLOW_STORE_MS;
+                    store.delayMs = STORE_DELAY_MS;
                     break;
                 case "lost-answers":
-                    store.responsesToLose = LOST_ANSWERS;
+                    store.responsesToLose = LOST_RESPONSES;
                     break;
                 case "compacted":
-                    memory.compact();
+                    keyValueService.compact();
                     return;
                 default:
-                    store.mode = detail as "busy" | "silent" | "reset";
+                    store.mode = variant as "busy" | "silent" | "reset";
             }
             await pause(fault.durationMs);
             store.mode = "normal";
@@ -142,8 +147,8 @@
         });
     }
 
-    private async cut(relay: SoakUpstream["relay"], isOneWay: boolean, fault: PlannedFault): Promise<void> {
-        const oneWay = fault.target < 0.5 ? "forward" as const : "backward" as const;
+    private async silenceRelay(relay: SoakUpstream["relay"], isOneWay: boolean, fault: PlannedFault): Promise<void> {
+        const oneWay = fault.targetFraction < 0.5 ? "forward" as const : "backward" as const;
         const directions = isOneWay ? [oneWay] : ["forward" as const, "backward" as const];
         relay.silence(...directions);
         relay.silenceNew(...directions);
@@ -151,31 +156,36 @@
         relay.silenceNew();
     }
 
-    private async troubleLink(upstream: SoakUpstream, detail: string, durationMs: number): Promise<void> {
+    private async applyLinkFault(upstream: SoakUpstream, variant: string, durationMs: number): Promise<void> {
         const { relay } = upstream;
-        if (detail === "reset") {
+        if (variant === "reset") {
             relay.cut();
             return;
         }
-        if (detail === "delay") {
+        if (variant === "delay") {
             relay.delay(LINK_DELAY_MS);
             await pause(durationMs);
             relay.delay(0);
             return;
         }
-        await this.cut(relay, detail === "one-way", { kind: "link-silent", atMs: 0, durationMs, target: 0.9 });
+        await this.silenceRelay(relay, variant === "one-way", {
+            kind: "link-silent",
+            atMs: 0,
+            durationMs,
+            targetFraction: 0.9,
+        });
     }
 
-    private async upset(upstream: SoakUpstream, mood: string, fault: PlannedFault): Promise<void> {
-        upstream.mood = mood as UpstreamMood;
+    private async applyBehaviour(upstream: SoakUpstream, behaviour: string, fault: PlannedFault): Promise<void> {
+        upstream.behaviour = behaviour as UpstreamBehaviour;
         await pause(fault.durationMs);
-        upstream.mood = "healthy";
+        upstream.behaviour = "healthy";
     }
 
     private async crash(upstream: SoakUpstream, durationMs: number): Promise<void> {
         upstream.close();
         const replacing = pause(durationMs).then(() => this.replace(upstream));
-        await pause(ENTRY_LAPSE_MS);
+        await pause(ENTRY_EXPIRY_MS);
         await this.fleet.operator.remove(upstream);
         await replacing;
     }
@@ -190,7 +200,7 @@
     }
 
     private async replace(upstream: SoakUpstream): Promise<void> {
-        const successor = await this.fleet.createUpstream(upstream.announced.service);
+        const successor = await this.fleet.createUpstream(upstream.announcement.service);
         this.fleet.upstreams[this.fleet.upstreams.indexOf(upstream)] = successor;
     }
 
@@ -203,9 +213,9 @@
         const isAny = /^store|^reload/u.test(fault.kind);
         const { members, gateways, runners } = this.fleet;
         const candidates = isAny ? members : needsRunner ? runners : gateways;
-        const { process, storeRelay } = pick(candidates, fault.target);
-        if (!this.busy.has(process)) {
-            await this.during(
+        const { process, storeRelay } = pick(candidates, fault.targetFraction);
+        if (!this.activeTargets.has(process)) {
+            await this.runRecorded(
                 fault.kind,
                 process.name,
                 [process],
@@ -220,34 +230,40 @@
         action: (upstream: SoakUpstream) => Promise<void>,
         opts: { isPlanned?: boolean; } = {},
     ): Promise<void> {
-        const upstream = pick(this.fleet.upstreams, fault.target);
-        if (!this.busy.has(upstream)) {
-            await this.during(fault.kind, upstream.id, [upstream], opts.isPlanned ?? false, () => action(upstream));
+        const upstream = pick(this.fleet.upstreams, fault.targetFraction);
+        if (!this.activeTargets.has(upstream)) {
+            await this.runRecorded(
+                fault.kind,
+                upstream.id,
+                [upstream],
+                opts.isPlanned ?? false,
+                () => action(upstream),
+            );
         }
     }
 
-    private async during(
+    private async runRecorded(
         kind: string,
         target: string,
-        things: (SoakProcess | SoakUpstream | "store")[],
+        targets: (SoakProcess | SoakUpstream | "store")[],
         isPlanned: boolean,
         action: () => Promise<void>,
     ): Promise<void> {
         const fault: FaultRecord = { kind, target, fromMs: this.nowMs(), toMs: Infinity, isPlanned };
         this.record.faults.push(fault);
-        things.forEach(thing => this.busy.add(thing));
+        targets.forEach(activeTarget => this.activeTargets.add(activeTarget));
         try {
             await action();
         }
         finally {
             fault.toMs = this.nowMs();
-            things.forEach(thing => this.busy.delete(thing));
+            targets.forEach(activeTarget => this.activeTargets.delete(activeTarget));
         }
     }
 }
 
-function pick<Value>(values: readonly Value[], target: number): Value {
-    return values[Math.floor(target * values.length)]!;
+function pick<Value>(values: readonly Value[], fraction: number): Value {
+    return values[Math.floor(fraction * values.length)]!;
 }
 
 function splitOnce(kind: string): string[] {
--- a/fuzz/soak/src/main.ts
+++ b/fuzz/soak/src/main.ts
@@ -29,8 +29,8 @@
         faultMs: Number(values.minutes) * MS_PER_MINUTE,
     });
     const { violations, faults, ...figures } = report;
-    const head = { ...figures, faults: faults.length, violations: violations.length };
-    process.stdout.write(`${JSON.stringify(head)}\n`);
+    const summary = { ...figures, faults: faults.length, violations: violations.length };
+    process.stdout.write(`${JSON.stringify(summary)}\n`);
     if (violations.length > 0) {
         const details = violations.slice(0, 10).map(({ promise, detail }) => `  ${promise}: ${detail}`);
         process.stdout.write(`${[...details, ...faults.map(line => `  ${line}`), `  logs in ${folder}`].join("\n")}\n`);
--- a/fuzz/soak/src/oracle.ts
+++ b/fuzz/soak/src/oracle.ts
@@ -1,8 +1,8 @@
-import { checkAnswers } from "./checkResponses.js";
 import { checkConfiguration } from "./checkConfiguration.js";
 import { checkDraining } from "./checkDraining.js";
 import { checkJobs } from "./checkJobs.js";
 import { checkRecovery } from "./checkRecovery.js";
+import { checkResponses } from "./checkResponses.js";
 import { checkRuns } from "./checkRuns.js";
 import { checkStops } from "./checkStops.js";
 import type { SoakRecord } from "./soakRecord.js";
@@ -11,7 +11,7 @@
 /** All promises that what was seen breaks, shape [violations]. */
 export function oracle(record: SoakRecord): Violation[] {
     return [
-        checkAnswers,
+        checkResponses,
         checkRuns,
         checkJobs,
         checkConfiguration,
--- a/fuzz/soak/src/planFaults.ts
+++ b/fuzz/soak/src/planFaults.ts
@@ -12,8 +12,8 @@
 const MIN_DURATION_MS = 300;
 const MAX_DURATION_MS = 4500;
 /** One in so many gaps is long enough for the checks that need calm. */
-const CALM_ONE_IN = 8;
-const CALM_MS = 7000;
+const LONG_GAP_ONE_IN = 8;
+const LONG_GAP_MS = 7000;
 
 /** Draws trouble for a span, mostly overlapping; as many disks are lost at a time as the settings allow. */
 export function planFaults(random: Random, opts: { fromMs: number; toMs: number; }): PlannedFault[] {
@@ -22,7 +22,7 @@
     for (let atMs = opts.fromMs; atMs < opts.toMs; atMs += nextGapMs(random)) {
         const kind = faultKinds[random.nextInteger(faultKinds.length)]!;
         const durationMs = MIN_DURATION_MS + random.nextInteger(MAX_DURATION_MS - MIN_DURATION_MS);
-        const fault = { kind, atMs, durationMs: Math.min(durationMs, opts.toMs - atMs), target: random.next() };
+        const fault = { kind, atMs, durationMs: Math.min(durationMs, opts.toMs - atMs), targetFraction: random.next() };
         if (!DISK_KINDS.includes(kind)) {
             faults.push(fault);
         }
@@ -35,7 +35,7 @@
 }
 
 function nextGapMs(random: Random): number {
-    return random.nextInteger(CALM_ONE_IN) === 0
-        ? CALM_MS
+    return random.nextInteger(LONG_GAP_ONE_IN) === 0
+        ? LONG_GAP_MS
         : MIN_GAP_MS + random.nextInteger(MAX_GAP_MS - MIN_GAP_MS);
 }
--- a/fuzz/soak/src/plannedFault.ts
+++ b/fuzz/soak/src/plannedFault.ts
@@ -6,5 +6,5 @@
     atMs: number;
     durationMs: number;
     /** In [0, 1): picks what it strikes. */
-    target: number;
+    targetFraction: number;
 }
--- a/fuzz/soak/src/runRecord.ts
+++ b/fuzz/soak/src/runRecord.ts
@@ -1,4 +1,4 @@
-import type { UpstreamMood } from "./upstreamBehaviour.js";
+import type { UpstreamBehaviour } from "./upstreamBehaviour.js";
 
 /** A request that an upstream began to work on. */
 export interface RunRecord {
@@ -12,5 +12,5 @@
     atMs: number;
     lastEventId: number;
     /** How the upstream spoiled it on purpose; undefined where it did not. */
-    spoiledBy: UpstreamMood | undefined;
+    injectedBehaviour: UpstreamBehaviour | undefined;
 }
--- a/fuzz/soak/src/runSoak.ts
+++ b/fuzz/soak/src/runSoak.ts
@@ -18,7 +18,7 @@
 const CONFIGURATION_INTERVAL_MS = 4000;
 const CANCELLED_SHARE = 0.15;
 const CHECK_INTERVAL_MS = 1000;
-const START_MS = 3000;
+const START_DELAY_MS = 3000;
 const WARM_UP_MS = 2000;
 /** Time for recovery and a look at it. */
 const RECOVERY_MS = 16_000;
@@ -38,38 +38,41 @@
     const subnet = FIRST_SUBNET + opts.seed % SUBNETS;
     const fleet = new SoakFleet({ ...opts, subnet, record, random: randomOf(1), nowMs });
     await fleet.start();
-    await pause(START_MS);
+    await pause(START_DELAY_MS);
 
-    const balancer = new SoakBalancer({ gateways: fleet.addresses, random: randomOf(2) });
-    const [calling, submitting] = [new AbortController(), new AbortController()];
+    const balancer = new SoakBalancer({ gateways: fleet.gatewayAddresses, random: randomOf(2) });
+    const [callersAbort, jobsAbort] = [new AbortController(), new AbortController()];
     const shared = { balancer, record, nowMs, newestVersion: () => fleet.operator.newestVersion };
     const callers = Array.from(
         { length: CALLERS + PROBERS },
         (_, index) => new SoakCaller({ ...shared, name: `c${index}`, random: randomOf(10 + index) }),
     );
-    callers.slice(PROBERS).forEach(caller => void caller.run(calling.signal));
-    callers.slice(0, PROBERS).forEach(prober => void prober.probe(fleet.addresses, calling.signal));
+    callers.slice(PROBERS).forEach(caller => void caller.run(callersAbort.signal));
+    callers.slice(0, PROBERS).forEach(prober => void prober.probe(fleet.gatewayAddresses, callersAbort.signal));
     const jobs = new SoakJobClient({ ...shared, name: "j", random: randomOf(3), cancelledShare: CANCELLED_SHARE });
-    void jobs.run(JOB_INTERVAL_MS, submitting.signal);
-    const configuring = setInterval(() => void fleet.operator.writeNext(), CONFIGURATION_INTERVAL_MS);
+    void jobs.run(JOB_INTERVAL_MS, jobsAbort.signal);
+    const configurationTimer = setInterval(
+        () => void fleet.operator.writeNextConfiguration(),
+        CONFIGURATION_INTERVAL_MS,
+    );
 
     const injector = new FaultInjector({ fleet, record, nowMs });
     const timers = planFaults(randomOf(4), { fromMs: WARM_UP_MS, toMs: WARM_UP_MS + opts.faultMs })
-        .map(fault => setTimeout(() => injector.strike(fault), fault.atMs));
-    const isBroken = () => oracle(record).length > 0;
-    await until(isBroken, WARM_UP_MS + opts.faultMs);
+        .map(fault => setTimeout(() => injector.inject(fault), fault.atMs));
+    const hasViolations = () => oracle(record).length > 0;
+    await waitUntil(hasViolations, WARM_UP_MS + opts.faultMs);
     timers.forEach(timer => clearTimeout(timer));
-    await injector.settled();
+    await injector.waitForPending();
     fleet.heal();
     record.healedAtMs = nowMs();
-    submitting.abort();
-    await until(isBroken, RECOVERY_MS);
-    calling.abort();
-    clearInterval(configuring);
-    await until(() => isBroken() || record.jobs.every(job => isOver(job)), FINISH_MS);
+    jobsAbort.abort();
+    await waitUntil(hasViolations, RECOVERY_MS);
+    callersAbort.abort();
+    clearInterval(configurationTimer);
+    await waitUntil(() => hasViolations() || record.jobs.every(job => isFinished(job)), FINISH_MS);
     jobs.stop();
-    await jobs.readAll();
-    record.endedAtMs = isBroken() ? undefined : nowMs();
+    await jobs.readAllResults();
+    record.endedAtMs = hasViolations() ? undefined : nowMs();
     const violations = oracle(record);
     balancer.close();
     await fleet.close();
@@ -84,12 +87,12 @@
     };
 }
 
-function isOver(job: SoakRecord["jobs"][number]): boolean {
+function isFinished(job: SoakRecord["jobs"][number]): boolean {
     return job.acceptedAtMs === undefined || job.cancelledAtMs !== undefined || job.results.length === job.items.length;
 }
 
 /** Resolves when the condition holds, or after `maxMs`. */
-async function until(condition: () => boolean, maxMs: number): Promise<void> {
+async function waitUntil(condition: () => boolean, maxMs: number): Promise<void> {
     for (let leftMs = maxMs; leftMs > 0 && !condition(); leftMs -= CHECK_INTERVAL_MS) {
         await pause(Math.min(leftMs, CHECK_INTERVAL_MS));
     }
--- a/fuzz/soak/src/soakBalancer.ts
+++ b/fuzz/soak/src/soakBalancer.ts
@@ -5,7 +5,7 @@
 
 const CHECK_INTERVAL_MS = 500;
 const CHECK_TIMEOUT_MS = 400;
-const MISSES_OUT = 2;
+const MISSES_UNTIL_UNREADY = 2;
 const HTTP_OK = 200;
 
 /** Gives new connections to the gateways that say that they are ready; open ones stay where they are. */
@@ -23,7 +23,7 @@
 
     /** A gateway for a new connection. */
     pick(): SoakGateway {
-        const ready = this.gateways.filter(gateway => (this.misses.get(gateway) ?? 0) < MISSES_OUT);
+        const ready = this.gateways.filter(gateway => (this.misses.get(gateway) ?? 0) < MISSES_UNTIL_UNREADY);
         // With too few left the balancer uses all.
         const candidates = ready.length * 2 < this.gateways.length ? this.gateways : ready;
         return candidates[this.random.nextInteger(candidates.length)]!;
--- a/fuzz/soak/src/soakCaller.ts
+++ b/fuzz/soak/src/soakCaller.ts
@@ -79,16 +79,16 @@
             endedAtMs: undefined,
             statusCode: 0,
             isComplete: false,
-            answer: "",
+            responseBody: "",
             hasProof: false,
             version: opts.version,
         };
         this.opts.record.calls.push(call);
-        const answer = await connection.send({ ...call, method: "POST", timeoutMs: TIMEOUT_MS });
-        call.statusCode = answer.statusCode;
-        call.isComplete = answer.isComplete;
-        call.answer = answer.body;
-        call.hasProof = answer.hasProof;
+        const response = await connection.send({ ...call, method: "POST", timeoutMs: TIMEOUT_MS });
+        call.statusCode = response.statusCode;
+        call.isComplete = response.isComplete;
+        call.responseBody = response.body;
+        call.hasProof = response.hasProof;
         call.endedAtMs = this.opts.nowMs();
         return call;
     }
--- a/fuzz/soak/src/soakFleet.ts
+++ b/fuzz/soak/src/soakFleet.ts
@@ -24,7 +24,7 @@
 const MODEL_UPSTREAMS = 4;
 const ANSWER_UPSTREAMS = 3;
 const STOP_GRACE_MS = 8000;
-const RETENTION_MS = 120_000;
+const RESULT_RETENTION_MS = 120_000;
 const MIN_LEASE_MS = 1000;
 
 /** A process with the relay that stands between it and the key-value service. */
@@ -46,8 +46,8 @@
 
 /** The processes of one soak, with the key-value service and the upstreams around them. */
 export class SoakFleet {
-    readonly memory = new MemoryKeyValueService({ clock: new SystemClock() });
-    readonly store = new PlatformStoreServer(this.memory);
+    readonly keyValueService = new MemoryKeyValueService({ clock: new SystemClock() });
+    readonly store = new PlatformStoreServer(this.keyValueService);
     readonly operator: SoakOperator;
     readonly gateways: FleetMember[] = [];
     readonly runners: FleetMember[] = [];
@@ -57,7 +57,7 @@
 
     constructor(opts: SoakFleetOptions) {
         this.opts = opts;
-        this.operator = new SoakOperator({ ...opts, service: this.memory });
+        this.operator = new SoakOperator({ ...opts, keyValueService: this.keyValueService });
     }
 
     get members(): FleetMember[] {
@@ -65,7 +65,7 @@
     }
 
     /** Gateways as callers see them. */
-    get addresses(): SoakGateway[] {
+    get gatewayAddresses(): SoakGateway[] {
         return this.gateways.map(({ process }) => ({
             name: process.name,
             host: process.settings.host,
@@ -77,7 +77,7 @@
 
     async start(): Promise<void> {
         const storePort = await this.store.listen(this.hostOf(4, 1));
-        await this.operator.writeNext();
+        await this.operator.writeNextConfiguration();
         const services = [
             ...Array.from({ length: MODEL_UPSTREAMS }, () => MODEL_SERVICE),
             ...Array.from({ length: ANSWER_UPSTREAMS }, () => ANSWER_SERVICE),
@@ -122,7 +122,7 @@
             }
         });
         this.upstreams.forEach(upstream => {
-            upstream.mood = "healthy";
+            upstream.behaviour = "healthy";
             upstream.relay.silenceNew();
             upstream.relay.delay(0);
         });
@@ -133,7 +133,7 @@
         this.members.forEach(({ storeRelay }) => storeRelay.close());
         this.upstreams.forEach(upstream => upstream.close());
         await this.store.close();
-        this.memory.close();
+        this.keyValueService.close();
     }
 
     private async createMember(program: "gateway" | "runner", index: number, storePort: number): Promise<FleetMember> {
@@ -155,7 +155,7 @@
             dataFolder: isGateway ? undefined : path.join(folder, "data"),
             tolerableLosses: 1,
             stopGraceMs: STOP_GRACE_MS,
-            resultRetentionMs: RETENTION_MS,
+            resultRetentionMs: RESULT_RETENTION_MS,
         };
         return { process: new SoakProcess({ ...this.opts, folder, program, settings }), storeRelay };
     }
--- a/fuzz/soak/src/soakJobClient.ts
+++ b/fuzz/soak/src/soakJobClient.ts
@@ -44,7 +44,7 @@
     /** Submits a job each `intervalMs` until `signal` is aborted. */
     async run(intervalMs: number, signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
-            void this.follow(this.createJob());
+            void this.submitAndPoll(this.createJob());
             await pause(intervalMs * (0.5 + this.opts.random.next()));
         }
     }
@@ -55,9 +55,9 @@
     }
 
     /** Reads all accepted jobs from their beginning, once more. */
-    async readAll(): Promise<void> {
+    async readAllResults(): Promise<void> {
         const accepted = this.opts.record.jobs.filter(job => job.acceptedAtMs !== undefined);
-        await Promise.all(accepted.map(job => this.read(job, 0)));
+        await Promise.all(accepted.map(job => this.readResults(job, 0)));
     }
 
     private createJob(): JobRecord {
@@ -83,13 +83,13 @@
         return job;
     }
 
-    private async follow(job: JobRecord): Promise<void> {
+    private async submitAndPoll(job: JobRecord): Promise<void> {
         await this.submit(job);
-        const isToCancel = this.opts.random.next() < this.opts.cancelledShare;
+        const shouldCancel = this.opts.random.next() < this.opts.cancelledShare;
         while (job.acceptedAtMs !== undefined && job.results.length < job.items.length && !this.isStopped) {
             await pause(READ_INTERVAL_MS);
-            await this.read(job, job.results.length);
-            if (isToCancel && job.cancelledAtMs === undefined) {
+            await this.readResults(job, job.results.length);
+            if (shouldCancel && job.cancelledAtMs === undefined) {
                 await this.cancel(job);
             }
         }
@@ -98,9 +98,9 @@
     private async submit(job: JobRecord): Promise<void> {
         const body = encodeSubmission(job.items, { path: ITEM_PATH, tokensEach: ITEM_TOKENS });
         while (job.acceptedAtMs === undefined && job.attemptStatuses.length < MAX_ATTEMPTS) {
-            const answer = await this.call("POST", SUBMIT_PATH, job.id, body);
-            job.attemptStatuses.push(answer.statusCode);
-            if (answer.statusCode === HTTP_ACCEPTED) {
+            const response = await this.call("POST", SUBMIT_PATH, job.id, body);
+            job.attemptStatuses.push(response.statusCode);
+            if (response.statusCode === HTTP_ACCEPTED) {
                 job.acceptedAtMs = this.opts.nowMs();
             }
             await pause(RETRY_MS);
@@ -108,33 +108,33 @@
     }
 
     private async cancel(job: JobRecord): Promise<void> {
-        const answer = await this.call("DELETE", `${callerPaths.jobs}${job.id}`, `${job.id}-cancel`, "");
-        if (answer.statusCode === HTTP_OK) {
+        const response = await this.call("DELETE", `${callerPaths.jobs}${job.id}`, `${job.id}-cancel`, "");
+        if (response.statusCode === HTTP_OK) {
             job.cancelledAtMs = this.opts.nowMs();
         }
     }
 
     /** Reads results from a position on; later answers have to say the same as earlier ones. */
-    private async read(job: JobRecord, after: number): Promise<void> {
+    private async readResults(job: JobRecord, after: number): Promise<void> {
         const path = `${callerPaths.jobs}${job.id}?after=${after}`;
-        const answer = await this.call("GET", path, `${job.id}-read-${after}`, "");
-        if (NOT_FOUND_STATUSES.includes(answer.statusCode)) {
+        const response = await this.call("GET", path, `${job.id}-read-${after}`, "");
+        if (NOT_FOUND_STATUSES.includes(response.statusCode)) {
             job.missedAtMs.push(this.opts.nowMs());
         }
-        if (answer.statusCode !== HTTP_OK || !answer.isComplete) {
+        if (response.statusCode !== HTTP_OK || !response.isComplete) {
             return;
         }
-        const page = decodeResultsPage(answer.body);
+        const page = decodeResultsPage(response.body);
         if (page.total !== job.items.length) {
             job.contradictions.push(`total ${page.total}`);
         }
-        page.results.forEach((result, index) => this.note(job, after + index, result));
+        page.results.forEach((result, index) => this.recordResult(job, after + index, result));
     }
 
-    private note(job: JobRecord, position: number, result: JobResult): void {
-        const known = job.results[position];
-        if (known !== undefined && JSON.stringify(known) !== JSON.stringify(result)) {
-            job.contradictions.push(`position ${position}: ${known.itemId} and then ${result.itemId}`);
+    private recordResult(job: JobRecord, position: number, result: JobResult): void {
+        const earlier = job.results[position];
+        if (earlier !== undefined && JSON.stringify(earlier) !== JSON.stringify(result)) {
+            job.contradictions.push(`position ${position}: ${earlier.itemId} and then ${result.itemId}`);
         }
         if (position === job.results.length) {
             job.results.push(result);
@@ -143,8 +143,8 @@
 
     private async call(method: string, path: string, id: string, body: string) {
         const connection = new CallerConnection(this.opts.balancer.pick());
-        const answer = await connection.send({ method, path, id, body, timeoutMs: TIMEOUT_MS });
+        const response = await connection.send({ method, path, id, body, timeoutMs: TIMEOUT_MS });
         connection.close();
-        return answer;
+        return response;
     }
 }
--- a/fuzz/soak/src/soakOperator.ts
+++ b/fuzz/soak/src/soakOperator.ts
@@ -18,13 +18,13 @@
 
 /** Writes configurations and the entries of upstreams, as the operators and the upstreams do. */
 export class SoakOperator {
-    private readonly service: MemoryKeyValueService;
+    private readonly keyValueService: MemoryKeyValueService;
     private readonly record: SoakRecord;
     private readonly nowMs: () => number;
     private version = 0;
 
-    constructor(opts: { service: MemoryKeyValueService; record: SoakRecord; nowMs: () => number; }) {
-        this.service = opts.service;
+    constructor(opts: { keyValueService: MemoryKeyValueService; record: SoakRecord; nowMs: () => number; }) {
+        this.keyValueService = opts.keyValueService;
         this.record = opts.record;
         this.nowMs = opts.nowMs;
     }
@@ -35,25 +35,25 @@
     }
 
     /** Puts the next configuration in force: its only change is the route that names its version. */
-    async writeNext(): Promise<void> {
+    async writeNextConfiguration(): Promise<void> {
         this.version += 1;
         const { version } = this;
         const writtenAtMs = this.nowMs();
         const value = encodeConfiguration(this.configurationOf(version));
-        await this.service.transact([], [{ kind: "put", key: wireKeys.configuration, value }]);
+        await this.keyValueService.transact([], [{ kind: "put", key: wireKeys.configuration, value }]);
         this.record.versions.push({ version, writtenAtMs, ackedAtMs: this.nowMs() });
     }
 
     async announce(upstream: SoakUpstream): Promise<void> {
         const key = `${wireKeys.upstreams}${upstream.id}`;
-        await this.service.transact([], [{ kind: "put", key, value: encodeUpstream(upstream.announced) }]);
-        if (upstream.announced.state === "draining") {
+        await this.keyValueService.transact([], [{ kind: "put", key, value: encodeUpstream(upstream.announcement) }]);
+        if (upstream.announcement.state === "draining") {
             this.record.drains.push({ upstreamId: upstream.id, ackedAtMs: this.nowMs() });
         }
     }
 
     async remove(upstream: SoakUpstream): Promise<void> {
-        await this.service.transact([], [{ kind: "delete", key: `${wireKeys.upstreams}${upstream.id}` }]);
+        await this.keyValueService.transact([], [{ kind: "delete", key: `${wireKeys.upstreams}${upstream.id}` }]);
     }
 
     private configurationOf(version: number): FleetConfiguration {
@@ -73,7 +73,7 @@
         };
     }
 
-    private routeOf(name: string, kind: RouteKind, service: string, change: Partial<Route>): Route {
+    private routeOf(name: string, kind: RouteKind, service: string, overrides: Partial<Route>): Route {
         this.record.servicesOfPrefix.set(`/${name}/`, service);
         return {
             name,
@@ -90,7 +90,7 @@
             jobDueMs: undefined,
             jobRetentionMs: undefined,
             maxWaitingTokens: undefined,
-            ...change,
+            ...overrides,
         };
     }
 }
--- a/fuzz/soak/src/soakProcess.ts
+++ b/fuzz/soak/src/soakProcess.ts
@@ -69,13 +69,13 @@
 
     /** Ends the process without a word, and waits until it is gone. */
     async kill(): Promise<void> {
-        await this.end("SIGKILL");
+        await this.terminate("SIGKILL");
     }
 
     /** Stops the process in order; after its grace it is killed. */
     async stop(): Promise<void> {
         const timer = setTimeout(() => this.child?.kill("SIGKILL"), this.settings.stopGraceMs + KILL_AFTER_GRACE_MS);
-        await this.end("SIGTERM");
+        await this.terminate("SIGTERM");
         clearTimeout(timer);
     }
 
@@ -98,15 +98,15 @@
         files.slice(0, 1).forEach(file => truncateSync(file, Math.floor(statSync(file).size / 2)));
     }
 
-    private async end(signal: "SIGKILL" | "SIGTERM"): Promise<void> {
+    private async terminate(signal: "SIGKILL" | "SIGTERM"): Promise<void> {
         const { child } = this;
         if (child === undefined) {
             return;
         }
         this.isEnding = true;
-        const gone = new Promise(resolve => child.once("exit", resolve));
+        const exited = new Promise(resolve => child.once("exit", resolve));
         child.kill(signal);
-        await gone;
+        await exited;
     }
 
     private onExit(child: ChildProcess, code: number | null, signal: string | null): void {
--- a/fuzz/soak/src/soakRecord.ts
+++ b/fuzz/soak/src/soakRecord.ts
@@ -23,7 +23,7 @@
     endedAtMs: number | undefined;
 
     /** Whether no trouble was made within a span, nor shortly before it. */
-    isCalm(fromMs: number, toMs: number, opts: { slackMs: number; ignoresPlanned?: boolean; }): boolean {
+    isFaultFree(fromMs: number, toMs: number, opts: { slackMs: number; ignoresPlanned?: boolean; }): boolean {
         return !this.faults.some(fault =>
             fault.fromMs <= toMs && fault.toMs >= fromMs - opts.slackMs && !(opts.ignoresPlanned && fault.isPlanned)
         );
--- a/fuzz/soak/src/soakUpstream.ts
+++ b/fuzz/soak/src/soakUpstream.ts
@@ -13,20 +13,20 @@
 import { pause } from "./pause.js";
 import type { RunRecord } from "./runRecord.js";
 import type { SoakRecord } from "./soakRecord.js";
-import type { UpstreamMood } from "./upstreamBehaviour.js";
+import type { UpstreamBehaviour } from "./upstreamBehaviour.js";
 
-const EVENT_MS = 8;
-const ANSWER_MS = 15;
+const EVENT_INTERVAL_MS = 8;
+const RESPONSE_DELAY_MS = 15;
 const SLOW_FACTOR = 5;
 const SLOTS = 8;
 /** Requests that wait for a slot beside those that run. */
 const MAX_QUEUED = 8;
-const SPOILED_SHARE = 0.4;
+const MISBEHAVING_SHARE = 0.4;
 
 /** An upstream that runs what it gets, notes it, and misbehaves on request. Reached through a relay. */
 export class SoakUpstream {
     readonly id: UpstreamId;
-    mood: UpstreamMood = "healthy";
+    behaviour: UpstreamBehaviour = "healthy";
     relay!: TcpRelay;
     private readonly opts: { service: string; zone: string; record: SoakRecord; random: Random; nowMs: () => number; };
     private readonly server: Server;
@@ -37,12 +37,12 @@
     constructor(id: string, opts: SoakUpstream["opts"]) {
         this.id = id as UpstreamId;
         this.opts = opts;
-        this.server = createServer((request, response) => void this.answer(request, response));
+        this.server = createServer((request, response) => void this.handle(request, response));
         this.server.keepAliveTimeout = 0;
     }
 
     /** What it announces of itself. */
-    get announced(): Upstream {
+    get announcement(): Upstream {
         return this.upstream;
     }
 
@@ -71,7 +71,7 @@
         this.server.closeAllConnections();
     }
 
-    private async answer(request: IncomingMessage, response: ServerResponse): Promise<void> {
+    private async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
         response.on("error", () => undefined);
         const body = await readBody(request).then(bytes => bytes.toString("utf8"), () => undefined);
         const callId = String(request.headers[wireHeaders.requestId] ?? "");
@@ -80,21 +80,21 @@
         }
         response.setHeader(wireHeaders.requestId, callId);
         if (request.headers[wireHeaders.expectedUpstream] !== this.id) {
-            this.refuse(response, 421);
+            this.reject(response, 421);
             return;
         }
         if (this.running >= SLOTS && this.waiting.length >= MAX_QUEUED) {
-            this.refuse(response, 503);
+            this.reject(response, 503);
             return;
         }
-        await this.takeSlot();
+        await this.acquireSlot();
         try {
             if (!response.destroyed) {
                 await this.run(request, response, { body, callId });
             }
         }
         finally {
-            this.leaveSlot();
+            this.releaseSlot();
         }
     }
 
@@ -103,7 +103,8 @@
         response: ServerResponse,
         call: { body: string; callId: string; },
     ): Promise<void> {
-        const isSpoiled = this.mood !== "healthy" && this.mood !== "slow" && this.opts.random.next() < SPOILED_SHARE;
+        const isMisbehaving = this.behaviour !== "healthy" && this.behaviour !== "slow"
+            && this.opts.random.next() < MISBEHAVING_SHARE;
         const run: RunRecord = {
             ...call,
             upstreamId: this.id,
@@ -112,11 +113,11 @@
             path: request.url ?? "",
             atMs: this.opts.nowMs(),
             lastEventId: Number(request.headers[wireHeaders.lastEventId] ?? 0),
-            spoiledBy: isSpoiled ? this.mood : undefined,
+            injectedBehaviour: isMisbehaving ? this.behaviour : undefined,
         };
         this.opts.record.runs.push(run);
         const events = expectedEvents(call.body).slice(run.lastEventId);
-        if (!isSpoiled || !await this.spoil(response, events)) {
+        if (!isMisbehaving || !await this.misbehave(response, events)) {
             response.setHeader(wireHeaders.upstreamProof, `proof-${this.id}`);
             const isStream = /^\/(?:stream|job)/u.test(run.path);
             await (isStream ? this.stream(response, events, run.lastEventId) : this.reply(response, events));
@@ -124,8 +125,8 @@
     }
 
     /** @returns whether the answer is done with */
-    private async spoil(response: ServerResponse, events: string[]): Promise<boolean> {
-        switch (this.mood) {
+    private async misbehave(response: ServerResponse, events: string[]): Promise<boolean> {
+        switch (this.behaviour) {
             case "errors":
                 response.setHeader(wireHeaders.upstreamProof, `proof-${this.id}`);
                 response.writeHead(500, { "content-length": 0 }).end();
@@ -133,14 +134,17 @@
             case "cut":
                 response.writeHead(200, { [wireHeaders.upstreamProof]: `proof-${this.id}` });
                 response.write(`id: 1\ndata: ${events[0]?.slice(0, 4)}`);
-                await pause(EVENT_MS);
+                await pause(EVENT_INTERVAL_MS);
                 response.destroy();
                 return true;
             case "garble":
                 response.writeHead(200, { "content-length": 7 }).end("garbled");
                 return true;
             case "hang":
-                await Promise.race([pause(EVENT_MS * 1000), new Promise(resolve => response.once("close", resolve))]);
+                await Promise.race([
+                    pause(EVENT_INTERVAL_MS * 1000),
+                    new Promise(resolve => response.once("close", resolve)),
+                ]);
                 response.destroy();
                 return true;
             default:
@@ -149,7 +153,7 @@
     }
 
     private async reply(response: ServerResponse, events: string[]): Promise<void> {
-        await pause(ANSWER_MS * this.slowness());
+        await pause(RESPONSE_DELAY_MS * this.slowdownFactor());
         const text = events.join(",");
         response.writeHead(200, { "content-length": Buffer.byteLength(text) }).end(text);
     }
@@ -157,7 +161,7 @@
     private async stream(response: ServerResponse, events: string[], lastEventId: number): Promise<void> {
         response.writeHead(200, { "content-type": "text/event-stream" });
         for (const [index, data] of events.entries()) {
-            await pause(EVENT_MS * this.slowness());
+            await pause(EVENT_INTERVAL_MS * this.slowdownFactor());
             if (response.destroyed) {
                 return;
             }
@@ -166,22 +170,22 @@
         response.end();
     }
 
-    private slowness(): number {
-        return this.mood === "slow" ? SLOW_FACTOR : 1;
+    private slowdownFactor(): number {
+        return this.behaviour === "slow" ? SLOW_FACTOR : 1;
     }
 
-    private refuse(response: ServerResponse, statusCode: number): void {
+    private reject(response: ServerResponse, statusCode: number): void {
         response.writeHead(statusCode, { [wireHeaders.notRun]: "1", "content-length": 0 }).end();
     }
 
-    private async takeSlot(): Promise<void> {
+    private async acquireSlot(): Promise<void> {
         if (this.running >= SLOTS) {
             await new Promise<void>(resolve => this.waiting.push(resolve));
         }
         this.running += 1;
     }
 
-    private leaveSlot(): void {
+    private releaseSlot(): void {
         this.running -= 1;
         this.waiting.shift()?.();
     }
--- a/fuzz/soak/src/upstreamBehaviour.ts
+++ b/fuzz/soak/src/upstreamBehaviour.ts
@@ -1,2 +1,2 @@
 /** How an upstream treats requests. */
-export type UpstreamMood = "healthy" | "slow" | "errors" | "cut" | "hang" | "garble";
+export type UpstreamBehaviour = "healthy" | "slow" | "errors" | "cut" | "hang" | "garble";
--- a/fuzz/soak/test/brokenGateway.ts
+++ b/fuzz/soak/test/brokenGateway.ts
@@ -46,7 +46,7 @@
 
 const PROBE = /^\/only-(\d+)\//u;
 const HTTP_UNAVAILABLE = 503;
-const FULL_PAUSE_MS = 20;
+const RETRY_DELAY_MS = 20;
 /** Later than a cancelled job may still begin to run. */
 const LATE_RUN_MS = 4200;
 
@@ -59,7 +59,7 @@
     private readonly servers: Server[] = [];
     private readonly jobs = new Map<string, Job>();
     private readonly draining = new Set<SoakUpstream>();
-    private lastAnswer = "";
+    private lastResponseText = "";
     private requestCount = 0;
 
     constructor(opts: { breakage: Breakage; upstreams: SoakUpstream[]; }) {
@@ -69,7 +69,7 @@
 
     async listen(host: string, ports: number[]): Promise<void> {
         for (const port of ports) {
-            const server = createServer((request, response) => void this.answer(request, response));
+            const server = createServer((request, response) => void this.handle(request, response));
             this.servers.push(server);
             await new Promise<void>(resolve => server.listen(port, host, resolve));
         }
@@ -93,7 +93,7 @@
         });
     }
 
-    private async answer(request: IncomingMessage, response: ServerResponse): Promise<void> {
+    private async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
         response.on("error", () => undefined);
         const url = request.url ?? "";
         const body = await readText(request).catch(() => "");
@@ -102,10 +102,10 @@
             return;
         }
         if (url.startsWith(callerPaths.jobs) || url.startsWith("/job/")) {
-            this.answerJob(request, response, body);
+            this.handleJob(request, response, body);
             return;
         }
-        if (!this.isInForce(url) || this.breakage === "serves-nobody") {
+        if (!this.isActiveRoute(url) || this.breakage === "serves-nobody") {
             response.writeHead(this.breakage === "serves-nobody" ? 503 : 404, { "content-length": 0 }).end();
             return;
         }
@@ -113,7 +113,7 @@
     }
 
     /** Whether a probe's route is there. */
-    private isInForce(url: string): boolean {
+    private isActiveRoute(url: string): boolean {
         const version = PROBE.exec(url)?.[1];
         this.requestCount += 1;
         if (version === undefined) {
@@ -132,10 +132,10 @@
         if (this.breakage === "runs-twice") {
             await this.run({ id, path, body: sent });
         }
-        const answer = await this.run({ id, path, body: sent });
-        const text = this.spoil(answer.text);
-        this.lastAnswer = answer.text;
-        const statusCode = this.breakage === "lies-about-runs" ? 503 : answer.statusCode;
+        const upstreamResponse = await this.run({ id, path, body: sent });
+        const text = this.applyBreakage(upstreamResponse.text);
+        this.lastResponseText = upstreamResponse.text;
+        const statusCode = this.breakage === "lies-about-runs" ? 503 : upstreamResponse.statusCode;
         response.writeHead(statusCode, {
             "content-length": Buffer.byteLength(text),
             [wireHeaders.upstreamProof]: "proof",
@@ -143,14 +143,14 @@
         response.end(text);
     }
 
-    private spoil(text: string): string {
+    private applyBreakage(text: string): string {
         if (this.breakage === "swaps-answers") {
-            return this.lastAnswer;
+            return this.lastResponseText;
         }
         return this.breakage === "drops-events" ? text.replace(/^id: 2\n.*\n\n/mu, "") : text;
     }
 
-    private answerJob(request: IncomingMessage, response: ServerResponse, body: string): void {
+    private handleJob(request: IncomingMessage, response: ServerResponse, body: string): void {
         const url = new URL(request.url ?? "", "http://gateway");
         const jobId = url.pathname.startsWith(callerPaths.jobs)
             ? url.pathname.slice(callerPaths.jobs.length)
@@ -201,24 +201,25 @@
     /** Runs an item again while upstreams are full. */
     private async runItem(item: WireItem): Promise<string> {
         const call = { ...item, body: Buffer.from(item.body, "base64").toString("utf8") };
-        let answer = await this.run(call);
-        while (answer.statusCode === HTTP_UNAVAILABLE) {
-            await new Promise(resolve => setTimeout(resolve, FULL_PAUSE_MS));
-            answer = await this.run(call);
+        let response = await this.run(call);
+        while (response.statusCode === HTTP_UNAVAILABLE) {
+            await new Promise(resolve => setTimeout(resolve, RETRY_DELAY_MS));
+            response = await this.run(call);
         }
-        return answer.text;
+        return response.text;
     }
 
     private run(call: { id: string; path: string; body: string; }): Promise<{ statusCode: number; text: string; }> {
-        const isAnswer = /^\/(?:fetch|book|only-\d+)\//u.test(call.path) !== (this.breakage === "mixes-services");
-        const service = isAnswer ? ANSWER_SERVICE : MODEL_SERVICE;
+        const isAnswerService =
+            /^\/(?:fetch|book|only-\d+)\//u.test(call.path) !== (this.breakage === "mixes-services");
+        const service = isAnswerService ? ANSWER_SERVICE : MODEL_SERVICE;
         const candidates = this.upstreams
-            .filter(upstream => upstream.announced.service === service)
+            .filter(upstream => upstream.announcement.service === service)
             .filter(upstream => this.breakage === "ignores-draining" || !this.draining.has(upstream));
         const upstream = candidates[this.requestCount++ % candidates.length]!;
         return new Promise(resolve => {
             const request = sendRequest({
-                ...upstream.announced.address,
+                ...upstream.announcement.address,
                 agent: false,
                 method: "POST",
                 path: call.path,
--- a/fuzz/soak/test/oracle.test.ts
+++ b/fuzz/soak/test/oracle.test.ts
@@ -23,7 +23,7 @@
 const RECOVERED_LONG_AGO_MS = 20_000;
 
 /** Lets callers, jobs and probes run against a gateway that breaks one promise. @returns the promises found broken */
-async function promisesBrokenBy(breakage: Breakage, subnet: number): Promise<string[]> {
+async function findBrokenPromises(breakage: Breakage, subnet: number): Promise<string[]> {
     const clock = new SystemClock();
     const nowMs = () => clock.nowMs();
     const record = new SoakRecord();
@@ -74,7 +74,7 @@
     controller.abort();
     await Promise.all(running);
     jobs.stop();
-    await jobs.readAll();
+    await jobs.readAllResults();
     record.endedAtMs = nowMs();
     balancer.close();
     gateway.close();
@@ -103,13 +103,13 @@
 ];
 
 test("the oracle finds nothing where nothing is broken", async () => {
-    assert.deepEqual(await promisesBrokenBy("nothing", FIRST_SUBNET - 1), []);
+    assert.deepEqual(await findBrokenPromises("nothing", FIRST_SUBNET - 1), []);
 });
 
 test("the oracle finds each promise that is broken on purpose", async () => {
     const found = await Promise.all(cases.map(async ({ breakage, promise }, index) => ({
         breakage,
-        isFound: (await promisesBrokenBy(breakage, FIRST_SUBNET + index)).includes(promise),
+        isFound: (await findBrokenPromises(breakage, FIRST_SUBNET + index)).includes(promise),
     })));
-    assert.deepEqual(found.filter(one => !one.isFound), []);
+    assert.deepEqual(found.filter(entry => !entry.isFound), []);
 });
