--- a/fuzz/soak/src/checkJobs.ts
+++ b/fuzz/soak/src/checkJobs.ts
@@ -28,9 +28,7 @@
         }
         seen.add(result.itemId);
         if (result.state !== "completed") {
-            const failures = record.runs.filter(run =>
-                run.callId === item.id && run.injectedBehaviour === "errors"
-            ).length;
+            const failures = record.runs.filter(run => run.callId === item.id && run.faultMode === "errors").length;
             return failures >= MAX_ATTEMPTS
                 ? []
                 : [{ promise: "given-up-only-when-allowed", detail: `${location}: ${result.state}` }];
--- a/fuzz/soak/src/checkStops.ts
+++ b/fuzz/soak/src/checkStops.ts
@@ -31,5 +31,5 @@
 
 function wasForwarded(call: CallRecord, record: SoakRecord): boolean {
     const runs = record.runs.filter(run => run.callId === call.id);
-    return runs.length > 0 && !runs.some(run => run.injectedBehaviour !== undefined);
+    return runs.length > 0 && !runs.some(run => run.faultMode !== undefined);
 }
--- a/fuzz/soak/src/faultInjector.ts
+++ b/fuzz/soak/src/faultInjector.ts
@@ -5,7 +5,7 @@
 import type { SoakProcess } from "./soakProcess.js";
 import type { SoakRecord } from "./soakRecord.js";
 import type { SoakUpstream } from "./soakUpstream.js";
-import type { UpstreamBehaviour } from "./upstreamBehaviour.js";
+import type { UpstreamMode } from "./upstreamMode.js";
 
 const RESTART_DELAY_MS = 400;
 const STORE_DELAY_MS = 250;
@@ -87,7 +87,7 @@
                     upstream =>
                         variant === "crash"
                             ? this.crash(upstream, fault.durationMs)
-                            : this.applyBehaviour(upstream, variant, fault),
+                            : this.applyMode(upstream, variant, fault),
                 );
                 return;
             case "link":
@@ -176,10 +176,10 @@
         });
     }
 
-    private async applyBehaviour(upstream: SoakUpstream, behaviour: string, fault: PlannedFault): Promise<void> {
-        upstream.behaviour = behaviour as UpstreamBehaviour;
+    private async applyMode(upstream: SoakUpstream, mode: string, fault: PlannedFault): Promise<void> {
+        upstream.mode = mode as UpstreamMode;
         await pause(fault.durationMs);
-        upstream.behaviour = "healthy";
+        upstream.mode = "healthy";
     }
 
     private async crash(upstream: SoakUpstream, durationMs: number): Promise<void> {
--- a/fuzz/soak/src/runRecord.ts
+++ b/fuzz/soak/src/runRecord.ts
@@ -1,4 +1,4 @@
-import type { UpstreamBehaviour } from "./upstreamBehaviour.js";
+import type { UpstreamMode } from "./upstreamMode.js";
 
 /** A request that an upstream began to work on. */
 export interface RunRecord {
@@ -12,5 +12,5 @@
     atMs: number;
     lastEventId: number;
     /** How the upstream spoiled it on purpose; undefined where it did not. */
-    injectedBehaviour: UpstreamBehaviour | undefined;
+    faultMode: UpstreamMode | undefined;
 }
--- a/fuzz/soak/src/soakFleet.ts
+++ b/fuzz/soak/src/soakFleet.ts
@@ -122,7 +122,7 @@
             }
         });
         this.upstreams.forEach(upstream => {
-            upstream.behaviour = "healthy";
+            upstream.mode = "healthy";
             upstream.relay.silenceNew();
             upstream.relay.delay(0);
         });
--- a/fuzz/soak/src/soakUpstream.ts
+++ b/fuzz/soak/src/soakUpstream.ts
@@ -13,7 +13,7 @@
 import { pause } from "./pause.js";
 import type { RunRecord } from "./runRecord.js";
 import type { SoakRecord } from "./soakRecord.js";
-import type { UpstreamBehaviour } from "./upstreamBehaviour.js";
+import type { UpstreamMode } from "./upstreamMode.js";
 
 const EVENT_INTERVAL_MS = 8;
 const RESPONSE_DELAY_MS = 15;
@@ -26,7 +26,7 @@
 /** An upstream that runs what it gets, notes it, and misbehaves on request. Reached through a relay. */
 export class SoakUpstream {
     readonly id: UpstreamId;
-    behaviour: UpstreamBehaviour = "healthy";
+    mode: UpstreamMode = "healthy";
     relay!: TcpRelay;
     private readonly opts: { service: string; zone: string; record: SoakRecord; random: Random; nowMs: () => number; };
     private readonly server: Server;
@@ -103,7 +103,7 @@
         response: ServerResponse,
         call: { body: string; callId: string; },
     ): Promise<void> {
-        const isMisbehaving = this.behaviour !== "healthy" && this.behaviour !== "slow"
+        const isMisbehaving = this.mode !== "healthy" && this.mode !== "slow"
             && this.opts.random.next() < MISBEHAVING_SHARE;
         const run: RunRecord = {
             ...call,
@@ -113,7 +113,7 @@
             path: request.url ?? "",
             atMs: this.opts.nowMs(),
             lastEventId: Number(request.headers[wireHeaders.lastEventId] ?? 0),
-            injectedBehaviour: isMisbehaving ? this.behaviour : undefined,
+            faultMode: isMisbehaving ? this.mode : undefined,
         };
         this.opts.record.runs.push(run);
         const events = expectedEvents(call.body).slice(run.lastEventId);
@@ -126,7 +126,7 @@
 
     /** @returns whether the answer is done with */
     private async misbehave(response: ServerResponse, events: string[]): Promise<boolean> {
-        switch (this.behaviour) {
+        switch (this.mode) {
             case "errors":
                 response.setHeader(wireHeaders.upstreamProof, `proof-${this.id}`);
                 response.writeHead(500, { "content-length": 0 }).end();
@@ -171,7 +171,7 @@
     }
 
     private slowdownFactor(): number {
-        return this.behaviour === "slow" ? SLOW_FACTOR : 1;
+        return this.mode === "slow" ? SLOW_FACTOR : 1;
     }
 
     private reject(response: ServerResponse, statusCode: number): void {
--- a/fuzz/soak/src/upstreamBehaviour.ts
+++ /dev/null
@@ -1,2 +0,0 @@
-/** How an upstream treats requests. */
-export type UpstreamBehaviour = "healthy" | "slow" | "errors" | "cut" | "hang" | "garble";
