--- a/fuzz/soak/src/callRecord.ts
+++ b/fuzz/soak/src/callRecord.ts
@@ -1,23 +1,23 @@
 import type { CallKind } from "./callKind.js";
 
-/** One attempt of a caller, as the caller saw it. */
+/** One request of a caller and its response, as the caller saw them. */
 export interface CallRecord {
     id: string;
     kind: CallKind;
     path: string;
     body: string;
     gateway: string;
-    /** Counts the starts of the gateway's process. */
+    /** Number of times that the gateway's process had been started when the request was sent. */
     startNumber: number;
     sentAtMs: number;
-    /** Undefined while no answer has ended. */
+    /** Undefined until the response has ended or failed. */
     endedAtMs: number | undefined;
-    /** 0 where there was no answer. */
+    /** 0 if there was no response. */
     statusCode: number;
-    /** Whether the answer ended as HTTP wants it. */
+    /** Whether the HTTP response arrived in full. */
     isComplete: boolean;
     responseBody: string;
     hasProof: boolean;
-    /** For probes: the configuration whose route is asked for. */
+    /** For probes: the version of the configuration whose route is requested. */
     version: number | undefined;
 }
--- a/fuzz/soak/src/callerConnection.ts
+++ b/fuzz/soak/src/callerConnection.ts
@@ -11,7 +11,7 @@
     hasProof: boolean;
 }
 
-/** One connection of a caller, used until the gateway closes it. */
+/** A keep-alive connection of a caller to one gateway, usable until the gateway closes it. */
 export class CallerConnection {
     readonly gateway: SoakGateway;
     isClosed = false;
@@ -22,7 +22,10 @@
         this.gateway = gateway;
     }
 
-    /** Sends a request and resolves when its answer has ended, however it did; status 0 stands for no answer. */
+    /**
+     * Sends a request and resolves when its response has ended, in full or cut off. Never rejects: without a response,
+     * the status code is 0.
+     */
     send(opts: {
         method: string;
         path: string;
--- a/fuzz/soak/src/checkConfiguration.ts
+++ b/fuzz/soak/src/checkConfiguration.ts
@@ -4,12 +4,17 @@
 import type { VersionRecord } from "./versionRecord.js";
 import type { Violation } from "./violation.js";
 
+/** Time after the acknowledged write in which every gateway activates a configuration. */
 const PROPAGATION_MS = 2000;
+/** A fault excuses violations until this long after its end. */
 const FAULT_SLACK_MS = 3000;
 const HTTP_OK = 200;
 const HTTP_NOT_FOUND = 404;
 
-/** A configuration is in force everywhere soon after it was written, and no process goes back to an older one. */
+/**
+ * Returns a violation for each probe that shows that a gateway did not activate the newest configuration soon after it
+ * was written, or went back to an older one without a restart.
+ */
 export function checkConfiguration(record: SoakRecord): Violation[] {
     const probes = record.calls
         .filter(call => call.kind === "probe" && call.endedAtMs !== undefined)
--- a/fuzz/soak/src/checkDraining.ts
+++ b/fuzz/soak/src/checkDraining.ts
@@ -2,9 +2,13 @@
 import type { Violation } from "./violation.js";
 
 const DRAIN_MS = 2000;
+/** An unplanned fault excuses violations until this long after its end. */
 const FAULT_SLACK_MS = 3000;
 
-/** An upstream that leaves gets no new request soon after the key-value service had that. */
+/**
+ * Returns a violation for each request that an upstream started to run more than `DRAIN_MS` after the key-value service
+ * had acknowledged that the upstream drains.
+ */
 export function checkDraining(record: SoakRecord): Violation[] {
     return record.drains.flatMap(({ upstreamId, ackedAtMs }) =>
         record.runs
--- a/fuzz/soak/src/checkJobs.ts
+++ b/fuzz/soak/src/checkJobs.ts
@@ -3,15 +3,19 @@
 import type { SoakRecord } from "./soakRecord.js";
 import type { Violation } from "./violation.js";
 
-/** How long after its end was acknowledged an item of a job may still begin to run. */
+/** How long after the acknowledged cancellation of a job its items may still start to run. */
 const CANCEL_MS = 3000;
-/** Failures of upstreams after which an item may be given up, as its route says. */
+/** Upstream failures after which an item may be abandoned, as set by the route. */
 const MAX_ATTEMPTS = 3;
+/** A fault excuses violations until this long after its end. */
 const FAULT_SLACK_MS = 3000;
-/** Time after its acceptance in which a job may not be found yet. */
+/** Time after its acceptance in which a job need not be found yet. */
 const SETTLE_MS = 1000;
 
-/** Accepted jobs are kept and end, each item once, with its whole text, at a position that stays. */
+/**
+ * Returns a violation for each accepted job that was lost or did not end, for each item with a duplicate, incomplete or
+ * moved result or abandoned too early, and for each item that ran after the cancellation of its job.
+ */
 export function checkJobs(record: SoakRecord): Violation[] {
     return record.jobs
         .filter(job => job.acceptedAtMs !== undefined)
--- a/fuzz/soak/src/checkRecovery.ts
+++ b/fuzz/soak/src/checkRecovery.ts
@@ -2,11 +2,11 @@
 import type { Violation } from "./violation.js";
 
 const RECOVERY_MS = 12_000;
-/** Fewer calls say nothing. */
+/** With fewer calls the share is not significant. */
 const MIN_CALLS = 20;
 const MIN_SERVED_SHARE = 0.25;
 
-/** Once all trouble is over, callers are served again. */
+/** Returns a violation if too few calls are served once all faults have been over for `RECOVERY_MS`. */
 export function checkRecovery(record: SoakRecord): Violation[] {
     const { healedAtMs } = record;
     if (healedAtMs === undefined) {
--- a/fuzz/soak/src/checkResponses.ts
+++ b/fuzz/soak/src/checkResponses.ts
@@ -5,7 +5,10 @@
 
 const isSuccess = (call: CallRecord) => call.statusCode >= 200 && call.statusCode < 300;
 
-/** An answer belongs to its request: whole where it looks whole, and in order as far as it came. */
+/**
+ * Returns a violation for each successful response that does not belong to its request. A complete response needs the
+ * exact body and the proof of an upstream. An incomplete one needs a prefix of the body, with its events in order.
+ */
 export function checkResponses(record: SoakRecord): Violation[] {
     return record.calls.filter(call => isSuccess(call) && call.endedAtMs !== undefined).flatMap(call => {
         const expected = expectedResponseBody(call);
--- a/fuzz/soak/src/checkRuns.ts
+++ b/fuzz/soak/src/checkRuns.ts
@@ -4,10 +4,13 @@
 import type { Violation } from "./violation.js";
 
 const RUN_ONCE_KINDS: CallKind[] = ["once", "stream-once"];
-/** Answers that say that a request has not run and never will. */
+/** Status codes that state that a request has not run and never will. */
 const NOT_RUN_STATUSES = [408, 421, 429, 503];
 
-/** What upstreams run is what callers asked for, no more often than it may, and not what was said not to run. */
+/**
+ * Returns a violation for each request that upstreams ran changed, at the wrong service, more often than its kind
+ * allows, or although its caller had been told that it does not run.
+ */
 export function checkRuns(record: SoakRecord): Violation[] {
     const runsById = groupBy(record.runs, run => run.callId);
     const calls = new Map(record.calls.map(call => [call.id, call]));
--- a/fuzz/soak/src/checkStops.ts
+++ b/fuzz/soak/src/checkStops.ts
@@ -2,11 +2,15 @@
 import type { SoakRecord } from "./soakRecord.js";
 import type { Violation } from "./violation.js";
 
+/** An unplanned fault excuses violations until this long after its end. */
 const FAULT_SLACK_MS = 3000;
-/** Requests that are sent later after the signal may meet the end of the process's grace. */
+/** Requests sent later than this after the signal may still be running when the process's grace period ends. */
 const SENT_WITHIN_MS = 3000;
 
-/** A planned stop cuts off no request that was passed on, and no process ends by itself. */
+/**
+ * Returns a violation for each forwarded request that a planned stop cut off, and for each process that exited
+ * without being told to.
+ */
 export function checkStops(record: SoakRecord): Violation[] {
     const exits = record.exits.map(exit => ({
         promise: "no-exit-of-its-own",
--- a/fuzz/soak/src/drainRecord.ts
+++ b/fuzz/soak/src/drainRecord.ts
@@ -1,4 +1,4 @@
-/** An upstream that leaves, and when the key-value service had that. */
+/** An upstream that drains, and when the key-value service acknowledged this. */
 export interface DrainRecord {
     upstreamId: string;
     ackedAtMs: number;
--- a/fuzz/soak/src/exitRecord.ts
+++ b/fuzz/soak/src/exitRecord.ts
@@ -1,4 +1,4 @@
-/** The end of a process that nobody had asked for. */
+/** An exit of a process that the soak did not request. */
 export interface ExitRecord {
     process: string;
     atMs: number;
--- a/fuzz/soak/src/expectedResponseBody.ts
+++ b/fuzz/soak/src/expectedResponseBody.ts
@@ -1,7 +1,7 @@
 import type { CallKind } from "./callKind.js";
 import { expectedEvents } from "./expectedEvents.js";
 
-/** The whole body of the one right answer to a call. */
+/** Returns the complete body of the only correct response to a call. */
 export function expectedResponseBody(call: { kind: CallKind; body: string; }): string {
     const events = expectedEvents(call.body);
     return call.kind === "stream" || call.kind === "stream-once"
--- a/fuzz/soak/src/faultInjector.ts
+++ b/fuzz/soak/src/faultInjector.ts
@@ -11,14 +11,14 @@
 const STORE_DELAY_MS = 250;
 const LINK_DELAY_MS = 150;
 const LOST_RESPONSES = 5;
-/** Time after which the entry of an upstream that crashed goes. */
+/** Time after which the entry of a crashed upstream is removed from the key-value service. */
 const ENTRY_EXPIRY_MS = 3600;
-/** Time for which an upstream goes on after it announced that it leaves. */
+/** Time for which an upstream keeps serving after it announced that it drains. */
 const DRAIN_MS = 3200;
-/** Time that a process needs to be at work again after its start. */
+/** Time that a process needs after its start until it works again. */
 const PROCESS_START_MS = 1500;
 
-/** Makes the planned trouble, and notes when it lasted. */
+/** Injects planned faults and records when each began and ended. */
 export class FaultInjector {
     private readonly fleet: SoakFleet;
     private readonly record: SoakRecord;
@@ -32,14 +32,14 @@
         this.nowMs = opts.nowMs;
     }
 
-    /** Begins the trouble; what is in trouble already is left alone. */
+    /** Starts a fault and does not wait for its end. Skips a target that already has an active fault. */
     inject(fault: PlannedFault): void {
         const done = this.execute(fault);
         this.pending.add(done);
         void done.finally(() => this.pending.delete(done));
     }
 
-    /** Resolves when all trouble is over. */
+    /** Resolves when all injected faults are over. */
     async waitForPending(): Promise<void> {
         await Promise.all(this.pending);
     }
--- a/fuzz/soak/src/faultKind.ts
+++ b/fuzz/soak/src/faultKind.ts
@@ -1,4 +1,4 @@
 import type { faultKinds } from "./faultKinds.js";
 
-/** A kind of trouble. */
+/** A kind of fault. */
 export type FaultKind = typeof faultKinds[number];
--- a/fuzz/soak/src/faultKinds.ts
+++ b/fuzz/soak/src/faultKinds.ts
@@ -1,6 +1,6 @@
 /**
- * The kinds of trouble: signals to processes, harm to disks, to the key-value service, to links and to upstreams, and the
- * planned work `stop`, `reload` and `drain`.
+ * The kinds of fault: signals to processes, faults of disks, of the key-value service, of links and of upstreams, and
+ * the planned operations `stop`, `reload` and `drain`. The order decides which kinds a seed draws.
  */
 export const faultKinds = [
     "kill-gateway",
--- a/fuzz/soak/src/faultRecord.ts
+++ b/fuzz/soak/src/faultRecord.ts
@@ -1,10 +1,10 @@
-/** Trouble that was made, with its time. */
+/** An injected fault, with the times of its start and end. */
 export interface FaultRecord {
     kind: string;
     target: string;
     fromMs: number;
-    /** Infinity while it lasts. */
+    /** Infinity while the fault lasts. */
     toMs: number;
-    /** Work that is announced, such as SIGTERM: it may cut nothing off. */
+    /** Whether it is a planned operation such as SIGTERM, which must not cut off any request. */
     isPlanned: boolean;
 }
--- a/fuzz/soak/src/groupBy.ts
+++ b/fuzz/soak/src/groupBy.ts
@@ -1,4 +1,4 @@
-/** Groups values by a key, each group in the order of the values. */
+/** Groups values by key. Each group keeps the order of the values. */
 export function groupBy<Value, Key>(values: readonly Value[], keyOf: (value: Value) => Key): Map<Key, Value[]> {
     const groups = new Map<Key, Value[]>();
     values.forEach(value => {
--- a/fuzz/soak/src/jobItemRecord.ts
+++ b/fuzz/soak/src/jobItemRecord.ts
@@ -1,4 +1,4 @@
-/** An item of a job as its caller made it. */
+/** An item of a batch job as its caller submitted it. */
 export interface JobItemRecord {
     id: string;
     body: string;
--- a/fuzz/soak/src/jobRecord.ts
+++ b/fuzz/soak/src/jobRecord.ts
@@ -5,14 +5,14 @@
 export interface JobRecord {
     id: string;
     items: JobItemRecord[];
-    /** Status codes of the attempts to submit it; 0 where there was no answer. */
+    /** Status codes of the attempts to submit the job; 0 if there was no response. */
     attemptStatuses: number[];
     acceptedAtMs: number | undefined;
     cancelledAtMs: number | undefined;
-    /** Results by position. */
+    /** Results in the order of their positions. */
     results: JobResult[];
-    /** What a later read said otherwise than an earlier one. */
+    /** Descriptions of each difference between a later read and an earlier one. */
     contradictions: string[];
-    /** When an answer of 404 came although the job was accepted long before. */
+    /** Times of reads that did not find the accepted job (status 404 or 410), as may happen just after acceptance. */
     missedAtMs: number[];
 }
--- a/fuzz/soak/src/jobResult.ts
+++ b/fuzz/soak/src/jobResult.ts
@@ -1,4 +1,4 @@
-/** A result of an item as a caller read it. */
+/** The result of an item as a caller read it. */
 export interface JobResult {
     itemId: string;
     state: string;
--- a/fuzz/soak/src/main.ts
+++ b/fuzz/soak/src/main.ts
@@ -11,7 +11,7 @@
 const { values } = parseArgs({
     options: {
         seed: { type: "string", default: "1" },
-        /** Number of seeds, one after the other. */
+        /** Number of consecutive seeds, run one after the other. */
         seeds: { type: "string", default: "1" },
         processes: { type: "string", default: DEFAULT_PROCESSES },
         minutes: { type: "string", default: DEFAULT_MINUTES },
--- a/fuzz/soak/src/oracle.ts
+++ b/fuzz/soak/src/oracle.ts
@@ -8,7 +8,7 @@
 import type { SoakRecord } from "./soakRecord.js";
 import type { Violation } from "./violation.js";
 
-/** All promises that what was seen breaks, shape [violations]. */
+/** Returns all violations of the promises that a record shows, shape [violations]. */
 export function oracle(record: SoakRecord): Violation[] {
     return [
         checkResponses,
--- a/fuzz/soak/src/pause.ts
+++ b/fuzz/soak/src/pause.ts
@@ -1,4 +1,4 @@
-/** Resolves after a span of real time. */
+/** Resolves after `durationMs` milliseconds of real time. */
 export function pause(durationMs: number): Promise<void> {
     return new Promise(resolve => setTimeout(resolve, durationMs));
 }
--- a/fuzz/soak/src/planFaults.ts
+++ b/fuzz/soak/src/planFaults.ts
@@ -3,19 +3,22 @@
 import { faultKinds } from "./faultKinds.js";
 import type { PlannedFault } from "./plannedFault.js";
 
-/** Kinds that lose a disk, or a part of it. */
+/** Kinds that lose the data of a disk or a part of it. */
 const DISK_KINDS: FaultKind[] = ["wipe-disk", "tear-file"];
-/** Time after which the loss of one disk may be followed by that of another. */
+/** Least time between the losses of two disks. */
 const DISK_GAP_MS = 14_000;
 const MIN_GAP_MS = 300;
 const MAX_GAP_MS = 2500;
 const MIN_DURATION_MS = 300;
 const MAX_DURATION_MS = 4500;
-/** One in so many gaps is long enough for the checks that need calm. */
+/** One gap in this many is long, for checks that need a span without faults. */
 const LONG_GAP_ONE_IN = 8;
 const LONG_GAP_MS = 7000;
 
-/** Draws trouble for a span, mostly overlapping; as many disks are lost at a time as the settings allow. */
+/**
+ * Draws faults at random between `fromMs` and `toMs`; most of them overlap. Losses of disks are spaced so that no more
+ * disks are lost at a time than the settings tolerate. The same seed gives the same faults.
+ */
 export function planFaults(random: Random, opts: { fromMs: number; toMs: number; }): PlannedFault[] {
     const faults: PlannedFault[] = [];
     let diskLostAtMs = -Infinity;
--- a/fuzz/soak/src/plannedFault.ts
+++ b/fuzz/soak/src/plannedFault.ts
@@ -1,10 +1,10 @@
 import type { FaultKind } from "./faultKind.js";
 
-/** Trouble to make at a time. */
+/** A fault to inject at a given time. */
 export interface PlannedFault {
     kind: FaultKind;
     atMs: number;
     durationMs: number;
-    /** In [0, 1): picks what it strikes. */
+    /** In [0, 1): selects the target by its place among the candidates. */
     targetFraction: number;
 }
--- a/fuzz/soak/src/runRecord.ts
+++ b/fuzz/soak/src/runRecord.ts
@@ -1,8 +1,8 @@
 import type { UpstreamMode } from "./upstreamMode.js";
 
-/** A request that an upstream began to work on. */
+/** A request that an upstream started to run. */
 export interface RunRecord {
-    /** Id of the call or of the batch item. */
+    /** Id of the call or the batch item. */
     callId: string;
     upstreamId: string;
     service: string;
@@ -11,6 +11,6 @@
     body: string;
     atMs: number;
     lastEventId: number;
-    /** How the upstream spoiled it on purpose; undefined where it did not. */
+    /** The mode in which the upstream failed the request on purpose; undefined if it did not. */
     faultMode: UpstreamMode | undefined;
 }
--- a/fuzz/soak/src/runSoak.ts
+++ b/fuzz/soak/src/runSoak.ts
@@ -20,16 +20,19 @@
 const CHECK_INTERVAL_MS = 1000;
 const START_DELAY_MS = 3000;
 const WARM_UP_MS = 2000;
-/** Time for recovery and a look at it. */
+/** Time for the fleet to recover and for calls that check the recovery. */
 const RECOVERY_MS = 16_000;
-/** Time in which all jobs end once nothing stands in their way. */
+/** Time in which all jobs end once there are no more faults and no new jobs. */
 const FINISH_MS = 18_000;
 const SUBNETS = 200;
 const FIRST_SUBNET = 20;
-/** Small seeds of the generator begin alike. */
+/** Spaces the seeds apart, because the generator starts with similar values for small seeds. */
 const SEED_FACTOR = 7919;
 
-/** Runs the real programs through drawn trouble and checks the promises while it lasts. */
+/**
+ * Runs the real programs under randomly drawn faults and checks the promises meanwhile. Ends early at the first
+ * violation.
+ */
 export async function runSoak(opts: SoakOptions): Promise<SoakReport> {
     const clock = new SystemClock();
     const nowMs = () => clock.nowMs();
@@ -91,7 +94,7 @@
     return job.acceptedAtMs === undefined || job.cancelledAtMs !== undefined || job.results.length === job.items.length;
 }
 
-/** Resolves when the condition holds, or after `maxMs`. */
+/** Resolves when the condition holds, at the latest after `maxMs`. */
 async function waitUntil(condition: () => boolean, maxMs: number): Promise<void> {
     for (let leftMs = maxMs; leftMs > 0 && !condition(); leftMs -= CHECK_INTERVAL_MS) {
         await pause(Math.min(leftMs, CHECK_INTERVAL_MS));
--- a/fuzz/soak/src/soakBalancer.ts
+++ b/fuzz/soak/src/soakBalancer.ts
@@ -8,7 +8,7 @@
 const MISSES_UNTIL_UNREADY = 2;
 const HTTP_OK = 200;
 
-/** Gives new connections to the gateways that say that they are ready; open ones stay where they are. */
+/** A load balancer: assigns new connections to gateways that report readiness. Open connections are not moved. */
 export class SoakBalancer {
     private readonly gateways: SoakGateway[];
     private readonly random: Random;
@@ -21,10 +21,10 @@
         this.timer = setInterval(() => this.gateways.forEach(gateway => this.check(gateway)), CHECK_INTERVAL_MS);
     }
 
-    /** A gateway for a new connection. */
+    /** Returns a random gateway for a new connection. */
     pick(): SoakGateway {
         const ready = this.gateways.filter(gateway => (this.misses.get(gateway) ?? 0) < MISSES_UNTIL_UNREADY);
-        // With too few left the balancer uses all.
+        // With fewer than half of the gateways ready, the balancer uses all of them.
         const candidates = ready.length * 2 < this.gateways.length ? this.gateways : ready;
         return candidates[this.random.nextInteger(candidates.length)]!;
     }
--- a/fuzz/soak/src/soakCaller.ts
+++ b/fuzz/soak/src/soakCaller.ts
@@ -19,7 +19,7 @@
 };
 const KINDS = Object.keys(PATHS) as (keyof typeof PATHS)[];
 
-/** A caller that sends one request after the other, on its open connection as long as it lasts. */
+/** A caller that sends one request at a time. It reuses its connection until the gateway closes it. */
 export class SoakCaller {
     private readonly opts: {
         name: string;
@@ -50,7 +50,7 @@
         this.connection?.close();
     }
 
-    /** Asks each gateway for the route that only the newest, or the last but one, configuration has. */
+    /** Requests, from random gateways, routes that exist only in the newest configuration or the one before it. */
     async probe(gateways: SoakGateway[], signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
             await pause(MAX_PAUSE_MS);
--- a/fuzz/soak/src/soakFleet.ts
+++ b/fuzz/soak/src/soakFleet.ts
@@ -27,7 +27,7 @@
 const RESULT_RETENTION_MS = 120_000;
 const MIN_LEASE_MS = 1000;
 
-/** A process with the relay that stands between it and the key-value service. */
+/** A process with the relay between it and the key-value service. */
 interface FleetMember {
     process: SoakProcess;
     storeRelay: TcpRelay;
@@ -36,7 +36,7 @@
 interface SoakFleetOptions {
     root: string;
     folder: string;
-    /** Second number of the loopback addresses, so that fleets can run beside each other. */
+    /** Second byte of the loopback addresses, so that several fleets can run at the same time. */
     subnet: number;
     processes: number;
     record: SoakRecord;
@@ -44,7 +44,7 @@
     nowMs: () => number;
 }
 
-/** The processes of one soak, with the key-value service and the upstreams around them. */
+/** The processes of one soak, with the key-value service and the upstreams that they use. */
 export class SoakFleet {
     readonly keyValueService = new MemoryKeyValueService({ clock: new SystemClock() });
     readonly store = new PlatformStoreServer(this.keyValueService);
@@ -64,7 +64,7 @@
         return [...this.gateways, ...this.runners];
     }
 
-    /** Gateways as callers see them. */
+    /** The gateways as callers see them. */
     get gatewayAddresses(): SoakGateway[] {
         return this.gateways.map(({ process }) => ({
             name: process.name,
@@ -95,7 +95,7 @@
         this.members.forEach(({ process }) => process.start());
     }
 
-    /** Starts an upstream and announces it. */
+    /** Starts an upstream and announces it in the key-value service. */
     async createUpstream(service: string): Promise<SoakUpstream> {
         const number = this.upstreamCount++;
         const upstream = new SoakUpstream(`u-${number}`, {
@@ -108,7 +108,7 @@
         return upstream;
     }
 
-    /** Starts what is not running, and ends all faults. */
+    /** Ends all faults and starts the processes that are not running. */
     heal(): void {
         this.store.mode = "normal";
         this.store.delayMs = 0;
--- a/fuzz/soak/src/soakGateway.ts
+++ b/fuzz/soak/src/soakGateway.ts
@@ -4,6 +4,6 @@
     host: string;
     callersPort: number;
     readinessPort: number;
-    /** Counts the starts of its process. */
+    /** Returns the number of times that its process has been started. */
     startNumber: () => number;
 }
--- a/fuzz/soak/src/soakJobClient.ts
+++ b/fuzz/soak/src/soakJobClient.ts
@@ -23,7 +23,7 @@
 const HTTP_OK = 200;
 const NOT_FOUND_STATUSES = [404, 410];
 
-/** Submits jobs, reads their results and cancels some. */
+/** A caller that submits batch jobs, reads their results and cancels some of the jobs. */
 export class SoakJobClient {
     private readonly opts: {
         name: string;
@@ -41,7 +41,7 @@
         this.opts = opts;
     }
 
-    /** Submits a job each `intervalMs` until `signal` is aborted. */
+    /** Submits a job every `intervalMs` on average until `signal` is aborted. */
     async run(intervalMs: number, signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
             void this.submitAndPoll(this.createJob());
@@ -49,12 +49,12 @@
         }
     }
 
-    /** Reads no more. */
+    /** Stops polling for results. */
     stop(): void {
         this.isStopped = true;
     }
 
-    /** Reads all accepted jobs from their beginning, once more. */
+    /** Reads the results of all accepted jobs once more, from the first position. */
     async readAllResults(): Promise<void> {
         const accepted = this.opts.record.jobs.filter(job => job.acceptedAtMs !== undefined);
         await Promise.all(accepted.map(job => this.readResults(job, 0)));
@@ -114,7 +114,7 @@
         }
     }
 
-    /** Reads results from a position on; later answers have to say the same as earlier ones. */
+    /** Reads results from a position on. Differences from earlier reads are recorded as contradictions. */
     private async readResults(job: JobRecord, after: number): Promise<void> {
         const path = `${callerPaths.jobs}${job.id}?after=${after}`;
         const response = await this.call("GET", path, `${job.id}-read-${after}`, "");
--- a/fuzz/soak/src/soakOperator.ts
+++ b/fuzz/soak/src/soakOperator.ts
@@ -16,7 +16,7 @@
 const JOB_RETENTION_MS = 600_000;
 const MAX_CONNECTIONS = 200;
 
-/** Writes configurations and the entries of upstreams, as the operators and the upstreams do. */
+/** Writes configurations and upstream entries to the key-value service, as operators and upstreams do. */
 export class SoakOperator {
     private readonly keyValueService: MemoryKeyValueService;
     private readonly record: SoakRecord;
@@ -29,12 +29,12 @@
         this.nowMs = opts.nowMs;
     }
 
-    /** The newest version written. */
+    /** The newest configuration version whose write has begun. */
     get newestVersion(): number {
         return this.version;
     }
 
-    /** Puts the next configuration in force: its only change is the route that names its version. */
+    /** Writes the next configuration. It differs only in the route that is named after its version. */
     async writeNextConfiguration(): Promise<void> {
         this.version += 1;
         const { version } = this;
--- a/fuzz/soak/src/soakOptions.ts
+++ b/fuzz/soak/src/soakOptions.ts
@@ -1,12 +1,12 @@
-/** How one soak is run. */
+/** Options of one soak. */
 export interface SoakOptions {
-    /** Folder of the repository, with the bundled programs under it. */
+    /** Folder of the repository, which contains the bundled programs. */
     root: string;
-    /** Folder for settings, data and logs; the logs stay. */
+    /** Folder for settings, data and logs. The logs are kept after the run. */
     folder: string;
     seed: number;
-    /** Processes of the fleet. */
+    /** Number of processes of the fleet. */
     processes: number;
-    /** How long trouble is made. */
+    /** Duration of the fault phase. */
     faultMs: number;
 }
--- a/fuzz/soak/src/soakProcess.ts
+++ b/fuzz/soak/src/soakProcess.ts
@@ -6,7 +6,7 @@
 import path from "node:path";
 import type { SoakRecord } from "./soakRecord.js";
 
-/** The most that the programs may use, as their deploy file says. */
+/** Heap limit of the programs, as in their deploy file. */
 const HEAP_FLAG = "--max-old-space-size=200";
 const KILL_AFTER_GRACE_MS = 400;
 
@@ -20,10 +20,13 @@
     nowMs: () => number;
 }
 
-/** One real process of the fleet, started and ended by signals; its output goes to a file. */
+/**
+ * A real gateway or runner process, ended by signals. Its output is appended to a file. An exit that was not requested
+ * is recorded, and the process is started again.
+ */
 export class SoakProcess {
     readonly settings: ProcessSettings;
-    /** Counts the starts so far. */
+    /** Number of starts so far. */
     startNumber = 0;
     private readonly opts: SoakProcessOptions;
     private child: ChildProcess | undefined;
@@ -67,19 +70,19 @@
         this.child?.kill(name);
     }
 
-    /** Ends the process without a word, and waits until it is gone. */
+    /** Kills the process without warning and resolves when it has exited. */
     async kill(): Promise<void> {
         await this.terminate("SIGKILL");
     }
 
-    /** Stops the process in order; after its grace it is killed. */
+    /** Stops the process gracefully and resolves when it has exited. Kills it after its grace period. */
     async stop(): Promise<void> {
         const timer = setTimeout(() => this.child?.kill("SIGKILL"), this.settings.stopGraceMs + KILL_AFTER_GRACE_MS);
         await this.terminate("SIGTERM");
         clearTimeout(timer);
     }
 
-    /** Empties the disk of a process that is not running. */
+    /** Deletes the data folder's content. The process must not be running. */
     wipeDisk(): void {
         const folder = this.settings.dataFolder;
         if (folder !== undefined) {
@@ -88,7 +91,7 @@
         }
     }
 
-    /** Cuts the newest file on the disk in half, as a power loss may. */
+    /** Truncates the newest file in the data folder to half its size, as a power loss may do. */
     tearNewestFile(): void {
         const folder = this.settings.dataFolder;
         const files = folder === undefined ? [] : readdirSync(folder, { recursive: true, withFileTypes: true })
--- a/fuzz/soak/src/soakRecord.ts
+++ b/fuzz/soak/src/soakRecord.ts
@@ -6,7 +6,7 @@
 import type { RunRecord } from "./runRecord.js";
 import type { VersionRecord } from "./versionRecord.js";
 
-/** All that callers, upstreams and operators saw; the oracle knows nothing else. */
+/** Everything that callers, upstreams and operators observed during a soak. It is the only input of the oracle. */
 export class SoakRecord {
     readonly calls: CallRecord[] = [];
     readonly runs: RunRecord[] = [];
@@ -15,14 +15,17 @@
     readonly versions: VersionRecord[] = [];
     readonly drains: DrainRecord[] = [];
     readonly exits: ExitRecord[] = [];
-    /** Services to which a configuration has ever sent requests of a path prefix. */
+    /** The service to which any configuration so far routes each path prefix. */
     readonly servicesOfPrefix = new Map<string, string>();
-    /** When all faults were over; undefined before. */
+    /** Time at which all faults were over; undefined until then. */
     healedAtMs: number | undefined;
-    /** When the jobs had had their time to end; undefined before. */
+    /** Time at which the jobs had had enough time to end; undefined until then. */
     endedAtMs: number | undefined;
 
-    /** Whether no trouble was made within a span, nor shortly before it. */
+    /**
+     * Returns whether no fault was active between `fromMs` and `toMs` or in the `slackMs` before. `ignoresPlanned`
+     * leaves out planned operations.
+     */
     isFaultFree(fromMs: number, toMs: number, opts: { slackMs: number; ignoresPlanned?: boolean; }): boolean {
         return !this.faults.some(fault =>
             fault.fromMs <= toMs && fault.toMs >= fromMs - opts.slackMs && !(opts.ignoresPlanned && fault.isPlanned)
--- a/fuzz/soak/src/soakReport.ts
+++ b/fuzz/soak/src/soakReport.ts
@@ -1,15 +1,15 @@
 import type { Violation } from "./violation.js";
 
-/** What one soak has shown. */
+/** The outcome of one soak. */
 export interface SoakReport {
     seed: number;
     violations: Violation[];
-    /** The trouble that was made, with its time and target. */
+    /** The injected faults, each as `TIME_MS KIND TARGET`. */
     faults: string[];
     calls: number;
     served: number;
-    /** Accepted jobs. */
+    /** Number of accepted jobs. */
     jobs: number;
-    /** Items with a result that a caller has read. */
+    /** Number of items whose result a caller has read. */
     items: number;
 }
--- a/fuzz/soak/src/soakUpstream.ts
+++ b/fuzz/soak/src/soakUpstream.ts
@@ -19,11 +19,14 @@
 const RESPONSE_DELAY_MS = 15;
 const SLOW_FACTOR = 5;
 const SLOTS = 8;
-/** Requests that wait for a slot beside those that run. */
+/** Maximum number of requests that wait for a slot, in addition to those that run. */
 const MAX_QUEUED = 8;
 const MISBEHAVING_SHARE = 0.4;
 
-/** An upstream that runs what it gets, notes it, and misbehaves on request. Reached through a relay. */
+/**
+ * A stand-in for an upstream, reached through a relay. It records each request that it runs, and is slow or fails as
+ * its mode says.
+ */
 export class SoakUpstream {
     readonly id: UpstreamId;
     mode: UpstreamMode = "healthy";
@@ -41,7 +44,7 @@
         this.server.keepAliveTimeout = 0;
     }
 
-    /** What it announces of itself. */
+    /** The entry that the upstream announces in the key-value service. */
     get announcement(): Upstream {
         return this.upstream;
     }
@@ -64,7 +67,7 @@
         this.upstream = { ...this.upstream, state: "draining" };
     }
 
-    /** Ends at once, cutting off what runs. */
+    /** Closes at once and cuts off the running requests. */
     close(): void {
         this.relay.close();
         this.server.close();
@@ -124,7 +127,7 @@
         }
     }
 
-    /** @returns whether the answer is done with */
+    /** Fails the request as the mode says. @returns whether the response is finished */
     private async misbehave(response: ServerResponse, events: string[]): Promise<boolean> {
         switch (this.mode) {
             case "errors":
--- a/fuzz/soak/src/violation.ts
+++ b/fuzz/soak/src/violation.ts
@@ -1,4 +1,4 @@
-/** A promise that was broken, with what shows it. */
+/** A broken promise, with the evidence. */
 export interface Violation {
     promise: string;
     detail: string;
--- a/fuzz/soak/test/brokenGateway.ts
+++ b/fuzz/soak/test/brokenGateway.ts
@@ -11,7 +11,7 @@
 import { ANSWER_SERVICE, MODEL_SERVICE } from "../src/soakNames.js";
 import type { SoakUpstream } from "../src/soakUpstream.js";
 
-/** What the gateway does wrong; `nothing` serves as it should. */
+/** The fault of the gateway; with `nothing` it serves correctly. */
 export type Breakage =
     | "nothing"
     | "swaps-answers"
@@ -47,10 +47,10 @@
 const PROBE = /^\/only-(\d+)\//u;
 const HTTP_UNAVAILABLE = 503;
 const RETRY_DELAY_MS = 20;
-/** Later than a cancelled job may still begin to run. */
+/** Longer than the items of a cancelled job may still start to run. */
 const LATE_RUN_MS = 4200;
 
-/** A simple gateway in this process that breaks one promise on purpose. */
+/** A simple in-process gateway that breaks one promise on purpose. */
 export class BrokenGateway {
     version = 1;
     isStopping = false;
@@ -112,7 +112,7 @@
         await this.forward(request, response, body);
     }
 
-    /** Whether a probe's route is there. */
+    /** Returns whether the route of a URL exists. Only routes of probes may be missing. */
     private isActiveRoute(url: string): boolean {
         const version = PROBE.exec(url)?.[1];
         this.requestCount += 1;
@@ -198,7 +198,7 @@
         }));
     }
 
-    /** Runs an item again while upstreams are full. */
+    /** Runs an item, again as long as upstreams are full. */
     private async runItem(item: WireItem): Promise<string> {
         const call = { ...item, body: Buffer.from(item.body, "base64").toString("utf8") };
         let response = await this.run(call);
--- a/fuzz/soak/test/oracle.test.ts
+++ b/fuzz/soak/test/oracle.test.ts
@@ -17,12 +17,12 @@
 const READINESS_PORT = 8140;
 const BEFORE_CHANGES_MS = 500;
 const AFTER_CHANGES_MS = 4500;
-/** Time for the last jobs to end. */
+/** Time in which the last jobs end. */
 const LAST_JOBS_MS = 2500;
 const FIRST_SUBNET = 221;
 const RECOVERED_LONG_AGO_MS = 20_000;
 
-/** Lets callers, jobs and probes run against a gateway that breaks one promise. @returns the promises found broken */
+/** Runs callers, jobs and probes against a gateway with one breakage. @returns the promises found broken */
 async function findBrokenPromises(breakage: Breakage, subnet: number): Promise<string[]> {
     const clock = new SystemClock();
     const nowMs = () => clock.nowMs();
