--- a/fuzz/soak/src/checkRecovery.ts
+++ b/fuzz/soak/src/checkRecovery.ts
@@ -1,19 +1,19 @@
 import type { SoakRecord } from "./soakRecord.js";
 import type { Violation } from "./violation.js";
 
-const RECOVER_MS = 12_000;
-/** Fewer calls say nothing. */
+const RECOVERY_MS = 12_000;
+/** With fewer calls the share is not significant. */
 const MIN_CALLS = 20;
 const MIN_SERVED_SHARE = 0.25;
 
-/** Once all trouble is over, callers are served again. */
+/** Returns a violation if too few calls are served once all faults have been over for `RECOVERY_MS`. */
 export function checkRecovery(record: SoakRecord): Violation[] {
     const { healedAtMs } = record;
     if (healedAtMs === undefined) {
         return [];
     }
     const calls = record.calls.filter(call =>
-        call.kind !== "probe" && call.endedAtMs !== undefined && call.sentAtMs > healedAtMs + RECOVER_MS
+        call.kind !== "probe" && call.endedAtMs !== undefined && call.sentAtMs > healedAtMs + RECOVERY_MS
     );
     const served = calls.filter(call => call.statusCode === 200 && call.isComplete);
     return calls.length < MIN_CALLS || served.length >= calls.length * MIN_SERVED_SHARE
--- a/fuzz/soak/src/main.ts
+++ b/fuzz/soak/src/main.ts
@@ -11,7 +11,7 @@
 const { values } = parseArgs({
     options: {
         seed: { type: "string", default: "1" },
-        /** Number of seeds, one after the other. */
+        /** Number of consecutive seeds, run one after the other. */
         seeds: { type: "string", default: "1" },
         processes: { type: "string", default: DEFAULT_PROCESSES },
         minutes: { type: "string", default: DEFAULT_MINUTES },
@@ -29,8 +29,8 @@
         faultMs: Number(values.minutes) * MS_PER_MINUTE,
     });
     const { violations, faults, ...figures } = report;
-    const head = { ...figures, faults: faults.length, violations: violations.length };
-    process.stdout.write(`${JSON.stringify(head)}\n`);
+    const summary = { ...figures, faults: faults.length, violations: violations.length };
+    process.stdout.write(`${JSON.stringify(summary)}\n`);
     if (violations.length > 0) {
         const details = violations.slice(0, 10).map(({ promise, detail }) => `  ${promise}: ${detail}`);
         process.stdout.write(`${[...details, ...faults.map(line => `  ${line}`), `  logs in ${folder}`].join("\n")}\n`);
--- a/fuzz/soak/src/soakCaller.ts
+++ b/fuzz/soak/src/soakCaller.ts
@@ -19,7 +19,7 @@
 };
 const KINDS = Object.keys(PATHS) as (keyof typeof PATHS)[];
 
-/** A caller that sends one request after the other, on its open connection as long as it lasts. */
+/** A caller that sends one request at a time. It reuses its connection until the gateway closes it. */
 export class SoakCaller {
     private readonly opts: {
         name: string;
@@ -50,7 +50,7 @@
         this.connection?.close();
     }
 
-    /** Asks each gateway for the route that only the newest, or the last but one, configuration has. */
+    /** Requests, from random gateways, routes that exist only in the newest configuration or the one before it. */
     async probe(gateways: SoakGateway[], signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
             await pause(MAX_PAUSE_MS);
@@ -79,16 +79,16 @@
             endedAtMs: undefined,
             statusCode: 0,
             isComplete: false,
-            answer: "",
+            responseBody: "",
             hasProof: false,
             version: opts.version,
         };
         this.opts.record.calls.push(call);
-        const answer = await connection.send({ ...call, method: "POST", timeoutMs: TIMEOUT_MS });
-        call.statusCode = answer.statusCode;
-        call.isComplete = answer.isComplete;
-        call.answer = answer.body;
-        call.hasProof = answer.hasProof;
+        const response = await connection.send({ ...call, method: "POST", timeoutMs: TIMEOUT_MS });
+        call.statusCode = response.statusCode;
+        call.isComplete = response.isComplete;
+        call.responseBody = response.body;
+        call.hasProof = response.hasProof;
         call.endedAtMs = this.opts.nowMs();
         return call;
     }
