--- a/daemons/entry/src/createDispatcher.ts
+++ b/daemons/entry/src/createDispatcher.ts
@@ -7,14 +7,14 @@
 import type { EntryComponents } from "./entryComponents.js";
 import { LINKED_SUBSET_SIZE } from "./linkedSubset.js";
 import { ServiceChoosers } from "./serviceChoosers.js";
-import type { UpstreamDirectory } from "./upstreamDirectory.js";
+import type { SideDirectory } from "./sideDirectory.js";
 
 const MAX_ATTEMPTS = 4;
 /** Limits a burst of retries, such as after the loss of a side with many calls in progress. */
 const MAX_RETRY_BALANCE = 64;
 
 /** Creates the dispatcher of an entry, with its upstream choosers and its retry policy. */
-export function createDispatcher(components: EntryComponents, directory: UpstreamDirectory): Dispatcher {
+export function createDispatcher(components: EntryComponents, directory: SideDirectory): Dispatcher {
     const { endpoint, random, clock, metrics, tracer } = components;
     const { instanceId, zone } = endpoint.identity;
     const retryBudget = new RetryBudget({ maxBalance: MAX_RETRY_BALANCE });
--- a/daemons/entry/src/createEntryHttpHandler.ts
+++ b/daemons/entry/src/createEntryHttpHandler.ts
@@ -10,15 +10,15 @@
 import { EntryHttpHandler } from "./entryHttpHandler.js";
 import { LinkedFleet } from "./linkedFleet.js";
 import type { SharedRoles } from "./sharedRoles.js";
+import type { SideDirectory } from "./sideDirectory.js";
 import type { TeamMeter } from "./teamMeter.js";
-import type { UpstreamDirectory } from "./upstreamDirectory.js";
 
 /** Creates the HTTP handler of an entry, which serves the callers' API and the operators' API. */
 export function createEntryHttpHandler(
     components: EntryComponents,
     opts: {
         segmentStore: SegmentStore;
-        directory: UpstreamDirectory;
+        directory: SideDirectory;
         publisher: ConfigurationPublisher;
         roles: SharedRoles;
         teamMeter: TeamMeter;
--- a/daemons/entry/src/dispatcher.ts
+++ b/daemons/entry/src/dispatcher.ts
@@ -29,13 +29,13 @@
 import { GenerationProgress } from "./generationProgress.js";
 import type { LinkedSide } from "./linkedSide.js";
 import type { ServiceChoosers } from "./serviceChoosers.js";
+import type { SideDirectory } from "./sideDirectory.js";
 import { toCandidate } from "./toCandidate.js";
-import type { UpstreamDirectory } from "./upstreamDirectory.js";
 
 const RETRY_AFTER_MS = 1000;
 
 interface DispatcherOptions {
-    directory: UpstreamDirectory;
+    directory: SideDirectory;
     choosers: ServiceChoosers;
     retryPolicy: RetryPolicy;
     retryBudget: RetryBudget;
--- a/daemons/entry/src/entryProcess.ts
+++ b/daemons/entry/src/entryProcess.ts
@@ -18,8 +18,8 @@
 import type { EntryProcessOptions } from "./entryProcessOptions.js";
 import { linkedSubset } from "./linkedSubset.js";
 import { SharedRoles } from "./sharedRoles.js";
+import { SideDirectory } from "./sideDirectory.js";
 import { TeamMeter } from "./teamMeter.js";
-import { UpstreamDirectory } from "./upstreamDirectory.js";
 
 /** Time for the load balancer to detect that the instance is leaving and to stop sending requests. */
 const LEAVE_PAUSE_MS = 500;
@@ -28,7 +28,7 @@
 export class EntryProcess {
     private readonly components: EntryComponents;
     private readonly publisher: ConfigurationPublisher;
-    private readonly directory: UpstreamDirectory;
+    private readonly directory: SideDirectory;
     private readonly teamMeter: TeamMeter;
     private readonly stopping = new AbortController();
     private roles: SharedRoles | undefined;
@@ -42,7 +42,7 @@
         const configuration = new DistributedConfiguration({ ...opts, identity, endpoint });
         this.components = { ...opts, endpoint, watcher, configuration };
         this.publisher = new ConfigurationPublisher({ ...opts, createChangeId: randomUUID });
-        this.directory = new UpstreamDirectory({
+        this.directory = new SideDirectory({
             ...this.components,
             selectSubset: records => linkedSubset(records, { entryId: identity.instanceId, zone: identity.zone }),
         });
--- a/daemons/entry/src/generationProgress.ts
+++ b/daemons/entry/src/generationProgress.ts
@@ -8,8 +8,8 @@
     private tokenCount = 0;
     private hasOnlyText = true;
 
-    constructor(remainingRequest: GenerateRequest) {
-        this.originalRequest = remainingRequest;
+    constructor(originalRequest: GenerateRequest) {
+        this.originalRequest = originalRequest;
     }
 
     /** Whether the generation can be resumed. It can't if a choice contained more than text. */
--- a/daemons/entry/src/linkedFleet.ts
+++ b/daemons/entry/src/linkedFleet.ts
@@ -4,11 +4,11 @@
 import type { LinkEndpoint } from "@knapweedwood/links.calls/linkEndpoint";
 import type { InstanceWatcher } from "@knapweedwood/routing.instance-watch/instanceWatcher";
 import type { LinkedSide } from "./linkedSide.js";
-import type { UpstreamDirectory } from "./upstreamDirectory.js";
+import type { SideDirectory } from "./sideDirectory.js";
 
 /** The fleet as seen by this entry, from the instance list and its links. */
 export class LinkedFleet implements FleetView {
-    private readonly opts: { watcher: InstanceWatcher; endpoint: LinkEndpoint; directory: UpstreamDirectory; };
+    private readonly opts: { watcher: InstanceWatcher; endpoint: LinkEndpoint; directory: SideDirectory; };
 
     constructor(opts: LinkedFleet["opts"]) {
         this.opts = opts;
--- a/daemons/entry/src/upstreamDirectory.ts
+++ b/daemons/entry/src/sideDirectory.ts
@@ -12,7 +12,7 @@
 const UNLISTED_LINK_RETENTION_MS = 10_000;
 
 /** Tracks the sides that this entry may call, from the instance list and from the status reports of the sides. */
-export class UpstreamDirectory {
+export class SideDirectory {
     private readonly opts: {
         endpoint: LinkEndpoint;
         clock: Clock;
@@ -23,7 +23,7 @@
     private readonly sides = new Map<InstanceId, LinkedSide>();
     private readonly lastListedAtMs = new Map<InstanceId, number>();
 
-    constructor(opts: UpstreamDirectory["opts"]) {
+    constructor(opts: SideDirectory["opts"]) {
         this.opts = opts;
         opts.endpoint.handleNotification(sideStatusNotification, status => this.applyStatus(status));
         opts.watcher.subscribe(records => this.applyInstanceList(records));
--- a/daemons/entry/test/upstreamDirectory.test.ts
+++ b/daemons/entry/test/sideDirectory.test.ts
@@ -10,7 +10,7 @@
 import type { InstanceWatcher } from "@knapweedwood/routing.instance-watch/instanceWatcher";
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { UpstreamDirectory } from "../src/upstreamDirectory.js";
+import { SideDirectory } from "../src/sideDirectory.js";
 
 const service = "plates" as ServiceName;
 const instanceId = "side-1" as InstanceId;
@@ -38,7 +38,7 @@
     revision: 1,
 };
 
-function directoryWith(link: { state: Link["state"]; }): UpstreamDirectory {
+function directoryWith(link: { state: Link["state"]; }): SideDirectory {
     let sendStatus: (status: SideStatus) => void = () => undefined;
     let sendList: (records: InstanceRecord[]) => void = () => undefined;
     const endpoint = {
@@ -52,7 +52,7 @@
             sendList = listener;
         },
     };
-    const directory = new UpstreamDirectory({
+    const directory = new SideDirectory({
         endpoint: endpoint as unknown as LinkEndpoint,
         watcher: watcher as unknown as InstanceWatcher,
         clock: new ManualClock(),
--- a/daemons/fleet/src/fleetProcess.ts
+++ b/daemons/fleet/src/fleetProcess.ts
@@ -23,7 +23,7 @@
 import { PeerFollower } from "./peerFollower.js";
 import { UpstreamFollower } from "./upstreamFollower.js";
 
-const MAX_SEED = 2 ** 31;
+const SEED_LIMIT = 2 ** 31;
 const HOUSEKEEPING_INTERVAL_MS = 100;
 const INITIALIZATION_POLL_MS = 5;
 /** Age of the last lease renewal from which on the key-value service counts as unreachable, in milliseconds. */
@@ -55,7 +55,7 @@
  */
 export class FleetProcess {
     readonly clock = new SystemClock();
-    readonly random = new SeededRandom(randomInt(MAX_SEED));
+    readonly random = new SeededRandom(randomInt(SEED_LIMIT));
     readonly metrics = new PrometheusMetrics();
     readonly connections = new UpstreamConnections();
     readonly loadTracker = new LoadTracker();
--- a/daemons/fleet/src/linkJobHolder.ts
+++ b/daemons/fleet/src/linkJobHolder.ts
@@ -12,7 +12,7 @@
 
 const CALL_TIMEOUT_MS = 1000;
 /** Time for which the leader may reject a job over the limit before other runners are called, in milliseconds. */
-const LEADER_HEAD_START_MS = 120;
+const LEADER_WAIT_MS = 120;
 
 interface LinkJobHolderOptions {
     endpoint: LinkEndpoint;
@@ -37,11 +37,11 @@
     async hold(request: HoldRequest): Promise<HoldOutcome> {
         const leader = this.opts.leader();
         const leaderOutcome = leader === undefined ? undefined : this.holdAt(leader, request);
-        const first = await Promise.race([leaderOutcome, sleep(this.opts.clock, LEADER_HEAD_START_MS)]);
+        const first = await Promise.race([leaderOutcome, sleep(this.opts.clock, LEADER_WAIT_MS)]);
         if (first === "over-limit") {
             return first;
         }
-        const others = this.opts.runners().filter(runner => !isSame(runner, leader));
+        const others = this.opts.runners().filter(runner => !isSameAddress(runner, leader));
         return this.combineOutcomes([
             ...leaderOutcome === undefined ? [] : [leaderOutcome],
             ...others.map(runner => this.holdAt(runner, request)),
@@ -87,6 +87,6 @@
     }
 }
 
-function isSame(left: HostPort, right: HostPort | undefined): boolean {
+function isSameAddress(left: HostPort, right: HostPort | undefined): boolean {
     return left.host === right?.host && left.port === right.port;
 }
