--- a/daemons/common/src/createLinkEndpoint.ts
+++ b/daemons/common/src/createLinkEndpoint.ts
@@ -20,7 +20,7 @@
  * certificate file or another file in its folder changes.
  *
  * Throws `LINK_PLAIN_REFUSED` if TLS is not configured and the host is not a loopback address, because links without
- * TLS must not leave the machine.
+ * TLS must not leave the machine. Throws the file system's error if a TLS file can't be read.
  */
 export function createLinkEndpoint(opts: {
     identity: PeerIdentity;
--- a/daemons/common/src/runDaemon.ts
+++ b/daemons/common/src/runDaemon.ts
@@ -2,7 +2,7 @@
 
 /**
  * Starts a process and stops it gracefully on SIGTERM or SIGINT. A second signal exits at once, with exit code 1.
- * Unhandled rejections are logged and don't end the process.
+ * Unhandled rejections are logged and don't end the process. Rejects if `start` rejects.
  */
 export async function runDaemon(opts: {
     start: () => Promise<unknown>;
