--- a/daemons/entry/src/configuredServices.ts
+++ b/daemons/entry/src/configuredServices.ts
@@ -4,7 +4,10 @@
 import type { ServiceDefinition } from "@knapweedwood/config.configuration/serviceDefinition";
 import type { TeamId } from "@knapweedwood/core.ids/teamId";
 
-/** Looks up services in the active configuration for owners of partitions. Finds only services a team may call. */
+/**
+ * Returns a lookup of services in the active configuration, for owners of partitions. It finds only services that the
+ * team may call.
+ */
 export function configuredServices(configuration: ConfigurationSource): ServiceLookup {
     const callable = (service: ServiceDefinition | undefined, teamId: TeamId) =>
         service !== undefined && mayCall(service, teamId) ? service : undefined;
--- a/daemons/entry/src/dispatcher.ts
+++ b/daemons/entry/src/dispatcher.ts
@@ -167,7 +167,7 @@
             nowMs: clock.nowMs(),
         };
         const chooser = choosers.getOrCreate(call.service.name);
-        // If every candidate has failed this call already, a failed one is tried again rather than none.
+        // If the call has already failed at every candidate, it is sent to one of them again.
         const instanceId = chooser.choose({ ...request, excluded }) ?? chooser.choose(request);
         const side = sides.find(candidate => candidate.record.instanceId === instanceId);
         if (side === undefined) {
--- a/daemons/entry/src/entryProcess.ts
+++ b/daemons/entry/src/entryProcess.ts
@@ -24,7 +24,7 @@
 /** Time for the load balancer to detect that the instance is leaving and to stop sending requests. */
 const LEAVE_PAUSE_MS = 500;
 
-/** The entry process, between callers and sides. Also runs the shared roles that it holds a lease for. */
+/** The entry process. Sends callers' calls to sides, and runs the shared roles whose leases it holds. */
 export class EntryProcess {
     private readonly components: EntryComponents;
     private readonly publisher: ConfigurationPublisher;
@@ -49,7 +49,10 @@
         this.teamMeter = new TeamMeter(this.components);
     }
 
-    /** Starts the entry and announces it. @returns the port of the HTTP API, and the address where it accepts links */
+    /**
+     * Starts the entry and announces it. Returns the port of the HTTP API, and the address where the entry accepts
+     * links, as `host:port`. Rejects if a port can't be opened.
+     */
     async start(): Promise<{ httpPort: number; linkAddress: string; }> {
         const { settings, endpoint, watcher, configuration, logger } = this.components;
         const linkAddress = await endpoint.listen();
--- a/daemons/entry/src/linkedSide.ts
+++ b/daemons/entry/src/linkedSide.ts
@@ -8,7 +8,7 @@
     link: Link;
     /** Status last received from the side; undefined before the first one. */
     status: SideStatus | undefined;
-    /** When the status arrived, in milliseconds. */
+    /** When the status arrived, in milliseconds; 0 before the first one. */
     statusReceivedAtMs: number;
     /** Number of calls that this entry has in progress at the side. */
     inFlightCalls: number;
--- a/daemons/entry/src/linkedSubset.ts
+++ b/daemons/entry/src/linkedSubset.ts
@@ -3,12 +3,12 @@
 import { RendezvousSubset } from "@knapweedwood/routing.choice/rendezvousSubset";
 import type { InstanceRecord } from "@knapweedwood/routing.instance-list/instanceRecord";
 
-/** Number of upstreams per service that an entry links to in its own zone; also the number in all other zones. */
+/** Maximum number of sides per service that an entry links to in its own zone, and in all other zones together. */
 export const LINKED_SUBSET_SIZE = 24;
 
 /**
- * Selects the sides that an entry links to. For each service, these are a deterministic subset of the sides in the
- * entry's own zone and one of the sides in all other zones.
+ * Selects the sides that an entry links to. For each service, selects a deterministic subset of the sides in the
+ * entry's own zone, and another subset of the sides in all other zones.
  *
  * @param records listed sides, shape [sides]
  * @returns shape [linked]
--- a/daemons/entry/src/serviceChoosers.ts
+++ b/daemons/entry/src/serviceChoosers.ts
@@ -10,6 +10,7 @@
         this.create = opts.create;
     }
 
+    /** Returns the chooser of a service, which is created on the first call. */
     getOrCreate(service: ServiceName): UpstreamChooser {
         const chooser = this.choosers.get(service) ?? this.create();
         this.choosers.set(service, chooser);
--- a/daemons/entry/src/sideDirectory.ts
+++ b/daemons/entry/src/sideDirectory.ts
@@ -29,7 +29,7 @@
         opts.watcher.subscribe(records => this.applyInstanceList(records));
     }
 
-    /** Returns the sides of a service that accept new calls, also over a suspect link, shape [sides]. */
+    /** Returns the sides of a service that accept new calls, shape [sides]. Includes sides whose link is suspect. */
     candidates(service: ServiceName, model?: ModelName): LinkedSide[] {
         return [...this.sides.values()].filter(side => acceptsNewCalls(side, service, model));
     }
