--- a/daemons/fleet/src/fleetProcess.ts
+++ b/daemons/fleet/src/fleetProcess.ts
@@ -26,7 +26,7 @@
 const SEED_LIMIT = 2 ** 31;
 const HOUSEKEEPING_INTERVAL_MS = 100;
 const INITIALIZATION_POLL_MS = 5;
-/** Age of the last lease renewal from which on the key-value service counts as unreachable, in milliseconds. */
+/** Maximum age of the last lease renewal with which the key-value service counts as reachable, in milliseconds. */
 const KEY_VALUE_REACHABLE_MS = 1800;
 /** Links of the fleet are idle most of the time, so idle links send fewer heartbeats. */
 const LINK_LIMITS = { heartbeatIntervalMs: 250, idleHeartbeatIntervalMs: 2000, silentAfterMs: 700 };
@@ -138,7 +138,7 @@
         return this.operators.configuration.current !== undefined && this.upstreams.mirror.revision > 0;
     }
 
-    /** Whether a peer can reach the key-value service but this process can't, so that peers serve callers better. */
+    /** Whether a peer can reach the key-value service but this process can't. Peers then serve callers better. */
     get isIsolated(): boolean {
         return !this.isKeyValueReachable && this.loadTracker.isKeyValueReachableByPeer();
     }
--- a/daemons/fleet/src/operatorsFollower.ts
+++ b/daemons/fleet/src/operatorsFollower.ts
@@ -32,7 +32,7 @@
         });
     }
 
-    /** Revision of the key-value service at which the latest readable configuration was written; 0 before. */
+    /** Revision of the key-value service at which the latest readable configuration was written; 0 before the first. */
     get configurationRevision(): number {
         return this.writtenRevision;
     }
--- a/daemons/fleet/src/upstreamFollower.ts
+++ b/daemons/fleet/src/upstreamFollower.ts
@@ -13,7 +13,7 @@
 import { wireKeys } from "@knapweedwood/platform.adapter/wireKeys";
 import type { FollowerContext } from "./followerContext.js";
 
-/** Time for which changes are coalesced, in milliseconds. Many upstreams start, leave or expire at the same time. */
+/** Time for which changes are coalesced, in milliseconds. Upstreams often start, leave or expire in groups. */
 const COALESCE_MS = 200;
 
 interface UpstreamFollowerOptions extends FollowerContext {
@@ -24,7 +24,7 @@
     onChanged: () => void;
 }
 
-/** Follows the entries of upstreams. */
+/** Follows the entries that upstreams write to the key-value service. */
 export class UpstreamFollower {
     readonly directory = new UpstreamDirectory();
     readonly mirror: PrefixMirror;
--- a/daemons/fleet/test/linkJobHolder.test.ts
+++ b/daemons/fleet/test/linkJobHolder.test.ts
@@ -10,7 +10,7 @@
 
 const request = { job: { record: { jobId: "j" } } as unknown as HeldJob, storedTokens: 0 };
 
-/** The outcome in a runner's response. A silent runner never responds, an unreachable one can't be connected. */
+/** The outcome in a runner's response. A silent runner never responds. No link to an unreachable one can be opened. */
 type RunnerResponse = HoldOutcome | "silent" | "unreachable";
 
 function start(responses: { [host: string]: RunnerResponse; }) {
