--- a/daemons/side/src/callHandlers.ts
+++ b/daemons/side/src/callHandlers.ts
@@ -117,7 +117,7 @@
 
 function requireDefined<Value>(value: Value | undefined): Value {
     if (value === undefined) {
-        throw new KnapweedError("SERVICE_ELSEWHERE", "The upstream of this side is of another kind", {
+        throw new KnapweedError("SERVICE_ELSEWHERE", "The upstream of this side does not support this kind of call", {
             outcome: "not-run",
         });
     }
--- a/daemons/side/src/plainGate.ts
+++ b/daemons/side/src/plainGate.ts
@@ -27,8 +27,8 @@
 }
 
 /**
- * The gate in front of a plain service. Runs online calls up to an adaptive concurrency limit, and batch items in a
- * share of that limit, less the online calls in progress.
+ * The gate in front of a plain service. Runs online calls up to an adaptive concurrency limit. Batch items may use a
+ * share of that limit, minus the number of online calls in progress.
  */
 export class PlainGate {
     private readonly opts: {
@@ -52,7 +52,7 @@
         this.pullLoop = this.run();
     }
 
-    /** @param timeoutMs longest duration of an item's call; after it, the call is aborted with outcome unknown */
+    /** Sets the maximum duration of an item's call, in milliseconds. Longer calls are aborted as `unknown`. */
     setItemTimeout(timeoutMs: number): void {
         this.itemTimeoutMs = timeoutMs;
     }
--- a/daemons/side/src/plainItemOutcome.ts
+++ b/daemons/side/src/plainItemOutcome.ts
@@ -32,7 +32,7 @@
 
 function outcomeOf(statusCode: number, text: string): BatchResult["outcome"] {
     if (statusCode >= FIRST_SERVER_ERROR) {
-        const message = `The service answered with status ${statusCode}`;
+        const message = `The service responded with status ${statusCode}`;
         return { kind: "failed", code: "ERR_KNAPWEED_UPSTREAM_FAILED", message, blame: "item", mayHaveRun: true };
     }
     if (statusCode >= FIRST_CLIENT_ERROR) {
--- a/daemons/side/src/plainUpstream.ts
+++ b/daemons/side/src/plainUpstream.ts
@@ -43,6 +43,7 @@
         }
     }
 
+    /** Returns whether the service's health check responds with a status below 500. Never rejects. */
     async isHealthy(): Promise<boolean> {
         try {
             const response = await this.pool.request({
--- a/daemons/side/src/sideProcess.ts
+++ b/daemons/side/src/sideProcess.ts
@@ -31,7 +31,7 @@
 /** Entries stop sending calls when they receive the status. The delay covers calls that were sent before. */
 const LEAVE_PAUSE_MS = 200;
 
-/** The side process. Runs next to one upstream, as the only gate in front of it. */
+/** The side process. Runs next to one upstream. All calls to the upstream pass through it. */
 export class SideProcess {
     private readonly opts: SideProcessOptions;
     private readonly service: ServiceName;
@@ -96,7 +96,10 @@
         this.configuration.subscribe(view => this.applyService(view.service(this.service)));
     }
 
-    /** Starts the side and announces it. @returns the address where it accepts links, as `host:port` */
+    /**
+     * Starts the side and announces it. Returns the address where the side accepts links, as `host:port`. Rejects if
+     * the port can't be opened.
+     */
     async start(): Promise<string> {
         const address = await this.endpoint.listen();
         await this.watcher.start();
@@ -139,7 +142,10 @@
         logger.info("side-stopped");
     }
 
-    /** Stops at once, like a crash. Cuts the links; returns no batch items and withdraws no record. For tests. */
+    /**
+     * Stops at once, like a crash. Cuts the links, and does not return batch items or withdraw the record from the
+     * instance list. For tests.
+     */
     async crash(): Promise<void> {
         await this.announcer?.stopWithoutWithdrawing();
         await this.statusReporter.stop();
--- a/daemons/side/test/cacheChangeReporter.test.ts
+++ b/daemons/side/test/cacheChangeReporter.test.ts
@@ -8,7 +8,7 @@
 import { test } from "node:test";
 import { CacheChangeReporter } from "../src/cacheChangeReporter.js";
 
-test("entries receive the engine's events up to a rate, also after the engine was unavailable", async () => {
+test("entries receive the engine's events up to a rate limit, also after the engine was unavailable", async () => {
     const clock = new ManualClock();
     const changes: CacheChange[] = [];
     const sideChanges: CacheChange[] = [];
