--- a/daemons/inference/src/cacheChange.ts
+++ b/daemons/inference/src/cacheChange.ts
@@ -5,7 +5,7 @@
 export interface CacheChange {
     instanceId: InstanceId;
     service: ServiceName;
-    /** Sequence number of the engine's event. A gap means that events were lost or omitted. */
+    /** Sequence number of the engine's event. A gap means that events were lost or dropped. */
     sequenceNumber: number;
     kind: "stored" | "evicted";
     /** Hashes of the stored or evicted prompt blocks, shape [blocks]. */
--- a/daemons/inference/src/sideStatus.ts
+++ b/daemons/inference/src/sideStatus.ts
@@ -2,7 +2,7 @@
 import type { ModelName } from "@knapweedwood/core.ids/modelName";
 import type { ServiceName } from "@knapweedwood/core.ids/serviceName";
 
-/** Status of a side and its upstream, as reported by the side. */
+/** Status of a side and its upstream, as reported by the side. The load is in online calls and batch items. */
 export interface SideStatus {
     instanceId: InstanceId;
     service: ServiceName;
