--- a/daemons/embedded/src/demoDeployment.ts
+++ b/daemons/embedded/src/demoDeployment.ts
@@ -34,7 +34,7 @@
 
     /**
      * Starts the deployment, publishes the services, and waits until every entry reports all upstreams as healthy.
-     * Throws `DEMO_NOT_PUBLISHED`, or `NOT_READY` after 20 seconds.
+     * Throws `DEMO_NOT_PUBLISHED` if the services can't be published, or `NOT_READY` after 20 seconds.
      */
     async start(): Promise<void> {
         await this.deployment.start();
--- a/daemons/embedded/src/embeddedDeployment.ts
+++ b/daemons/embedded/src/embeddedDeployment.ts
@@ -44,7 +44,7 @@
         this.instanceList = new MemoryInstanceList({ clock: this.clock, lagMs: LIST_LAG_MS, ttlMs: LIST_TTL_MS });
     }
 
-    /** Starts all processes and resolves when the first entry is ready. Throws `NOT_READY` after 20 seconds. */
+    /** Starts all processes and waits until the first entry is ready. Throws `NOT_READY` after 20 seconds. */
     async start(): Promise<void> {
         await runInSequence(this.opts.entryCount, index => this.startEntry(index));
         await runInSequence(this.opts.engineCount, index => this.startEngine(index));
@@ -63,7 +63,7 @@
         return `http://${HOST}:${this.entries[index]?.httpPort ?? 0}`;
     }
 
-    /** Stops a side like a crash. Its links are cut and its calls in progress are lost. */
+    /** Stops a side without a graceful shutdown. Its links are cut and its calls in progress are lost. */
     async crashSide(index: number): Promise<void> {
         const side = this.sides[index];
         if (side !== undefined) {
--- a/daemons/embedded/test/badInput.test.ts
+++ b/daemons/embedded/test/badInput.test.ts
@@ -70,14 +70,14 @@
             messages: [{ role: "user", content: "a long story" }],
             max_tokens: 4000,
             stream: true,
-            user: "goes-away",
+            user: "disconnects",
         }),
     });
     const reader = response.body?.getReader();
     await reader?.read();
     caller.abort();
-    await until(async () => (await engineCounts("goes-away")).cancelled === 1);
-    assert.equal((await engineCounts("goes-away")).finished, 0);
+    await until(async () => (await engineCounts("disconnects")).cancelled === 1);
+    assert.equal((await engineCounts("disconnects")).finished, 0);
 });
 
 interface Job {
