--- a/daemons/side/src/plainGate.ts
+++ b/daemons/side/src/plainGate.ts
@@ -52,7 +52,9 @@
         this.pullLoop = this.run();
     }
 
-    /** Sets the maximum duration of an item's call, in milliseconds. Longer calls are aborted as `unknown`. */
+    /**
+     * Sets the maximum duration of an item's call, in milliseconds. A longer call is aborted, with outcome `unknown`.
+     */
     setItemTimeout(timeoutMs: number): void {
         this.itemTimeoutMs = timeoutMs;
     }
