--- a/daemons/entry/src/dispatcher.ts
+++ b/daemons/entry/src/dispatcher.ts
@@ -29,13 +29,13 @@
 import { GenerationProgress } from "./generationProgress.js";
 import type { LinkedSide } from "./linkedSide.js";
 import type { ServiceChoosers } from "./serviceChoosers.js";
+import type { SideDirectory } from "./sideDirectory.js";
 import { toCandidate } from "./toCandidate.js";
-import type { UpstreamDirectory } from "./upstreamDirectory.js";
 
 const RETRY_AFTER_MS = 1000;
 
 interface DispatcherOptions {
-    directory: UpstreamDirectory;
+    directory: SideDirectory;
     choosers: ServiceChoosers;
     retryPolicy: RetryPolicy;
     retryBudget: RetryBudget;
@@ -167,7 +167,7 @@
             nowMs: clock.nowMs(),
         };
         const chooser = choosers.getOrCreate(call.service.name);
-        // If every candidate has failed this call already, a failed one is tried again rather than none.
+        // If the call has already failed at every candidate, it is sent to one of them again.
         const instanceId = chooser.choose({ ...request, excluded }) ?? chooser.choose(request);
         const side = sides.find(candidate => candidate.record.instanceId === instanceId);
         if (side === undefined) {
--- a/daemons/entry/src/entryProcess.ts
+++ b/daemons/entry/src/entryProcess.ts
@@ -18,17 +18,17 @@
 import type { EntryProcessOptions } from "./entryProcessOptions.js";
 import { linkedSubset } from "./linkedSubset.js";
 import { SharedRoles } from "./sharedRoles.js";
+import { SideDirectory } from "./sideDirectory.js";
 import { TeamMeter } from "./teamMeter.js";
-import { UpstreamDirectory } from "./upstreamDirectory.js";
 
 /** Time for the load balancer to detect that the instance is leaving and to stop sending requests. */
 const LEAVE_PAUSE_MS = 500;
 
-/** The entry process, between callers and sides. Also runs the shared roles that it holds a lease for. */
+/** The entry process. Sends callers' calls to sides, and runs the shared roles whose leases it holds. */
 export class EntryProcess {
     private readonly components: EntryComponents;
     private readonly publisher: ConfigurationPublisher;
-    private readonly directory: UpstreamDirectory;
+    private readonly directory: SideDirectory;
     private readonly teamMeter: TeamMeter;
     private readonly stopping = new AbortController();
     private roles: SharedRoles | undefined;
@@ -42,14 +42,17 @@
         const configuration = new DistributedConfiguration({ ...opts, identity, endpoint });
         this.components = { ...opts, endpoint, watcher, configuration };
         this.publisher = new ConfigurationPublisher({ ...opts, createChangeId: randomUUID });
-        this.directory = new UpstreamDirectory({
+        this.directory = new SideDirectory({
             ...this.components,
             selectSubset: records => linkedSubset(records, { entryId: identity.instanceId, zone: identity.zone }),
         });
         this.teamMeter = new TeamMeter(this.components);
     }
 
-    /** Starts the entry and announces it. @returns the port of the HTTP API, and the address where it accepts links */
+    /**
+     * Starts the entry and announces it. Returns the port of the HTTP API, and the address where the entry accepts
+     * links, as `host:port`. Rejects if a port can't be opened.
+     */
     async start(): Promise<{ httpPort: number; linkAddress: string; }> {
         const { settings, endpoint, watcher, configuration, logger } = this.components;
         const linkAddress = await endpoint.listen();
--- a/daemons/fleet/src/fleetProcess.ts
+++ b/daemons/fleet/src/fleetProcess.ts
@@ -23,10 +23,10 @@
 import { PeerFollower } from "./peerFollower.js";
 import { UpstreamFollower } from "./upstreamFollower.js";
 
-const MAX_SEED = 2 ** 31;
+const SEED_LIMIT = 2 ** 31;
 const HOUSEKEEPING_INTERVAL_MS = 100;
 const INITIALIZATION_POLL_MS = 5;
-/** Age of the last lease renewal from which on the key-value service counts as unreachable, in milliseconds. */
+/** Maximum age of the last lease renewal with which the key-value service counts as reachable, in milliseconds. */
 const KEY_VALUE_REACHABLE_MS = 1800;
 /** Links of the fleet are idle most of the time, so idle links send fewer heartbeats. */
 const LINK_LIMITS = { heartbeatIntervalMs: 250, idleHeartbeatIntervalMs: 2000, silentAfterMs: 700 };
@@ -55,7 +55,7 @@
  */
 export class FleetProcess {
     readonly clock = new SystemClock();
-    readonly random = new SeededRandom(randomInt(MAX_SEED));
+    readonly random = new SeededRandom(randomInt(SEED_LIMIT));
     readonly metrics = new PrometheusMetrics();
     readonly connections = new UpstreamConnections();
     readonly loadTracker = new LoadTracker();
@@ -138,7 +138,7 @@
         return this.operators.configuration.current !== undefined && this.upstreams.mirror.revision > 0;
     }
 
-    /** Whether a peer can reach the key-value service but this process can't, so that peers serve callers better. */
+    /** Whether a peer can reach the key-value service but this process can't. Peers then serve callers better. */
     get isIsolated(): boolean {
         return !this.isKeyValueReachable && this.loadTracker.isKeyValueReachableByPeer();
     }
