--- a/api/operators/test/operatorsApi.test.ts
+++ b/api/operators/test/operatorsApi.test.ts
@@ -33,11 +33,11 @@
     const clock = new SystemClock();
     const keyValue = new MemoryKeyValueService({ clock });
     const publisher = new ConfigurationPublisher({ keyValue, clock, createChangeId: randomUUID });
-    const holder = new ActiveConfiguration({ onAdopted: () => undefined });
+    const active = new ActiveConfiguration({ onAdopted: () => undefined });
     const store = new ConfigurationStore({ keyValue });
     const adoptLatest = async () => {
         const { root } = await store.load();
-        return root !== undefined && holder.adopt(root, new KeyValueChunkSource({ keyValue }));
+        return root !== undefined && active.adopt(root, new KeyValueChunkSource({ keyValue }));
     };
     await ensureBootstrapConfiguration({ publisher, platformKeyHash: digestOf("first") });
     await adoptLatest();
@@ -50,11 +50,11 @@
     const api = new OperatorsApi({
         publisher,
         configuration: {
-            current: () => holder.current(),
-            subscribe: listener => holder.subscribe(listener),
+            current: () => active.current(),
+            subscribe: listener => active.subscribe(listener),
             waitFor: adoptLatest,
             inForce: revision =>
-                Promise.resolve({ revision: revision ?? holder.revision, reached: 1, total: 1, missing: [] }),
+                Promise.resolve({ revision: revision ?? active.revision, reached: 1, total: 1, missing: [] }),
         },
         jobs,
         fleet: { instances: () => Promise.resolve([]), upstreams: () => Promise.resolve([]) },
@@ -78,20 +78,20 @@
         });
         return { status: response.status, body: await response.json() as Json };
     };
-    return { send, holder, publisher };
+    return { send, active, publisher };
 }
 
 test("teams and keys are created, and a key is shown once and stored only as its hash", async context => {
-    const { send, holder, publisher } = await setUp(context);
+    const { send, active, publisher } = await setUp(context);
     assert.equal((await send(PLATFORM, "POST", "/teams", { teamId: "cellar" })).status, 201);
     const created = await send(PLATFORM, "POST", "/teams/cellar/keys", { role: "caller", name: "desk" });
-    const found = holder.current()?.findKey(digestOf(created.body["key"] as string));
+    const found = active.current()?.findKey(digestOf(created.body["key"] as string));
     assert.equal(found?.team.teamId, "cellar");
     const listed = await send(PLATFORM, "GET", "/teams/cellar/keys");
     assert.doesNotMatch(JSON.stringify(listed.body), /keyHash|kw-/u);
     assert.doesNotMatch(JSON.stringify(await publisher.history()), /kw-/u);
     await send(PLATFORM, "DELETE", `/teams/cellar/keys/${String(created.body["keyId"])}`);
-    assert.ok(holder.current()?.findKeyById(created.body["keyId"] as KeyId)?.key.revokedAtMs);
+    assert.ok(active.current()?.findKeyById(created.body["keyId"] as KeyId)?.key.revokedAtMs);
     const [latest] = await publisher.history({ limit: 1 });
     assert.equal(latest?.actor, "bootstrap");
 });
@@ -118,7 +118,7 @@
 });
 
 test("files are published with their difference, and only by the team that owns the services", async context => {
-    const { send, holder } = await setUp(context);
+    const { send, active } = await setUp(context);
     await send(PLATFORM, "POST", "/teams", { teamId: "cellar" });
     await send(PLATFORM, "POST", "/teams", { teamId: "desk" });
     const files = (team: string, replicas: number) => [
@@ -129,7 +129,7 @@
     ];
     const dry = await send(CELLAR, "POST", "/configuration/publish", { files: files("cellar", 1), dryRun: true });
     assert.equal(dry.body["published"], false);
-    assert.equal(holder.current()?.services().length, 0);
+    assert.equal(active.current()?.services().length, 0);
     const published = await send(CELLAR, "POST", "/configuration/publish", { files: files("cellar", 1) });
     assert.deepEqual([published.status, published.body["published"]], [200, true]);
     const foreign = await send({ ...CELLAR, teamId: "desk" as TeamId }, "POST", "/configuration/publish", {
@@ -140,7 +140,7 @@
     assert.match(JSON.stringify(invalid.body), /knapweed\.yaml:1: services\[0\]\.replicas/u);
     const rollback = await send(PLATFORM, "POST", "/configuration/rollback", { revision: 3 });
     assert.equal(rollback.status, 200);
-    assert.equal(holder.current()?.services().length, 0);
+    assert.equal(active.current()?.services().length, 0);
     const difference = await send(PLATFORM, "GET", "/configuration/difference?from=4&to=5");
     assert.deepEqual((difference.body["difference"] as Json[]).map(changed => changed["kind"]), ["removed"]);
 });
--- a/config/distribution/test/configurationFuzz.test.ts
+++ b/config/distribution/test/configurationFuzz.test.ts
@@ -16,7 +16,7 @@
 type Action =
     | { kind: "publish"; team: string; }
     | { kind: "rollback"; back: number; }
-    | { kind: "lose-answers"; count: number; }
+    | { kind: "lose-responses"; count: number; }
     | { kind: "outage"; value: boolean; }
     | { kind: "slow"; delayMs: number; }
     | { kind: "restart"; name: string; }
@@ -34,7 +34,7 @@
     },
     {
         weight: 2,
-        arbitrary: fc.record({ kind: fc.constant("lose-answers" as const), count: fc.integer({ min: 1, max: 3 }) }),
+        arbitrary: fc.record({ kind: fc.constant("lose-responses" as const), count: fc.integer({ min: 1, max: 3 }) }),
     },
     { weight: 2, arbitrary: fc.record({ kind: fc.constant("outage" as const), value: fc.boolean() }) },
     { weight: 1, arbitrary: fc.record({ kind: fc.constant("slow" as const), delayMs: fc.constantFrom(0, 50, 500) }) },
@@ -162,7 +162,7 @@
                 const revision = Math.max(1, oracle.highest() - step.back) as never;
                 return recordOutcome("", undefined, fleet.createPublisher().rollback({ revision, actor: "bob" }));
             }
-            case "lose-answers":
+            case "lose-responses":
                 return fleet.keyValue.faults.loseNextResponses(step.count);
             case "outage":
                 fleet.keyValue.faults.outage = step.value;
--- a/config/distribution/test/distributedConfiguration.test.ts
+++ b/config/distribution/test/distributedConfiguration.test.ts
@@ -54,10 +54,10 @@
     await fleet.run(publisher.publish({ actor: "ann", changes: [sampleChange("cellar", 2)] }));
     await fleet.clock.advance(6_000);
     fleet.keyValue.faults.outage = true;
-    const newcomers = ["entry", "side"].map(kind => fleet.start(`new-${kind}`, kind as "entry" | "side", "a"));
-    assert.deepEqual(newcomers.map(newcomer => newcomer.configuration.current()), [undefined, undefined]);
+    const newProcesses = ["entry", "side"].map(kind => fleet.start(`new-${kind}`, kind as "entry" | "side", "a"));
+    assert.deepEqual(newProcesses.map(started => started.configuration.current()), [undefined, undefined]);
     await fleet.clock.advance(5_000);
-    assert.deepEqual(newcomers.map(newcomer => newcomer.revisions), [[2], [2]]);
+    assert.deepEqual(newProcesses.map(started => started.revisions), [[2], [2]]);
 });
 
 test("a single process during an outage has no configuration", async () => {
--- a/config/publishing/src/configurationStore.ts
+++ b/config/publishing/src/configurationStore.ts
@@ -81,9 +81,12 @@
         const { root } = opts.history;
         const chunks = opts.change.written.map(chunk => put(configurationKeys.chunk(chunk.reference), chunk.text));
         const cleanup = await this.cleanupOperations(root.revision);
-        const early = chunks.splice(0, Math.max(0, chunks.length + cleanup.length - MAX_OPERATIONS_PER_TRANSACTION));
-        for (let start = 0; start < early.length; start += MAX_OPERATIONS_PER_TRANSACTION) {
-            await this.keyValue.transact([], early.slice(start, start + MAX_OPERATIONS_PER_TRANSACTION));
+        const precedingChunks = chunks.splice(
+            0,
+            Math.max(0, chunks.length + cleanup.length - MAX_OPERATIONS_PER_TRANSACTION),
+        );
+        for (let start = 0; start < precedingChunks.length; start += MAX_OPERATIONS_PER_TRANSACTION) {
+            await this.keyValue.transact([], precedingChunks.slice(start, start + MAX_OPERATIONS_PER_TRANSACTION));
         }
         const result = await this.keyValue.transact(
             [{ key: configurationKeys.root, modRevision: opts.modRevision }],
--- a/config/publishing/src/loadTree.ts
+++ b/config/publishing/src/loadTree.ts
@@ -17,23 +17,25 @@
     opts: { root: ConfigurationRoot; source: ChunkSource; cached: ConfigurationTree; },
 ): Promise<ConfigurationTree> {
     const { root, source, cached } = opts;
-    const indexes = await fetchIndexes(opts);
-    const buckets = await fetchBuckets(source, missingBuckets(indexes, cached));
+    const bucketReferences = await fetchBucketReferences(opts);
+    const buckets = await fetchBuckets(source, missingBucketReferences(bucketReferences, cached));
     const groups = root.groups.map((reference, groupIndex): TreeGroup => {
-        const index = indexes.get(groupIndex);
+        const references = bucketReferences.get(groupIndex);
         const before = cached.groups[groupIndex] as TreeGroup;
-        return index === undefined
+        return references === undefined
             ? reusableGroup(reference, before)
             : {
                 reference,
-                buckets: index.map((bucket, bucketIndex) => bucketOf(bucket, before.buckets[bucketIndex], buckets)),
+                buckets: references.map((bucketReference, bucketIndex) =>
+                    bucketOf(bucketReference, before.buckets[bucketIndex], buckets)
+                ),
             };
     });
     return verifyDigest(new ConfigurationTree(groups), root);
 }
 
 /** Fetches the index chunks of the groups that `cached` lacks. Returns their bucket references by group index. */
-async function fetchIndexes(
+async function fetchBucketReferences(
     opts: { root: ConfigurationRoot; source: ChunkSource; cached: ConfigurationTree; },
 ): Promise<Map<number, ChunkReference[]>> {
     const missing = opts.root.groups
@@ -47,8 +49,11 @@
     );
 }
 
-function missingBuckets(indexes: Map<number, ChunkReference[]>, cached: ConfigurationTree): ChunkReference[] {
-    return [...indexes.entries()].flatMap(([groupIndex, references]) =>
+function missingBucketReferences(
+    bucketReferences: Map<number, ChunkReference[]>,
+    cached: ConfigurationTree,
+): ChunkReference[] {
+    return [...bucketReferences.entries()].flatMap(([groupIndex, references]) =>
         references.filter((reference, bucketIndex) =>
             reference !== "" && reference !== cached.groups[groupIndex]?.buckets[bucketIndex]?.reference
         )
