--- a/config/configuration/src/limits.ts
+++ b/config/configuration/src/limits.ts
@@ -2,5 +2,6 @@
 export interface Limits {
     requestsPerSecond?: number;
     tokensPerSecond?: number;
+    /** Maximum number of concurrent calls. */
     concurrency?: number;
 }
