--- a/config/distribution/src/activeRevisionQuery.ts
+++ b/config/distribution/src/activeRevisionQuery.ts
@@ -34,7 +34,10 @@
         this.ownMembers = opts.ownMembers;
     }
 
-    /** Returns how many processes of the region have `revision` or a higher one active. */
+    /**
+     * Returns how many processes of the region have `revision` or a higher one active. Processes below a watcher that
+     * does not respond may be reported as missing. Rejects if the instance list is unavailable.
+     */
     async run(revision: Revision): Promise<ActiveRevisionReport> {
         const instances = (await this.instanceList.list())
             .filter(instance => instance.kind !== "upstream" && instance.region === this.identity.region);
--- a/config/distribution/src/distributedConfiguration.ts
+++ b/config/distribution/src/distributedConfiguration.ts
@@ -89,6 +89,7 @@
         return Promise.resolve();
     }
 
+    /** Stops following the configuration. `current` still returns the configuration that was active last. */
     stop(): Promise<void> {
         this.stopped.abort();
         this.watcher?.stop();
@@ -119,7 +120,12 @@
         return this.active.revision >= revision;
     }
 
-    /** Returns how many processes have `revision` active. The default is the active revision of this process. */
+    /**
+     * Returns how many processes of the region have `revision` or a higher one active. Rejects if the instance list is
+     * unavailable.
+     *
+     * @param revision the active revision of this process by default
+     */
     inForce(revision: Revision = this.active.revision): Promise<ActiveRevisionReport> {
         const query = new ActiveRevisionQuery({ ...this.opts, ownMembers: () => this.members() });
         return query.run(revision);
--- a/config/distribution/src/planDistribution.ts
+++ b/config/distribution/src/planDistribution.ts
@@ -4,7 +4,10 @@
 import type { DistributionPosition } from "./distributionPosition.js";
 import { watchersOfZone } from "./watchersOfZone.js";
 
-/** Maximum number of processes that one process forwards revisions to, in zones of up to `FAN_OUT`³ processes. */
+/**
+ * Maximum average number of processes below one relay. A zone has relays only if each of its watchers
+ * would otherwise have more processes below it.
+ */
 const FAN_OUT = 16;
 const SIBLINGS_IN_OTHER_ZONES = 2;
 const MAX_PARENTS_PER_GROUP = 4;
--- a/config/distribution/test/configurationFuzz.test.ts
+++ b/config/distribution/test/configurationFuzz.test.ts
@@ -63,7 +63,7 @@
     weight: number | undefined;
 }
 
-/** Records which publishes were accepted or rejected and checks the fleet against them, whatever its internal state. */
+/** Records which publishes were accepted or rejected, and checks the fleet's active configurations against them. */
 class Oracle {
     readonly accepted: AcceptedPublish[] = [];
     readonly rejectedWeights = new Set<number>();
