--- a/config/publishing/src/configurationPublisher.ts
+++ b/config/publishing/src/configurationPublisher.ts
@@ -116,7 +116,7 @@
             : this.store.history({ newest: root.revision, limit: opts.limit ?? DEFAULT_HISTORY_LIMIT });
     }
 
-    /** Returns the records that differ between two revisions. */
+    /** Returns the records that differ between two revisions. Rejects with `REVISION_NOT_FOUND` if one isn't stored. */
     async difference(from: Revision, to: Revision): Promise<RecordDifference[]> {
         return differenceOf(await this.store.loadRevision(from), await this.store.loadRevision(to));
     }
@@ -170,8 +170,9 @@
     }
 
     /**
-     * Repeats the swap with the same change id until a response arrives. Either the swap takes effect now, or the root
-     * has changed meanwhile. Then the audit record of the revision shows which change id made it.
+     * Repeats the swap with the same change id until a response arrives. If the root has already changed, the audit
+     * record of the revision shows whether this publish changed it. Rejects with `PUBLISH_UNKNOWN` if no response
+     * arrives within `CONFIRM_TIMEOUT_MS`.
      */
     private async confirmSwap(
         opts: { modRevision: number; change: TreeChange; history: HistoryEntry; },
@@ -196,6 +197,7 @@
         );
     }
 
+    /** Returns whether the swap took effect, or undefined if that is still unknown. */
     private async tryConfirmSwap(
         opts: { modRevision: number; change: TreeChange; history: HistoryEntry; },
     ): Promise<boolean | undefined> {
--- a/config/publishing/src/configurationRoot.ts
+++ b/config/publishing/src/configurationRoot.ts
@@ -1,7 +1,7 @@
 import type { Revision } from "@knapweedwood/core.ids/revision";
 import type { ChunkReference } from "./chunkReference.js";
 
-/** The single value that a publish swaps. It refers to all chunks by digest, directly or through group chunks. */
+/** The single value that a publish swaps. It refers to the group chunks, and they to the bucket chunks, by digest. */
 export interface ConfigurationRoot {
     revision: Revision;
     /** Digest of `groups`. */
--- a/config/publishing/src/configurationStore.ts
+++ b/config/publishing/src/configurationStore.ts
@@ -73,7 +73,7 @@
 
     /**
      * Swaps the root, writes its chunks and its audit record, and deletes data that leaves the retention windows.
-     * Chunks that exceed the transaction limit are written before.
+     * Chunks that do not fit into the transaction are written before it.
      *
      * @returns whether the swap took effect, which requires that the root still had `modRevision`
      */
--- a/config/publishing/src/loadTree.ts
+++ b/config/publishing/src/loadTree.ts
@@ -34,7 +34,7 @@
     return verifyDigest(new ConfigurationTree(groups), root);
 }
 
-/** Fetches the index chunks of the groups that `cached` lacks. Returns their bucket references by group index. */
+/** Fetches the group chunks that `cached` lacks. Returns their bucket references by group index. */
 async function fetchBucketReferences(
     opts: { root: ConfigurationRoot; source: ChunkSource; cached: ConfigurationTree; },
 ): Promise<Map<number, ChunkReference[]>> {
--- a/config/publishing/src/treeGroup.ts
+++ b/config/publishing/src/treeGroup.ts
@@ -1,8 +1,10 @@
 import type { ChunkReference } from "./chunkReference.js";
 import type { TreeBucket } from "./treeBucket.js";
 
-/** Buckets that share an index chunk. `buckets` has shape [BUCKETS_PER_GROUP]. */
+/** Buckets whose references are stored together in one group chunk. */
 export interface TreeGroup {
+    /** Reference of the group chunk. */
     reference: ChunkReference;
+    /** Shape [BUCKETS_PER_GROUP]. */
     buckets: readonly TreeBucket[];
 }
--- a/config/publishing/test/configurationPublisher.test.ts
+++ b/config/publishing/test/configurationPublisher.test.ts
@@ -83,7 +83,7 @@
     assert.equal((await publisher.history()).length, 2);
 });
 
-test("a publish with a lost response is recognized as published after another publish", async () => {
+test("a publish whose response was lost is recognized as published, even if another publish follows", async () => {
     const { keyValue, publisher } = setUp();
     await publisher.publish({ actor: "ann", changes: [team("cellar")] });
     keyValue.faults.loseNextResponses(1);
