--- a/config/settings/src/entrySettingsSchema.ts
+++ b/config/settings/src/entrySettingsSchema.ts
@@ -28,7 +28,7 @@
     /** Folder for segments. Undefined if the instance has no disk. */
     dataFolder: z.string().optional(),
     placement: z.strictObject({
-        /** Maximum number of concurrent model and adapter loads in the region, as the weight store's rate allows. */
+        /** Maximum number of concurrent model and adapter loads in the region. Limited by the weight store's rate. */
         maxConcurrentLoads: z.int().min(1).default(DEFAULT_MAX_CONCURRENT_LOADS),
     }).default({ maxConcurrentLoads: DEFAULT_MAX_CONCURRENT_LOADS }),
     batch: z.strictObject({
