--- a/api/callers/src/callAdmission.ts
+++ b/api/callers/src/callAdmission.ts
@@ -7,7 +7,7 @@
     /**
      * Admits a call. Throws `LIMIT_EXCEEDED` (429, not run) with the time after which the caller may retry.
      *
-     * @param opts.tokens the most tokens that the call may use
+     * @param opts.tokens estimate of the tokens that the call will use, prompt and completion together
      * @returns a function to call once the call has ended, with its usage
      */
     admit(opts: { caller: Caller; service: ServiceDefinition; tokens: number; }): (used: CallUsage) => void;
--- a/api/callers/src/inferenceBackend.ts
+++ b/api/callers/src/inferenceBackend.ts
@@ -6,13 +6,19 @@
 import type { JsonObject } from "@knapweedwood/engines.model-engine/jsonObject";
 import type { BackendCallOptions } from "./backendCallOptions.js";
 
-/** Runs callers' requests at upstreams. Throws `KnapweedError` with an accurate outcome. */
+/** Runs callers' requests at upstreams. Throws a `KnapweedError` whose outcome says whether the request was run. */
 export interface InferenceBackend {
+    /** Yields the events of a generation. A complete generation ends with the finish event. */
     generate(
         opts: BackendCallOptions & { service: ServiceDefinition; request: GenerateRequest; },
     ): AsyncIterable<GenerateEvent>;
+    /** Returns the body of the upstream's response. */
     embed(opts: BackendCallOptions & { service: ServiceDefinition; body: JsonObject; }): Promise<JsonObject>;
-    /** @param opts.body the chunks of the request's body; undefined if it has none */
+    /**
+     * Yields the response of a plain service: the head first, followed by the body in parts.
+     *
+     * @param opts.body the chunks of the request's body; undefined if it has none
+     */
     callPlain(
         opts: BackendCallOptions & {
             service: ServiceDefinition;
--- a/api/callers/src/serverSentEvents.ts
+++ b/api/callers/src/serverSentEvents.ts
@@ -9,6 +9,7 @@
         this.response = response;
     }
 
+    /** Sends the head of the response. */
     begin(): void {
         this.response.writeHead(200, {
             "content-type": "text/event-stream; charset=utf-8",
@@ -18,11 +19,16 @@
         });
     }
 
-    /** @param events a JSON object per event, shape [events] */
+    /**
+     * Sends events and waits until the connection accepts more data.
+     *
+     * @param events a JSON object per event, shape [events]
+     */
     async send(events: object[], signal: AbortSignal): Promise<void> {
         await this.write(events.map(data => `data: ${JSON.stringify(data)}\n\n`).join(""), signal);
     }
 
+    /** Sends the final `[DONE]` event and ends the response. */
     end(): void {
         this.response.end("data: [DONE]\n\n");
     }
--- a/api/callers/test/requestValidation.test.ts
+++ b/api/callers/test/requestValidation.test.ts
@@ -5,7 +5,7 @@
 
 const CHAT = { model: "m", messages: [{ role: "user", content: "hello" }] };
 
-test("bodies that clients send are accepted, including unknown fields", () => {
+test("valid bodies are accepted, including null parameters and unknown fields", () => {
     checkGenerateBody("/v1/chat/completions", { ...CHAT, temperature: 0.2, max_tokens: null });
     checkGenerateBody("/v1/completions", { model: "m", prompt: "hello", stream: true });
 });
