--- a/api/http/src/httpListener.ts
+++ b/api/http/src/httpListener.ts
@@ -86,7 +86,7 @@
             server.setSecureContext(readCertificate(tls));
         }
         catch {
-            // The certificate and key are partly written. They are read again at the next change.
+            // The certificate or the key may be only partly written. They are read again at the next change.
         }
     });
 }
