--- a/api/operators/src/ensureBootstrapConfiguration.ts
+++ b/api/operators/src/ensureBootstrapConfiguration.ts
@@ -7,7 +7,7 @@
 
 /**
  * Publishes the first configuration, with the platform operators' team and its first key, if there is none yet. Several
- * entries may do so at once.
+ * entries may do so at once: with the same key their records are equal, so that only one of them publishes.
  *
  * @param opts.platformKeyHash SHA-256 digest of the first key, in hexadecimal
  */
--- a/api/operators/src/jobRoutes.ts
+++ b/api/operators/src/jobRoutes.ts
@@ -59,12 +59,16 @@
         canManageTeam(caller, teamId) && (requestedTeam === undefined || requestedTeam === teamId)
     );
     if (searched.length > MAX_TEAMS_SEARCHED) {
-        throw new KnapweedError("TEAM_REQUIRED", `There are more than ${String(MAX_TEAMS_SEARCHED)} teams`, {
-            statusCode: 400,
-            outcome: "not-run",
-            parameter: "team",
-            hint: "Select one with ?team=ID.",
-        });
+        throw new KnapweedError(
+            "TEAM_REQUIRED",
+            `Jobs of more than ${String(MAX_TEAMS_SEARCHED)} teams can't be searched at once`,
+            {
+                statusCode: 400,
+                outcome: "not-run",
+                parameter: "team",
+                hint: "Select one with ?team=ID.",
+            },
+        );
     }
     return searched;
 }
--- a/api/operators/src/operatorsApi.ts
+++ b/api/operators/src/operatorsApi.ts
@@ -73,7 +73,7 @@
     ): Promise<object> {
         const { caller, query, parameters } = call;
         if (!route.roles.includes(caller.role)) {
-            throw forbidden(`A key of role ${caller.role} may not do this`);
+            throw forbidden(`A key of role ${caller.role} may not use this route`);
         }
         const body = route.method === "GET" ? {} : await readOptionalJson(call.request);
         const isChange = route.method !== "GET";
--- a/api/operators/src/usageMeter.ts
+++ b/api/operators/src/usageMeter.ts
@@ -50,6 +50,7 @@
         this.processName = opts.processName;
     }
 
+    /** Starts to write the changed totals periodically. */
     start(): void {
         this.flushLoop = this.run();
     }
@@ -61,6 +62,7 @@
         await this.flush();
     }
 
+    /** Adds usage to the totals of the current UTC day. */
     record(used: UsageRecord): void {
         const day = new Date(this.clock.nowMs()).toISOString().slice(0, DAY_CHARACTERS);
         const key = `${this.prefix}${day}/${this.processName}/${digestOf(used.teamId).slice(0, SHARD_DIGITS)}`;
