--- a/links/endpoint/test/linkTls.test.ts
+++ b/links/endpoint/test/linkTls.test.ts
@@ -36,11 +36,11 @@
     });
     server.reloadTls(second);
     untrustedClient.reloadTls(second);
-    assert.deepEqual(await callUntilAnswered(() => untrustedClient.connect(address)), { text: "hello" });
+    assert.deepEqual(await callUntilSuccessful(() => untrustedClient.connect(address)), { text: "hello" });
 });
 
 /** Retries a call, because it may fail before the connection is open, which takes longer on a busy machine. */
-async function callUntilAnswered(connect: () => Link): Promise<{ text: string; }> {
+async function callUntilSuccessful(connect: () => Link): Promise<{ text: string; }> {
     for (let attempt = 1;; attempt += 1) {
         try {
             return await singleFrame(connect().call(echoCall, { text: "hello" }));
--- a/links/endpoint/test/webSocketLinkEndpoint.test.ts
+++ b/links/endpoint/test/webSocketLinkEndpoint.test.ts
@@ -19,8 +19,8 @@
     const link = client.connect(await server.listen());
     const frames = await collectFrames(link.call(countCall, { count: 1000 }));
     assert.deepEqual(frames.map(frame => frame.index), Array.from({ length: 1000 }, (_, index) => index));
-    const back = await collectFrames(server.links()[0].call(countCall, { count: 3 }));
-    assert.equal(back.length, 3);
+    const clientFrames = await collectFrames(server.links()[0].call(countCall, { count: 3 }));
+    assert.equal(clientFrames.length, 3);
     assert.equal(link.peer?.instanceId, "server");
 });
 
