--- a/links/endpoint/src/acceptedLink.ts
+++ b/links/endpoint/src/acceptedLink.ts
@@ -33,7 +33,7 @@
         return this.connection !== undefined;
     }
 
-    /** Replaces the connection with one whose `hello` named this session, and sends the `welcome`. */
+    /** Switches to a new connection, whose `hello` named this session, and sends the `welcome`. */
     accept(connection: LinkConnection, hello: MessageOf<"hello">, isNew: boolean): void {
         this.detach();
         this.pingMonitor = this.createPingMonitor();
--- a/links/endpoint/src/baseLink.ts
+++ b/links/endpoint/src/baseLink.ts
@@ -141,7 +141,7 @@
         this.writePending();
     }
 
-    /** Called when the connection can take more data. */
+    /** Called when the connection can accept more data. */
     protected onDrained(): void {
         this.writePending();
         this.session.onCapacityAvailable();
--- a/links/endpoint/src/defaultLinkLimits.ts
+++ b/links/endpoint/src/defaultLinkLimits.ts
@@ -3,7 +3,7 @@
 const KIBIBYTE = 1024;
 const MEBIBYTE = 1024 * KIBIBYTE;
 
-/** Default limits of links. A silent link is detected in under half a second. */
+/** Default limits of links. A silent link with calls in progress is detected in about half a second. */
 export const defaultLinkLimits: LinkLimits = {
     heartbeatIntervalMs: 100,
     idleHeartbeatIntervalMs: 1000,
--- a/links/endpoint/src/incomingCall.ts
+++ b/links/endpoint/src/incomingCall.ts
@@ -7,7 +7,7 @@
     sendFrame: (frameIndex: number, payload: unknown) => void;
     sendEnd: (frameCount: number) => void;
     sendFailure: (thrown: unknown) => void;
-    /** Whether the link as a whole can take no more messages at present. */
+    /** Whether the link has too many unsent or unacknowledged messages, from all its calls together. */
     isCongested: () => boolean;
 }
 
@@ -39,7 +39,7 @@
         this.sentBytes += sizeBytes;
     }
 
-    /** Resumes the handler where the next frame may be sent. */
+    /** Resumes the handler if the next frame may be sent. */
     onCapacityAvailable(): void {
         if (this.canSendFrame()) {
             this.wake?.();
--- a/links/endpoint/src/incomingCalls.ts
+++ b/links/endpoint/src/incomingCalls.ts
@@ -65,7 +65,7 @@
         this.running.get(callId)?.countWritten(sizeBytes);
     }
 
-    /** Resumes handlers that wait because the link could take no more frames. */
+    /** Resumes waiting handlers whose next frame may be sent now. */
     onCapacityAvailable(): void {
         this.running.forEach(call => call.onCapacityAvailable());
     }
--- a/links/endpoint/src/linkConnection.ts
+++ b/links/endpoint/src/linkConnection.ts
@@ -13,7 +13,7 @@
     onMessage: (decoded: DecodedMessage) => void;
     /** Called once, when the connection has ended for any reason. */
     onClosed: (reason: KnapweedError) => void;
-    /** Called when the connection can take more data. */
+    /** Called when the connection can accept more data. */
     onDrained: () => void;
 }
 
--- a/links/endpoint/src/linkSession.ts
+++ b/links/endpoint/src/linkSession.ts
@@ -63,7 +63,7 @@
         return this.stream.received;
     }
 
-    /** Whether the session can continue only where the peer has it too. */
+    /** Whether messages have been sent or received, so that the session can continue only if the peer still has it. */
     get hasTraffic(): boolean {
         return this.stream.hasTraffic;
     }
@@ -94,7 +94,7 @@
         return this.stream.next();
     }
 
-    /** Resumes handlers that wait because the link could take no more frames. */
+    /** Resumes waiting handlers whose next frame may be sent now. */
     onCapacityAvailable(): void {
         this.incoming.onCapacityAvailable();
     }
--- a/links/endpoint/src/outgoingCall.ts
+++ b/links/endpoint/src/outgoingCall.ts
@@ -72,7 +72,7 @@
         this.resolveWaiter();
     }
 
-    /** Ends the call with an error, which the reader gets after the frames that have arrived. */
+    /** Ends the call with an error, which the reader receives after the frames that have arrived. */
     fail(error: KnapweedError): void {
         if (this.ended) {
             return;
--- a/links/endpoint/src/pingMonitor.ts
+++ b/links/endpoint/src/pingMonitor.ts
@@ -19,12 +19,15 @@
         this.intervalMs = intervalMs;
     }
 
-    /** Excludes time in which this process was stalled, because pings may have waited unread. */
+    /** Excludes time in which this process was stalled, because it did not read pings that arrived meanwhile. */
     excludeStall(stallMs: number): void {
         this.lastPingAtMs += stallMs;
     }
 
-    /** Returns `suspect` where the next ping is late, `silent` where it is late by `silentAfterMs`. */
+    /**
+     * Returns `suspect` where the next ping is late by half its interval, or by half of `silentAfterMs` if that is
+     * shorter, and `silent` where it is late by `silentAfterMs`.
+     */
     liveness(nowMs: number): "alive" | "suspect" | "silent" {
         const lateMs = nowMs - this.lastPingAtMs - this.intervalMs;
         if (lateMs >= this.silentAfterMs) {
--- a/links/endpoint/src/reliableStream.ts
+++ b/links/endpoint/src/reliableStream.ts
@@ -43,7 +43,7 @@
         return this.lastReceived;
     }
 
-    /** Whether the stream has been used, so that the peer must have it too. */
+    /** Whether messages have been sent or received, so that the stream can continue only if the peer still has it. */
     get hasTraffic(): boolean {
         return this.lastNumber > 0 || this.lastReceived > 0;
     }
--- a/links/endpoint/test/linkSession.test.ts
+++ b/links/endpoint/test/linkSession.test.ts
@@ -78,7 +78,7 @@
             assertInvariants(pair);
             assert.ok(pair.calls.every(call => call.ended), "every call has ended");
             if (!model.wasReplaced) {
-                assert.ok(pair.calls.every(call => call.error === undefined), "a cut alone makes no call fail");
+                assert.ok(pair.calls.every(call => call.error === undefined), "no call fails over cut connections");
             }
         }),
         { numRuns: RUNS, seed: SEED },
--- a/links/endpoint/test/linkTls.test.ts
+++ b/links/endpoint/test/linkTls.test.ts
@@ -39,7 +39,7 @@
     assert.deepEqual(await callUntilSuccessful(() => untrustedClient.connect(address)), { text: "hello" });
 });
 
-/** Retries a call, because it may fail before the connection is open, which takes longer on a busy machine. */
+/** Retries a call until it succeeds, because it fails if no connection opens in time, as on a busy machine. */
 async function callUntilSuccessful(connect: () => Link): Promise<{ text: string; }> {
     for (let attempt = 1;; attempt += 1) {
         try {
@@ -53,7 +53,7 @@
     }
 }
 
-test("a connection without TLS is not served by an end with TLS", async context => {
+test("an endpoint with TLS rejects a connection without TLS", async context => {
     const server = createTestEndpoint(context, "server", { tls: first });
     const client = createTestEndpoint(context, "client", { limits });
     const address = await server.listen();
