--- a/links/calls/src/singleFrame.ts
+++ b/links/calls/src/singleFrame.ts
@@ -1,7 +1,7 @@
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 
 /**
- * Returns the frame of a call whose response has exactly one.
+ * Returns the only frame of a call's response.
  *
  * Rejects with ERR_KNAPWEED_LINK_EMPTY_ANSWER, outcome `unknown`, where the call ends without a frame.
  */
