--- a/engines/model-engine/src/completionAssembler.ts
+++ b/engines/model-engine/src/completionAssembler.ts
@@ -36,7 +36,7 @@
         this.choice(0).text = opts.request.resumeFrom?.text ?? "";
     }
 
-    /** Text and token count generated so far, including those of `resumeFrom`. */
+    /** Text of the first choice and token count of all choices so far, including those of `resumeFrom`. */
     get produced(): { text: string; tokenCount: number; } {
         return { text: this.choice(0).text, tokenCount: this.tokenCount };
     }
--- a/engines/model-engine/src/completionChunkReader.ts
+++ b/engines/model-engine/src/completionChunkReader.ts
@@ -42,7 +42,7 @@
      * Reads the data of one server-sent event. Throws `ENGINE_FAILED` for an error that the engine reports, and
      * `ENGINE_STREAM_MALFORMED` for data that is not JSON.
      *
-     * @returns the events of the chunk, shape [0..choices]; one finish event for the end marker
+     * @returns the events of the chunk, at most one per choice, shape [events]; one finish event for the end marker
      */
     read(data: string): GenerateEvent[] {
         if (data === END_OF_STREAM) {
--- a/engines/model-engine/src/engineErrorOf.ts
+++ b/engines/model-engine/src/engineErrorOf.ts
@@ -11,7 +11,7 @@
 ];
 
 /**
- * Converts an error thrown during a call of an engine to a KnapweedError; a KnapweedError is returned unchanged. The
+ * Converts an error thrown during a call to an engine to a KnapweedError; a KnapweedError is returned unchanged. The
  * outcome is `not-run` if the request was not sent, `unknown` otherwise.
  */
 export function engineErrorOf(thrown: unknown, signal: AbortSignal | undefined): KnapweedError {
--- a/engines/model-engine/src/generateRequest.ts
+++ b/engines/model-engine/src/generateRequest.ts
@@ -7,7 +7,7 @@
     endpoint: "/v1/chat/completions" | "/v1/completions";
     /** The caller's request body, unchanged. */
     body: JsonObject;
-    /** Output of an earlier stream of the same request, at which generation resumes. */
+    /** Output of an earlier stream of the same request, after which generation resumes. */
     resumeFrom?: ResumePoint;
     /** Id of the request at the engine, under which its KV cache can be exported. */
     requestId?: RequestId;
--- a/engines/model-engine/src/modelEngine.ts
+++ b/engines/model-engine/src/modelEngine.ts
@@ -20,8 +20,10 @@
     state(): Promise<EngineState>;
     /** Rejects with `ENGINE_ORDER_STALE` if the engine checks fencing numbers and has received a higher one. */
     order(order: EngineOrder): Promise<void>;
+    /** Yields changes of the prefix cache until the engine ends the stream or the signal is aborted. */
     cacheEvents(opts: { signal: AbortSignal; }): AsyncIterable<CacheEvent>;
     /** Exports the KV cache of a running or just cancelled request, selected by its `requestId` at the engine. */
     exportCache(engineRequestId: string): Promise<Uint8Array>;
+    /** Imports a KV cache that `exportCache` returned. */
     importCache(cache: Uint8Array): Promise<void>;
 }
