--- a/observability/explain/test/timeline.test.ts
+++ b/observability/explain/test/timeline.test.ts
@@ -28,9 +28,9 @@
         lineOf(11, "g-1", "call-failed", { requestId: "r", statusCode: 502, message: "The upstream broke off" }),
         lineOf(10, "g-1", "call-placed", { requestId: "other", upstream: "u" }),
         lineOf(13, "g-2", "upstream-changed", { change: "left", upstream: "u" }),
-        lineOf(13, "g-2", "upstream-changed", { change: "left", upstream: "unconcerned" }),
+        lineOf(13, "g-2", "upstream-changed", { change: "left", upstream: "unrelated" }),
         lineOf(40, "g-2", "upstream-changed", { change: "joined", upstream: "u" }),
-        "no line of ours",
+        "not a log line",
         "{ cut",
     ];
     assert.deepEqual(explain("r", texts).map(line => line.replaceAll(/\s+/gu, " ")), [
