--- a/observability/metrics/src/prometheusMetrics.ts
+++ b/observability/metrics/src/prometheusMetrics.ts
@@ -8,8 +8,8 @@
 const DURATION_BUCKETS_MS = [1, 2, 5, 10, 20, 50, 100, 200, 300, 500, 1000, 2000, 5000, 10_000];
 
 /**
- * Metrics for a Prometheus endpoint. The tag names in the first call for a metric are the ones that it keeps; later
- * calls drop other tags.
+ * Metrics for a Prometheus endpoint. A metric keeps the tag names of the first call that records it. Other tags of
+ * later calls are dropped.
  */
 export class PrometheusMetrics implements Metrics {
     private readonly registry = new Registry();
