--- a/adapters/key-value-etcd/src/etcdCallError.ts
+++ b/adapters/key-value-etcd/src/etcdCallError.ts
@@ -14,7 +14,8 @@
 /**
  * Converts an etcd error to a KnapweedError.
  *
- * @param isWrite whether the call may have changed data; if so, the outcome is `unknown` unless the error rules it out
+ * @param isWrite whether the call may have changed data; if so, the outcome is `unknown` unless the error shows that
+ *     it did not
  */
 export function etcdCallError(error: EtcdError, isWrite: boolean): KnapweedError {
     const rejected = { outcome: "not-run" } as const;
