--- a/core/errors/src/knapweedErrorOptions.ts
+++ b/core/errors/src/knapweedErrorOptions.ts
@@ -2,7 +2,7 @@
 
 /** Optional parts of a {@link KnapweedError}. */
 export interface KnapweedErrorOptions {
-    /** What the reader can do about the error. */
+    /** Advice to the reader of the message on how to resolve the error. */
     hint?: string;
     /** Outcome of the request, if the error is the response to one. */
     outcome?: Outcome;
