--- a/core/http-headers/src/forwardableHeaders.ts
+++ b/core/http-headers/src/forwardableHeaders.ts
@@ -5,10 +5,10 @@
 
 /**
  * Returns the end-to-end header fields of an HTTP message (RFC 9110, section 7.6.1). Drops hop-by-hop fields, fields
- * that `Connection` lists, and those in `opts.drop`.
+ * that `Connection` lists, and those in `opts.drop`, whose names are in lower case.
  *
  * @param rawHeaders alternating names and values, shape [2 * fields]
- * @returns the remaining fields, shape [fields]
+ * @returns the remaining fields with names in lower case, shape [fields]
  */
 export function forwardableHeaders(rawHeaders: readonly string[], opts: { drop?: string[]; } = {}): HeaderField[] {
     const fields = Array.from(
--- a/core/http-headers/src/hopByHopHeaders.ts
+++ b/core/http-headers/src/hopByHopHeaders.ts
@@ -1,4 +1,4 @@
-/** Names of headers that apply to one connection only and are not forwarded, in lower case. */
+/** Names, in lower case, of headers that apply to one connection only and are not forwarded. */
 export const hopByHopHeaders: ReadonlySet<string> = new Set([
     "connection",
     "keep-alive",
