--- a/core/ids/src/itemIndex.ts
+++ b/core/ids/src/itemIndex.ts
@@ -1,3 +1,4 @@
 import type { Brand } from "./brand.js";
 
+/** Position of an item in its job. */
 export type ItemIndex = Brand<number, "ItemIndex">;
