--- a/core/key-value/src/keyValueService.ts
+++ b/core/key-value/src/keyValueService.ts
@@ -12,18 +12,20 @@
  */
 export interface KeyValueService {
     get(key: string): Promise<KeyValueEntry | undefined>;
-    /** Returns the entries whose key starts with `prefix`, in key order, shape [entries]. */
+    /** Returns the entries whose key starts with `prefix` and sorts after `afterKey`, in key order, shape [entries]. */
     list(prefix: string, opts?: { limit?: number; afterKey?: string; }): Promise<KeyValueEntry[]>;
     /** Applies all operations, or none if a comparison fails. Values can have up to 1 MB. */
     transact(compares: KeyValueCompare[], operations: KeyValueOperation[]): Promise<TransactionResult>;
+    /** @returns the id of a new lease, which expires `ttlMs` milliseconds after it was granted or last kept alive */
     grantLease(ttlMs: number): Promise<string>;
     /** @returns the remaining time to live in milliseconds; 0 if the lease has expired */
     keepLeaseAlive(leaseId: string): Promise<number>;
     revokeLease(leaseId: string): Promise<void>;
     /**
-     * Yields changes under `prefix` after `afterRevision` until aborted. Throws when the watch is lost.
+     * Yields changes under `prefix` after `afterRevision` until aborted. Throws when the watch is lost, and
+     * `KEY_VALUE_COMPACTED` when these changes are no longer stored.
      *
-     * @param opts.waitMs how long one call may wait for a change, for services that are polled with calls
+     * @param opts.waitMs longest wait of one call for a change, in milliseconds, where the service is polled
      */
     watch(
         prefix: string,
--- a/core/key-value/src/keyValueSnapshot.ts
+++ b/core/key-value/src/keyValueSnapshot.ts
@@ -1,6 +1,6 @@
 import type { KeyValueEntry } from "./keyValueEntry.js";
 
-/** The entries under a prefix, and the revision from which a watch misses no change. */
+/** The entries under a prefix. A watch that starts after `revision` misses no later change. */
 export interface KeyValueSnapshot {
     entries: KeyValueEntry[];
     revision: number;
