--- a/standins/engine/src/engineCore.ts
+++ b/standins/engine/src/engineCore.ts
@@ -30,7 +30,7 @@
     /** Multiplies the duration of each step. */
     slowFactor = 1;
     private readonly clock: Clock;
-    private readonly model: StepModel;
+    private readonly stepModel: StepModel;
     private readonly loadHistory: LoadHistory;
     private waiting: EngineSequence[] = [];
     private running: EngineSequence[] = [];
@@ -45,7 +45,7 @@
         onCacheChange?: (kind: "stored" | "evicted", blockHashes: string[]) => void;
     }) {
         this.clock = opts.clock;
-        this.model = opts.stepModel;
+        this.stepModel = opts.stepModel;
         this.loadHistory = new LoadHistory(opts.stepModel.loadLagMs);
         this.prefixCache = new PrefixCache({
             limitTokens: opts.stepModel.prefixCacheTokens,
@@ -89,10 +89,10 @@
             runningSequences: this.running.length,
             waitingSequences: this.waiting.length,
             kvTokensUsed: this.kvTokensUsed(),
-            kvTokensLimit: this.model.kvTokensLimit,
-            maxSequences: this.model.maxSequences,
+            kvTokensLimit: this.stepModel.kvTokensLimit,
+            maxSequences: this.stepModel.maxSequences,
             lastStepMs: this.lastStepMs,
-            maxPrefillTokensPerStep: this.model.maxPrefillTokensPerStep,
+            maxPrefillTokensPerStep: this.stepModel.maxPrefillTokensPerStep,
         };
     }
 
@@ -118,9 +118,9 @@
         const decoding = this.running.filter(sequence => sequence.prefillTokensLeft === 0);
         const prefillTokens = this.allocatePrefill();
         const durationMs = this.slowFactor * (
-            this.model.fixedMs
-            + this.model.perSequenceMs * this.running.length
-            + this.model.perPrefillTokenMs * prefillTokens
+            this.stepModel.fixedMs
+            + this.stepModel.perSequenceMs * this.running.length
+            + this.stepModel.perPrefillTokenMs * prefillTokens
         );
         this.countStep(durationMs, prefillTokens);
         const startMs = Math.max(this.stepEndMs, this.clock.nowMs() - MAX_CATCH_UP_MS);
@@ -137,7 +137,7 @@
 
     private allocatePrefill(): number {
         return this.running.reduce((allocated, sequence) => {
-            const share = Math.min(sequence.prefillTokensLeft, this.model.maxPrefillTokensPerStep - allocated);
+            const share = Math.min(sequence.prefillTokensLeft, this.stepModel.maxPrefillTokensPerStep - allocated);
             sequence.prefillTokensLeft -= share;
             return allocated + share;
         }, 0);
@@ -170,9 +170,9 @@
     private admitWaiting(): void {
         let kvTokensUsed = this.kvTokensUsed();
         const firstNotAdmitted = this.waiting.findIndex((sequence, index) => {
-            const isFull = this.running.length + index >= this.model.maxSequences;
+            const isFull = this.running.length + index >= this.stepModel.maxSequences;
             kvTokensUsed += sequence.kvTokens;
-            return isFull || kvTokensUsed > this.model.kvTokensLimit && this.running.length + index > 0;
+            return isFull || kvTokensUsed > this.stepModel.kvTokensLimit && this.running.length + index > 0;
         });
         const admitted = firstNotAdmitted === -1 ? this.waiting : this.waiting.slice(0, firstNotAdmitted);
         this.waiting = firstNotAdmitted === -1 ? [] : this.waiting.slice(firstNotAdmitted);
--- a/standins/engine/src/engineServer.ts
+++ b/standins/engine/src/engineServer.ts
@@ -88,7 +88,7 @@
     }
 
     /** Sets faults, as `POST /faults` does. */
-    setFaults(faults: Partial<EngineFaults>): void {
+    applyFaults(faults: Partial<EngineFaults>): void {
         Object.assign(this.faults, faults);
         this.core.slowFactor = this.faults.slowFactor;
         this.core.setFrozen(this.faults.freeze);
@@ -112,7 +112,7 @@
             "POST /cache/export": (body, { response }) => this.exportCache(parse(body), response),
             "POST /cache/import": (body, { response }) => this.importCache(body, response),
             "POST /faults": (body, { response }) => {
-                this.setFaults(parse(body));
+                this.applyFaults(parse(body));
                 sendJson(response, 200, this.faults);
             },
             "GET /__record": (_body, { response }) => sendJson(response, 200, this.requestCounter.toJson()),
--- a/standins/engine/test/engineServer.test.ts
+++ b/standins/engine/test/engineServer.test.ts
@@ -107,9 +107,9 @@
 });
 
 test("a request to an unreachable engine has the outcome not-run", async () => {
-    const absent = new HttpModelEngine({ baseUrl: "http://127.0.0.1:1" });
-    assert.deepEqual(await codeOf(absent.load()), ["ERR_KNAPWEED_ENGINE_UNREACHABLE", "not-run"]);
-    await absent.close();
+    const unreachable = new HttpModelEngine({ baseUrl: "http://127.0.0.1:1" });
+    assert.deepEqual(await codeOf(unreachable.load()), ["ERR_KNAPWEED_ENGINE_UNREACHABLE", "not-run"]);
+    await unreachable.close();
 });
 
 test("orders are executed, stale fencing numbers rejected, and unhealthy versions fail to load", async () => {
@@ -152,7 +152,7 @@
     const stream = engine.generate(chatRequest("To be silenced", { maxTokens: 100_000 }), { signal: abort.signal });
     const iterator = stream[Symbol.asyncIterator]();
     await iterator.next();
-    server.setFaults({ silentConnections: true });
+    server.applyFaults({ silentConnections: true });
     const silent = iterator.next();
     const fresh = new HttpModelEngine({ baseUrl });
     assert.ok((await fresh.listModels()).includes("demo-chat"));
