--- a/standins/key-value/test/keyValueModel.test.ts
+++ b/standins/key-value/test/keyValueModel.test.ts
@@ -51,7 +51,7 @@
 }
 
 class Transact implements Command {
-    private readonly compare: { key: string; isRight: boolean; };
+    private readonly compare: { key: string; isMatch: boolean; };
     private readonly changes: { key: string; text: string | undefined; lease: number | undefined; }[];
     private readonly losesResponse: boolean;
 
@@ -75,7 +75,7 @@
         const modRevision = model.entries.get(this.compare.key)?.modRevision ?? 0;
         const compares: KeyValueCompare[] = [{
             key: this.compare.key,
-            modRevision: this.compare.isRight ? modRevision : modRevision + 1,
+            modRevision: this.compare.isMatch ? modRevision : modRevision + 1,
         }];
         const operations = changes.map((change): KeyValueOperation =>
             change.text === undefined
@@ -96,7 +96,7 @@
             await assert.rejects(call, { code: "ERR_KNAPWEED_KEY_VALUE_LEASE_NOT_FOUND" });
             return;
         }
-        if (this.compare.isRight) {
+        if (this.compare.isMatch) {
             applyTo(model, changes);
         }
         if (this.losesResponse) {
@@ -104,7 +104,7 @@
             return;
         }
         const result = await call;
-        assert.equal(result.succeeded, this.compare.isRight);
+        assert.equal(result.succeeded, this.compare.isMatch);
         assert.equal(result.revision, model.revision);
     }
 
@@ -257,7 +257,7 @@
         lease: fc.option(fc.nat(7), { nil: undefined }),
     });
     const changes = fc.uniqueArray(change, { selector: value => value.key, minLength: 0, maxLength: 3 });
-    const compare = fc.record({ key, isRight: fc.boolean() });
+    const compare = fc.record({ key, isMatch: fc.boolean() });
     const commands = fc.commands<Model, System, false>([
         fc.tuple(compare, changes, fc.boolean()).map(parts => new Transact(...parts)),
         fc.constant(new Grant()),
