--- a/cli/knapweed/src/activeRevisionResponse.ts
+++ b/cli/knapweed/src/activeRevisionResponse.ts
@@ -1,8 +1,10 @@
-/** Response of the operators' API that says on how many processes a revision is active. */
+/** Response of the operators' API about the processes on which a revision is active. */
 export interface ActiveRevisionResponse {
     revision: number;
+    /** Number of processes on which the revision, or a higher one, is active. */
     reached: number;
+    /** Number of all processes of the region. */
     total: number;
-    /** Instances that have not said so, shape [instances]. */
+    /** Instances that have not reported the revision as active, shape [instances]. */
     missing: string[];
 }
--- a/cli/knapweed/src/collectServiceFiles.ts
+++ b/cli/knapweed/src/collectServiceFiles.ts
@@ -6,8 +6,10 @@
 const SKIPPED_FOLDERS = new Set(["node_modules", ".git", "dist"]);
 
 /**
- * Finds and reads every `knapweed.yaml` under the folders, sorted by path. Rejects with `SERVICE_FILES_MISSING` if
- * there is none.
+ * Finds and reads every `knapweed.yaml` under the folders, except in `node_modules`, `.git` and `dist`. Rejects with
+ * `SERVICE_FILES_MISSING` if there is none.
+ *
+ * @returns the files, sorted by path, shape [files]
  */
 export async function collectServiceFiles(folders: string[]): Promise<{ path: string; text: string; }[]> {
     const found = (await Promise.all(folders.map(findFiles))).flat();
--- a/cli/knapweed/src/commands/bench/capacity.ts
+++ b/cli/knapweed/src/commands/bench/capacity.ts
@@ -2,7 +2,7 @@
 import { Flags } from "@oclif/core";
 import { BenchCommand } from "../../benchCommand.js";
 
-/** Measures the slopes for docs/CAPACITY.md. */
+/** Measures the slopes for docs/CAPACITY.md, and optionally fills in the tables of that page. */
 export default class BenchCapacity extends BenchCommand {
     static override description = "measure the slopes for docs/CAPACITY.md";
     static override flags = {
--- a/cli/knapweed/src/commands/bench/config.ts
+++ b/cli/knapweed/src/commands/bench/config.ts
@@ -5,7 +5,7 @@
 import path from "node:path";
 import { BenchCommand } from "../../benchCommand.js";
 
-/** Measures how configurations become active while processes are killed or paused and revisions published often. */
+/** Measures the rollout of frequent revisions while processes are killed or paused. */
 export default class BenchConfig extends BenchCommand {
     static override description = "measure the rollout of configurations under churn";
     static override flags = {
