--- a/cli/quickstart/src/buildBatchInput.ts
+++ b/cli/quickstart/src/buildBatchInput.ts
@@ -1,6 +1,6 @@
 const MAX_TOKENS = 24;
 
-/** Builds a batch file in the format of the OpenAI API. The items in `failingItems` never complete. */
+/** Builds a batch file in the format of the OpenAI API. Items with an index in `failingItems` never complete. */
 export function buildBatchInput(opts: { itemCount: number; failingItems: Set<number>; }): string {
     return Array.from({ length: opts.itemCount }, (_, index) => {
         const marker = opts.failingItems.has(index) ? " [never-completes]" : "";
--- a/cli/quickstart/src/onlineCaller.ts
+++ b/cli/quickstart/src/onlineCaller.ts
@@ -11,7 +11,7 @@
     latencyMs: number;
 }
 
-/** Sends online calls to each URL, one at a time per URL, until stopped. */
+/** Sends online calls to each URL, one at a time per URL, until stopped. Checks the text of each response. */
 export class OnlineCaller {
     readonly results: CallResult[] = [];
     private readonly opts: { urls: string[]; key: string; clock: Clock; };
--- a/cli/quickstart/src/quickstartScenario.ts
+++ b/cli/quickstart/src/quickstartScenario.ts
@@ -51,6 +51,10 @@
         });
     }
 
+    /**
+     * Runs the scenario. Rejects with `QUICKSTART_TIMEOUT` if the job takes longer than 2 minutes, or with
+     * `QUICKSTART_CALL_FAILED` if a call of the batch API has a status other than 200.
+     */
     async run(): Promise<QuickstartOutcome> {
         this.opts.onProgress("starting 2 entries, 3 model engines and 1 plain service with their sides");
         await this.demo.start();
