--- a/standins/engine/src/cacheEventFeed.ts
+++ b/standins/engine/src/cacheEventFeed.ts
@@ -2,7 +2,7 @@
 import type { Random } from "@knapweedwood/core.random/random";
 import type { CacheEvent } from "@knapweedwood/engines.model-engine/cacheEvent";
 
-/** Publishes cache events with a delay, and drops a random share of them. */
+/** Publishes cache events after `delayMs`, and drops a random share `lossShare` in [0, 1] of them. */
 export class CacheEventFeed {
     private readonly clock: Clock;
     private readonly random: Random;
@@ -18,7 +18,10 @@
         this.lossShare = opts.lossShare;
     }
 
-    /** Numbers an event and sends it to the subscribers. A dropped event leaves a gap in the numbers. */
+    /**
+     * Numbers an event and sends it to the subscribers. Drops it if there are none. A dropped event leaves a gap in the
+     * numbers.
+     */
     publish(kind: "stored" | "evicted", blockHashes: string[]): void {
         this.sequenceNumber += 1;
         const event: CacheEvent = { sequenceNumber: this.sequenceNumber, kind, blockHashes };
--- a/standins/engine/src/completionHandler.ts
+++ b/standins/engine/src/completionHandler.ts
@@ -95,7 +95,7 @@
         });
     }
 
-    /** Fails the request if its prompt has a fault marker or the error share selects it. Returns whether it failed. */
+    /** Fails the request if its prompt requests a fault or the error share selects it. Returns whether it failed. */
     private failIfFaulty(marker: string, body: JsonObject, response: ServerResponse): boolean {
         const promptFault = promptFaultOf(promptTextOf(body));
         if (promptFault === "malformed") {
--- a/standins/engine/src/embeddingsOf.ts
+++ b/standins/engine/src/embeddingsOf.ts
@@ -5,7 +5,9 @@
 const DIMENSIONS = 8;
 const HASH_RANGE = 0x1_0000_0000;
 
-/** Returns the response to an embeddings request. Each vector depends on its input only. */
+/**
+ * Returns the response to an embeddings request. Each vector has 8 values in [-1, 1) and depends only on its input.
+ */
 export function embeddingsOf(body: JsonObject): JsonObject {
     const inputs = (Array.isArray(body.input) ? body.input : [body.input]).map(String);
     const promptTokens = inputs.reduce((sum, input) => sum + countTokens(input), 0);
--- a/standins/engine/src/engineFaults.ts
+++ b/standins/engine/src/engineFaults.ts
@@ -4,8 +4,8 @@
     slowFactor: number;
     /** Share in [0, 1] of requests that get a response with status 500. */
     errorShare: number;
-    /** The connections that are open now stay open, but send nothing more. */
+    /** Permanently silences the connections that are open now: they pass no more requests and responses. */
     silentConnections: boolean;
-    /** The engine starts no step. */
+    /** Whether the engine is frozen: it starts no step. */
     freeze: boolean;
 }
--- a/standins/engine/src/engineSequence.ts
+++ b/standins/engine/src/engineSequence.ts
@@ -15,9 +15,11 @@
     readonly isBatch: boolean;
     readonly promptTokens: number;
     readonly finishReason: "length" | "stop";
+    /** Number of output tokens at which the sequence is finished. */
     readonly tokenTarget: number;
     cachedTokens = 0;
     prefillTokensLeft = 0;
+    /** Number of output tokens so far, including those before the resume point. */
     tokenCount: number;
     isCancelled = false;
     private readonly promptHash: number;
--- a/standins/engine/src/engineServer.ts
+++ b/standins/engine/src/engineServer.ts
@@ -151,7 +151,7 @@
             sendJson(response, 200, { accepted: true });
             return;
         }
-        sendError(response, 409, "stale_fencing_number", "A higher fencing number has been seen");
+        sendError(response, 409, "stale_fencing_number", "An earlier order had a higher fencing number");
     }
 
     private streamCacheEvents(response: ServerResponse): void {
--- a/standins/engine/src/engineServerOptions.ts
+++ b/standins/engine/src/engineServerOptions.ts
@@ -20,6 +20,6 @@
     cacheEventDelayMs?: number;
     /** Share in [0, 1] of cache events that are dropped. */
     cacheEventLossShare?: number;
-    /** Increases with each start of the engine. */
+    /** Incarnation that the engine reports. It increases with each start of the engine. */
     incarnation?: number;
 }
--- a/standins/engine/src/engineTotals.ts
+++ b/standins/engine/src/engineTotals.ts
@@ -1,6 +1,7 @@
 /** Totals of the work of an engine since its start. */
 export interface EngineTotals {
     steps: number;
+    /** Total duration of the steps. */
     busyMs: number;
     decodeTokens: number;
     /** Decoded tokens of batch requests, whose `user` is `batch`. */
--- a/standins/engine/src/silentConnections.ts
+++ b/standins/engine/src/silentConnections.ts
@@ -16,7 +16,7 @@
         return this.silent.has(socket);
     }
 
-    /** Silences all open connections for good. New connections work. */
+    /** Permanently silences the connections that are open now. New connections work. */
     silenceOpen(): void {
         this.sockets.forEach(socket => {
             this.silent.add(socket);
--- a/standins/engine/src/stepModel.ts
+++ b/standins/engine/src/stepModel.ts
@@ -1,7 +1,10 @@
 /** Durations and limits of the steps of an engine. */
 export interface StepModel {
+    /** Part of the duration of each step that doesn't depend on its work. */
     fixedMs: number;
+    /** Duration that each running sequence adds to a step. */
     perSequenceMs: number;
+    /** Duration that each prefill token adds to a step. */
     perPrefillTokenMs: number;
     /** Maximum number of running sequences. Further ones wait inside the engine. */
     maxSequences: number;
