--- a/standins/http/src/httpStandin.ts
+++ b/standins/http/src/httpStandin.ts
@@ -40,7 +40,7 @@
         });
     }
 
-    /** Silences the connections that are open now, for good. New connections work. */
+    /** Permanently silences the connections that are open now. New connections work. */
     silenceOpenConnections(): void {
         this.openSockets.forEach(socket => this.silence(socket));
     }
