--- a/standins/instance-list/src/instanceListServer.ts
+++ b/standins/instance-list/src/instanceListServer.ts
@@ -58,7 +58,7 @@
             return;
         }
         if (this.isUnavailable) {
-            sendJson(response, UNAVAILABLE_STATUS, { error: "The instance list is away." });
+            sendJson(response, UNAVAILABLE_STATUS, { error: "The instance list is unavailable." });
             return;
         }
         if (request.method === "GET" && url.pathname === PATH) {
--- a/standins/instance-list/src/memoryInstanceList.ts
+++ b/standins/instance-list/src/memoryInstanceList.ts
@@ -16,7 +16,7 @@
 export class MemoryInstanceList implements InstanceList {
     /** Age of the state that `list` returns. The owner can change it at any time. */
     lagMs: number;
-    /** Time after its last announcement at which an instance is no longer listed. */
+    /** Time since its last announcement after which an instance is no longer listed. */
     ttlMs: number;
     private readonly clock: Clock;
     private readonly changes = new Map<InstanceId, RecordChange[]>();
