--- a/standins/key-value/src/etcdErrorResponse.ts
+++ b/standins/key-value/src/etcdErrorResponse.ts
@@ -14,7 +14,7 @@
     ERR_KNAPWEED_ETCD_UNSUPPORTED: failure(501, 12, "not supported by the stand-in"),
 };
 
-/** Returns the response that etcd sends for an error. */
+/** Returns the response that etcd sends for an error: an HTTP status, and a body with a gRPC status code. */
 export function etcdErrorResponse(thrown: unknown): EtcdErrorResponse {
     const error = toKnapweedError(thrown);
     return RESPONSES[error.code] ?? failure(500, 13, error.message);
--- a/standins/key-value/src/keyValueStore.ts
+++ b/standins/key-value/src/keyValueStore.ts
@@ -31,6 +31,11 @@
         return this.entries.get(key);
     }
 
+    /**
+     * Returns the entries whose keys start with `prefix` and come after `afterKey`, sorted by key.
+     *
+     * @returns the entries, shape [at most limit]
+     */
     list(prefix: string, opts: { limit?: number; afterKey?: string; }): KeyValueEntry[] {
         return this.keys
             .withPrefix(prefix, { limit: opts.limit ?? Infinity, afterKey: opts.afterKey })
@@ -52,10 +57,16 @@
         return { succeeded: true, revision: this.currentRevision, current: [] };
     }
 
+    /** @returns the id of the lease */
     grantLease(ttlMs: number): string {
         return this.leases.grant(ttlMs);
     }
 
+    /**
+     * Renews a lease.
+     *
+     * @returns the remaining time to live in milliseconds, or 0 if the lease has ended
+     */
     keepLeaseAlive(leaseId: string): number {
         return this.leases.keepAlive(leaseId);
     }
@@ -65,6 +76,7 @@
         this.leases.end(leaseId);
     }
 
+    /** Cancels the timers of all leases and drops the leases. Their keys stay. */
     close(): void {
         this.leases.close();
     }
--- a/standins/key-value/src/memoryKeyValueService.ts
+++ b/standins/key-value/src/memoryKeyValueService.ts
@@ -23,7 +23,7 @@
         onOutage: () => this.failWatches(),
         onExpireLease: leaseId => this.store.endLease(leaseId),
     });
-    /** Numbers of calls so far, including rejected ones. */
+    /** Numbers of calls so far, including rejected ones, and number of active watches. */
     readonly counters: KeyValueCounters = { reads: 0, writes: 0, keepAlives: 0, watches: 0, activeWatches: 0 };
     private readonly clock: Clock;
     private readonly store: KeyValueStore;
@@ -98,7 +98,10 @@
         }
     }
 
-    /** Drops the history and makes all watches fail. */
+    /**
+     * Drops the history and makes all watches fail. Later watches from an earlier revision reject with
+     * `KEY_VALUE_COMPACTED`.
+     */
     compact(): void {
         this.history.clear();
         this.failWatches();
