--- a/standins/network/src/tcpRelay.ts
+++ b/standins/network/src/tcpRelay.ts
@@ -44,7 +44,7 @@
         this.newSilentDirections = directions;
     }
 
-    /** Delays data and connection closes that the relay receives from now on. */
+    /** Delays the data and connection closes that the relay receives from now on, in both directions. */
     setDelay(delayMs: number): void {
         this.delayMs = delayMs;
     }
@@ -54,7 +54,7 @@
         return this.connections.length;
     }
 
-    /** Silences the existing connections for good. Nothing passes any more, not even the close of a connection. */
+    /** Permanently silences the existing connections in these directions, which then pass no data and no close. */
     silence(...directions: NetworkDirection[]): void {
         this.connections.forEach(connection => directions.forEach(direction => connection.silent.add(direction)));
     }
@@ -72,7 +72,7 @@
         this.cutAfterBytes = bytes;
     }
 
-    /** Cuts all connections and stops to listen. */
+    /** Cuts all connections and stops listening. */
     close(): void {
         this.cut();
         this.server.close();
