--- a/standins/service/src/serviceCallRecord.ts
+++ b/standins/service/src/serviceCallRecord.ts
@@ -1,6 +1,6 @@
 /** A call that the service ran. */
 export interface ServiceCallRecord {
-    /** Position in the order of running, from 0. */
+    /** Position in the order in which the calls started to run, from 0. */
     sequenceNumber: number;
     method: string;
     path: string;
--- a/standins/service/src/serviceFaultUpdate.ts
+++ b/standins/service/src/serviceFaultUpdate.ts
@@ -10,6 +10,6 @@
     loseAnswers?: number;
     /** Ends the process after the next call has run, before its response. */
     dieAfterNextCall?: boolean;
-    /** Makes the connections that are open now go silent for good. */
+    /** Permanently silences the connections that are open now. */
     silentConnections?: boolean;
 }
