--- a/standins/weight-store/src/memoryWeightStore.ts
+++ b/standins/weight-store/src/memoryWeightStore.ts
@@ -17,7 +17,7 @@
 export class MemoryWeightStore implements WeightStore {
     /** While true, calls reject with `WEIGHT_STORE_UNAVAILABLE`. */
     outage = false;
-    /** Rate of new transfers. The owner can change it at any time. */
+    /** Rate of new transfers, in bytes per second. The owner can change it at any time. */
     bytesPerS: number;
     private readonly clock: Clock;
     private transfers: Transfer[] = [];
@@ -40,6 +40,7 @@
         return { reservationId, waitMs: startMs - nowMs, transferMs };
     }
 
+    /** Cancels a transfer, or ends it now if it has started. Later transfers keep their start times. */
     async cancelLoad(reservationId: string): Promise<void> {
         this.throwIfUnavailable();
         const nowMs = this.clock.nowMs();
--- a/standins/weight-store/src/weightStoreServer.ts
+++ b/standins/weight-store/src/weightStoreServer.ts
@@ -50,7 +50,7 @@
             return;
         }
         if (this.store.outage) {
-            sendJson(response, UNAVAILABLE_STATUS, { error: "The weight store is away." });
+            sendJson(response, UNAVAILABLE_STATUS, { error: "The weight store is unavailable." });
             return;
         }
         if (request.method === "POST" && url.pathname === PATH) {
