--- a/standins/engine/src/completionHandler.ts
+++ b/standins/engine/src/completionHandler.ts
@@ -9,7 +9,7 @@
 import type { EngineCore } from "./engineCore.js";
 import type { EngineFaults } from "./engineFaults.js";
 import type { EngineSequence } from "./engineSequence.js";
-import { promptFaultOf } from "./promptFaultOf.js";
+import { poisonOf } from "./poisonOf.js";
 import { RequestCounter } from "./requestCounter.js";
 import { sendError } from "./sendError.js";
 
@@ -97,17 +97,17 @@
 
     /** Fails the request if its prompt requests a fault or the error share selects it. Returns whether it failed. */
     private failIfFaulty(marker: string, body: JsonObject, response: ServerResponse): boolean {
-        const promptFault = promptFaultOf(promptTextOf(body));
-        if (promptFault === "malformed") {
+        const poison = poisonOf(promptTextOf(body));
+        if (poison === "malformed") {
             sendError(response, 400, "invalid_prompt", "The prompt is malformed");
             return true;
         }
-        if (promptFault === "crash") {
+        if (poison === "crash") {
             this.requestCounter.count(marker, "started");
             response.destroy();
             return true;
         }
-        if (promptFault === "never-completes" || this.random.next() < this.faults.errorShare) {
+        if (poison === "never-completes" || this.random.next() < this.faults.errorShare) {
             this.requestCounter.count(marker, "started");
             sendError(response, 500, "internal_error", "The request can't be completed");
             return true;
--- a/standins/engine/src/inMemoryEngine.ts
+++ b/standins/engine/src/inMemoryEngine.ts
@@ -11,7 +11,7 @@
 import { defaultStepModel } from "./defaultStepModel.js";
 import { embeddingsOf } from "./embeddingsOf.js";
 import { EngineCore } from "./engineCore.js";
-import { promptFaultOf } from "./promptFaultOf.js";
+import { poisonOf } from "./poisonOf.js";
 import type { StepModel } from "./stepModel.js";
 
 /** An in-process stand-in engine, for tests and simulations with a manual clock. */
@@ -23,7 +23,7 @@
     }
 
     async *generate(request: GenerateRequest, opts: { signal: AbortSignal; }): AsyncGenerator<GenerateEvent> {
-        throwIfFaulty(request);
+        throwIfPoisoned(request);
         const events: GenerateEvent[] = [];
         let notifyReader = () => {};
         const publish = (event: GenerateEvent) => {
@@ -85,8 +85,8 @@
     }
 }
 
-function throwIfFaulty(request: GenerateRequest): void {
-    switch (promptFaultOf(promptTextOf(request.body))) {
+function throwIfPoisoned(request: GenerateRequest): void {
+    switch (poisonOf(promptTextOf(request.body))) {
         case "never-completes":
             throw new KnapweedError("ENGINE_FAILED", "The engine failed because of a fault marker in the prompt", {
                 outcome: "unknown",
