--- a/standins/engine/src/engineServer.ts
+++ b/standins/engine/src/engineServer.ts
@@ -88,7 +88,7 @@
     }
 
     /** Sets faults, as `POST /faults` does. */
-    setFaults(faults: Partial<EngineFaults>): void {
+    applyFaults(faults: Partial<EngineFaults>): void {
         Object.assign(this.faults, faults);
         this.core.slowFactor = this.faults.slowFactor;
         this.core.setFrozen(this.faults.freeze);
@@ -112,7 +112,7 @@
             "POST /cache/export": (body, { response }) => this.exportCache(parse(body), response),
             "POST /cache/import": (body, { response }) => this.importCache(body, response),
             "POST /faults": (body, { response }) => {
-                this.setFaults(parse(body));
+                this.applyFaults(parse(body));
                 sendJson(response, 200, this.faults);
             },
             "GET /__record": (_body, { response }) => sendJson(response, 200, this.requestCounter.toJson()),
@@ -151,7 +151,7 @@
             sendJson(response, 200, { accepted: true });
             return;
         }
-        sendError(response, 409, "stale_fencing_number", "A higher fencing number has been seen");
+        sendError(response, 409, "stale_fencing_number", "An earlier order had a higher fencing number");
     }
 
     private streamCacheEvents(response: ServerResponse): void {
