--- a/fuzz/soak/src/checkDraining.ts
+++ b/fuzz/soak/src/checkDraining.ts
@@ -1,7 +1,7 @@
 import type { SoakRecord } from "./soakRecord.js";
 import type { Violation } from "./violation.js";
 
-const DRAIN_MS = 2000;
+const MAX_DRAIN_DELAY_MS = 2000;
 /** An unplanned fault excuses violations until this long after its end. */
 const FAULT_SLACK_MS = 3000;
 
@@ -12,7 +12,7 @@
 export function checkDraining(record: SoakRecord): Violation[] {
     return record.drains.flatMap(({ upstreamId, ackedAtMs }) =>
         record.runs
-            .filter(run => run.upstreamId === upstreamId && run.atMs > ackedAtMs + DRAIN_MS)
+            .filter(run => run.upstreamId === upstreamId && run.atMs > ackedAtMs + MAX_DRAIN_DELAY_MS)
             .filter(run => record.isFaultFree(ackedAtMs, run.atMs, { slackMs: FAULT_SLACK_MS, ignoresPlanned: true }))
             .map(run => ({
                 promise: "drained",
--- a/fuzz/soak/src/checkJobs.ts
+++ b/fuzz/soak/src/checkJobs.ts
@@ -4,7 +4,7 @@
 import type { Violation } from "./violation.js";
 
 /** How long after the acknowledged cancellation of a job its items may still start to run. */
-const CANCEL_MS = 3000;
+const MAX_CANCEL_DELAY_MS = 3000;
 /** Upstream failures after which an item may be abandoned, as set by the route. */
 const MAX_ATTEMPTS = 3;
 /** A fault excuses violations until this long after its end. */
@@ -65,7 +65,7 @@
         return [];
     }
     return record.runs
-        .filter(run => job.items.some(item => item.id === run.callId) && run.atMs > cancelledAtMs + CANCEL_MS)
+        .filter(run => job.items.some(item => item.id === run.callId) && run.atMs > cancelledAtMs + MAX_CANCEL_DELAY_MS)
         .filter(run => record.isFaultFree(cancelledAtMs, run.atMs, { slackMs: FAULT_SLACK_MS }))
         .map(run => ({ promise: "cancelled-stays", detail: `${run.callId} ran ${run.atMs - cancelledAtMs} ms after` }));
 }
--- a/fuzz/soak/src/checkRecovery.ts
+++ b/fuzz/soak/src/checkRecovery.ts
@@ -8,12 +8,12 @@
 
 /** Returns a violation if too few calls are served once all faults have been over for `RECOVERY_MS`. */
 export function checkRecovery(record: SoakRecord): Violation[] {
-    const { healedAtMs } = record;
-    if (healedAtMs === undefined) {
+    const { faultsEndedAtMs } = record;
+    if (faultsEndedAtMs === undefined) {
         return [];
     }
     const calls = record.calls.filter(call =>
-        call.kind !== "probe" && call.endedAtMs !== undefined && call.sentAtMs > healedAtMs + RECOVERY_MS
+        call.kind !== "probe" && call.endedAtMs !== undefined && call.sentAtMs > faultsEndedAtMs + RECOVERY_MS
     );
     const served = calls.filter(call => call.statusCode === 200 && call.isComplete);
     return calls.length < MIN_CALLS || served.length >= calls.length * MIN_SERVED_SHARE
--- a/fuzz/soak/src/faultInjector.ts
+++ b/fuzz/soak/src/faultInjector.ts
@@ -48,11 +48,11 @@
         const [family, variant = ""] = splitOnce(fault.kind);
         switch (family) {
             case "kill":
-                await (variant === "all" ? this.killAll() : this.onProcess(fault, process => this.restart(process)));
+                await (variant === "all" ? this.killAll() : this.runOnProcess(fault, process => this.restart(process)));
                 return;
             case "wipe":
             case "tear":
-                await this.onProcess(fault, async process => {
+                await this.runOnProcess(fault, async process => {
                     await process.kill();
                     await pause(RESTART_DELAY_MS);
                     process[family === "wipe" ? "wipeDisk" : "tearNewestFile"]();
@@ -61,14 +61,14 @@
                 });
                 return;
             case "pause":
-                await this.onProcess(fault, async process => {
+                await this.runOnProcess(fault, async process => {
                     process.signal("SIGSTOP");
                     await pause(fault.durationMs);
                     process.signal("SIGCONT");
                 });
                 return;
             case "stop":
-                await this.onProcess(fault, async process => {
+                await this.runOnProcess(fault, async process => {
                     await process.stop();
                     await pause(RESTART_DELAY_MS);
                     process.start();
@@ -76,13 +76,13 @@
                 }, { isPlanned: true });
                 return;
             case "reload":
-                await this.onProcess(fault, async process => process.signal("SIGHUP"), { isPlanned: true });
+                await this.runOnProcess(fault, async process => process.signal("SIGHUP"), { isPlanned: true });
                 return;
             case "store":
                 await this.applyStoreFault(fault, variant);
                 return;
             case "upstream":
-                await this.onUpstream(
+                await this.runOnUpstream(
                     fault,
                     upstream =>
                         variant === "crash"
@@ -91,10 +91,10 @@
                 );
                 return;
             case "link":
-                await this.onUpstream(fault, upstream => this.applyLinkFault(upstream, variant, fault.durationMs));
+                await this.runOnUpstream(fault, upstream => this.applyLinkFault(upstream, variant, fault.durationMs));
                 return;
             default:
-                await this.onUpstream(fault, upstream => this.drain(upstream), { isPlanned: true });
+                await this.runOnUpstream(fault, upstream => this.drain(upstream), { isPlanned: true });
         }
     }
 
@@ -116,7 +116,7 @@
 
     private async applyStoreFault(fault: PlannedFault, variant: string): Promise<void> {
         if (variant.startsWith("cut")) {
-            await this.onProcess(
+            await this.runOnProcess(
                 fault,
                 (_process, relay) => this.silenceRelay(relay, variant === "cut-one-way", fault),
             );
@@ -148,8 +148,8 @@
     }
 
     private async silenceRelay(relay: SoakUpstream["relay"], isOneWay: boolean, fault: PlannedFault): Promise<void> {
-        const oneWay = fault.targetFraction < 0.5 ? "forward" as const : "backward" as const;
-        const directions = isOneWay ? [oneWay] : ["forward" as const, "backward" as const];
+        const singleDirection = fault.targetFraction < 0.5 ? "forward" as const : "backward" as const;
+        const directions = isOneWay ? [singleDirection] : ["forward" as const, "backward" as const];
         relay.silence(...directions);
         relay.silenceNew(...directions);
         await pause(fault.durationMs);
@@ -204,15 +204,15 @@
         this.fleet.upstreams[this.fleet.upstreams.indexOf(upstream)] = successor;
     }
 
-    private async onProcess(
+    private async runOnProcess(
         fault: PlannedFault,
         action: (process: SoakProcess, relay: SoakUpstream["relay"]) => Promise<void>,
         opts: { isPlanned?: boolean; } = {},
     ): Promise<void> {
         const needsRunner = /runner|disk|file/u.test(fault.kind);
-        const isAny = /^store|^reload/u.test(fault.kind);
+        const targetsAnyProcess = /^store|^reload/u.test(fault.kind);
         const { members, gateways, runners } = this.fleet;
-        const candidates = isAny ? members : needsRunner ? runners : gateways;
+        const candidates = targetsAnyProcess ? members : needsRunner ? runners : gateways;
         const { process, storeRelay } = pick(candidates, fault.targetFraction);
         if (!this.activeTargets.has(process)) {
             await this.runRecorded(
@@ -225,7 +225,7 @@
         }
     }
 
-    private async onUpstream(
+    private async runOnUpstream(
         fault: PlannedFault,
         action: (upstream: SoakUpstream) => Promise<void>,
         opts: { isPlanned?: boolean; } = {},
--- a/fuzz/soak/src/runSoak.ts
+++ b/fuzz/soak/src/runSoak.ts
@@ -21,7 +21,7 @@
 const START_DELAY_MS = 3000;
 const WARM_UP_MS = 2000;
 /** Time for the fleet to recover and for calls that check the recovery. */
-const RECOVERY_MS = 16_000;
+const RECOVERY_PHASE_MS = 16_000;
 /** Time in which all jobs end once there are no more faults and no new jobs. */
 const FINISH_MS = 18_000;
 const SUBNETS = 200;
@@ -66,10 +66,10 @@
     await waitUntil(hasViolations, WARM_UP_MS + opts.faultMs);
     timers.forEach(timer => clearTimeout(timer));
     await injector.waitForPending();
-    fleet.heal();
-    record.healedAtMs = nowMs();
+    fleet.clearFaults();
+    record.faultsEndedAtMs = nowMs();
     jobsAbort.abort();
-    await waitUntil(hasViolations, RECOVERY_MS);
+    await waitUntil(hasViolations, RECOVERY_PHASE_MS);
     callersAbort.abort();
     clearInterval(configurationTimer);
     await waitUntil(() => hasViolations() || record.jobs.every(job => isFinished(job)), FINISH_MS);
--- a/fuzz/soak/src/soakFleet.ts
+++ b/fuzz/soak/src/soakFleet.ts
@@ -109,7 +109,7 @@
     }
 
     /** Ends all faults and starts the processes that are not running. */
-    heal(): void {
+    clearFaults(): void {
         this.store.mode = "normal";
         this.store.delayMs = 0;
         this.store.responsesToLose = 0;
--- a/fuzz/soak/src/soakRecord.ts
+++ b/fuzz/soak/src/soakRecord.ts
@@ -18,7 +18,7 @@
     /** The service to which any configuration so far routes each path prefix. */
     readonly servicesOfPrefix = new Map<string, string>();
     /** Time at which all faults were over; undefined until then. */
-    healedAtMs: number | undefined;
+    faultsEndedAtMs: number | undefined;
     /** Time at which the jobs had had enough time to end; undefined until then. */
     endedAtMs: number | undefined;
 
--- a/fuzz/soak/test/oracle.test.ts
+++ b/fuzz/soak/test/oracle.test.ts
@@ -20,7 +20,7 @@
 /** Time in which the last jobs end. */
 const LAST_JOBS_MS = 2500;
 const FIRST_SUBNET = 221;
-const RECOVERED_LONG_AGO_MS = 20_000;
+const FAULTS_ENDED_BEFORE_MS = 20_000;
 
 /** Runs callers, jobs and probes against a gateway with one breakage. @returns the promises found broken */
 async function findBrokenPromises(breakage: Breakage, subnet: number): Promise<string[]> {
@@ -37,7 +37,7 @@
     ["fetch", "book", "only-1", "only-2"].forEach(name => record.servicesOfPrefix.set(`/${name}/`, ANSWER_SERVICE));
     ["stream", "stream-once", "job"].forEach(name => record.servicesOfPrefix.set(`/${name}/`, MODEL_SERVICE));
     record.versions.push({ version: 1, writtenAtMs: nowMs(), ackedAtMs: nowMs() });
-    record.healedAtMs = nowMs() - RECOVERED_LONG_AGO_MS;
+    record.faultsEndedAtMs = nowMs() - FAULTS_ENDED_BEFORE_MS;
 
     const address: SoakGateway = {
         name: "g",
