--- a/fuzz/promises/src/checkOutcome.ts
+++ b/fuzz/promises/src/checkOutcome.ts
@@ -21,7 +21,7 @@
 /**
  * Ends all faults, waits for the jobs to end and compares their results with the submitted items.
  *
- * Then it cancels one job without faults. Rejects with `PROMISE_BROKEN` where a promise doesn't hold.
+ * Then it cancels another job, while no fault is active. Rejects with `PROMISE_BROKEN` where a promise doesn't hold.
  */
 export async function checkOutcome(fuzzCase: FuzzCase): Promise<void> {
     fuzzCase.fleet.clearFaults();
@@ -83,6 +83,11 @@
     }
 }
 
+/**
+ * Checks that an item failed for an allowed reason: its behaviour (not `answer`), lost upstreams or used-up attempts.
+ *
+ * A non-repeatable item may also end with an unknown outcome.
+ */
 function checkErrorLine(submission: Submission, line: OutputLine): void {
     const index = Number(line.custom_id.slice(1));
     const { behaviour } = submission.bodies[index];
--- a/fuzz/promises/src/fleet.ts
+++ b/fuzz/promises/src/fleet.ts
@@ -47,7 +47,7 @@
         return this.clock.advance(durationMs);
     }
 
-    /** Returns the leases ever granted to the live entries. */
+    /** Returns the ids of all leases granted to the live entries, including revoked and expired ones. */
     leaseIds(): string[] {
         return this.entries.filter(entry => !entry.lifecycle.dead).flatMap(entry => [...entry.leaseIds]);
     }
@@ -69,16 +69,19 @@
         return order.find(entry => !entry.lifecycle.dead && !entry.lifecycle.paused);
     }
 
+    /** Ends an entry without a handover. */
     crashEntry(index: number): void {
         this.entries[index].crash();
         this.clock.setTimer(RESTART_DELAY_MS, () => this.replaceEntry(index));
     }
 
+    /** Stops an entry as planned. Resolves once it has handed over its partitions and claim shards. */
     async stopEntry(index: number): Promise<void> {
         await this.entries[index].stop();
         this.clock.setTimer(RESTART_DELAY_MS, () => this.replaceEntry(index));
     }
 
+    /** Ends a side at once; does nothing if it is already dead. */
     crashSide(index: number): void {
         if (this.sides[index].lifecycle.dead) {
             return;
--- a/fuzz/promises/src/fuzzCase.ts
+++ b/fuzz/promises/src/fuzzCase.ts
@@ -162,7 +162,7 @@
         this.oracle.faultsUntilMs = Math.max(this.oracle.faultsUntilMs, untilMs);
     }
 
-    /** Returns the entries that receive the request concurrently. */
+    /** Returns the indexes of the entries that receive the request concurrently. */
     private targetEntries(step: { entry: number; twice: boolean; }): number[] {
         return step.twice ? [step.entry, step.entry + 1] : [step.entry];
     }
--- a/fuzz/promises/src/fuzzPromises.ts
+++ b/fuzz/promises/src/fuzzPromises.ts
@@ -13,7 +13,7 @@
 /**
  * Runs `runs` random cases against the real components and checks the promises after each step and at the end.
  *
- * The same seed gives the same cases. A broken promise doesn't reject; the report holds it.
+ * The same seed gives the same cases. A broken promise doesn't reject the run; the report describes it.
  */
 export async function fuzzPromises(opts: {
     seed: number;
--- a/fuzz/promises/src/instanceLifecycle.ts
+++ b/fuzz/promises/src/instanceLifecycle.ts
@@ -1,4 +1,4 @@
-/** Controls whether a simulated instance runs: a pause defers its actions, death drops them for good. */
+/** Controls whether a simulated instance runs. A pause defers its actions. A killed instance runs none. */
 export class InstanceLifecycle {
     private isPaused = false;
     private isDead = false;
--- a/fuzz/promises/src/jobClient.ts
+++ b/fuzz/promises/src/jobClient.ts
@@ -63,7 +63,11 @@
         await Promise.all(entries.map(target => this.send(target, submission)));
     }
 
-    /** Sends the request that creates the job, for the first time or again with the same idempotency key. */
+    /**
+     * Sends the request that creates the job, for the first time or again with the same idempotency key.
+     *
+     * Never rejects; rejections as not run are counted in the submission.
+     */
     async send(entry: SimulatedEntry, submission: Submission): Promise<void> {
         submission.sentCount += 1;
         const { idempotencyKey, endpoint, inputFileId } = submission;
@@ -83,7 +87,7 @@
         }
     }
 
-    /** Cancels the job if its creation is acknowledged, and records when the cancel was. */
+    /** Cancels the job if its creation is acknowledged, and records when a cancel was first acknowledged. */
     async cancel(entry: SimulatedEntry, submission: Submission): Promise<void> {
         const { jobId } = submission;
         if (jobId === undefined) {
--- a/fuzz/promises/src/keyedCaller.ts
+++ b/fuzz/promises/src/keyedCaller.ts
@@ -24,7 +24,7 @@
     }
 
     /**
-     * Makes one attempt and gives its result to the oracle, unless the entry has died.
+     * Makes one attempt and gives its result to the oracle, unless the entry is dead by then.
      *
      * The call runs for `runMs` milliseconds. With `loseAnswer`, its response is lost and nothing is recorded.
      */
--- a/fuzz/promises/src/memorySegmentStore.ts
+++ b/fuzz/promises/src/memorySegmentStore.ts
@@ -7,7 +7,11 @@
 
 const MAX_SEGMENT_BYTES = 2000;
 
-/** A data folder in memory. Like a disk, it outlives the process. `get` rejects for missing and corrupt segments. */
+/**
+ * A data folder in memory. Like a disk, it outlives the process.
+ *
+ * `get` rejects with `SEGMENT_NOT_FOUND` or `SEGMENT_CORRUPT`.
+ */
 export class MemorySegmentStore implements SegmentStore {
     readonly maxSegmentBytes = MAX_SEGMENT_BYTES;
     readonly copyCount = 1;
--- a/fuzz/promises/src/oracle.ts
+++ b/fuzz/promises/src/oracle.ts
@@ -20,7 +20,7 @@
 export class Oracle {
     readonly submissions: Submission[] = [];
     readonly keyedCalls: KeyedCall[] = [];
-    /** The end of the last fault's effects. A cancel before it has no time limit. */
+    /** Simulated time until which faults may have effects. No time limit applies to a cancel before it. */
     faultsUntilMs = 0;
     private readonly platform: SimulationPlatform;
     private readonly snapshots = new Map<JobId, JobSnapshot>();
@@ -35,7 +35,11 @@
         this.violation ??= violation;
     }
 
-    /** Checks the promises that hold at any time. During an outage of the key-value service, jobs aren't checked. */
+    /**
+     * Checks the promises that hold at any time. Rejects with the first violation.
+     *
+     * During an outage of the key-value service, the stored progress of jobs isn't checked.
+     */
     async check(): Promise<void> {
         if (this.violation !== undefined) {
             throw this.violation;
@@ -63,7 +67,7 @@
         return this.submissions.filter(submission => submission.jobId !== undefined);
     }
 
-    /** Records the job acknowledged for a submission. Another job than before is a violation. */
+    /** Records the job acknowledged for a submission. A second, different job id is a violation. */
     recordAcknowledgement(submission: Submission, jobId: JobId): void {
         if (submission.jobId !== undefined && submission.jobId !== jobId) {
             this.recordViolation(promiseViolation("a resend gives the same job", { jobId, earlier: submission.jobId }));
--- a/fuzz/promises/src/pausableClock.ts
+++ b/fuzz/promises/src/pausableClock.ts
@@ -2,7 +2,7 @@
 import type { Timer } from "@knapweedwood/core.clock/timer";
 import type { InstanceLifecycle } from "./instanceLifecycle.js";
 
-/** The clock of a simulated instance. Timers that are due during a pause fire at its end; after death, none fires. */
+/** The clock of a simulated instance. Timers that are due during a pause fire at its end. */
 export class PausableClock implements Clock {
     private readonly opts: { clock: Clock; lifecycle: InstanceLifecycle; };
 
@@ -14,6 +14,7 @@
         return this.opts.clock.nowMs();
     }
 
+    /** Sets a timer, which never fires once the instance is dead. */
     setTimer(delayMs: number, action: () => void): Timer {
         let isCancelled = false;
         const timer = this.opts.clock.setTimer(delayMs, () =>
--- a/fuzz/promises/src/pausableKeyValueService.ts
+++ b/fuzz/promises/src/pausableKeyValueService.ts
@@ -8,7 +8,7 @@
  * Calls, responses and watch batches are held back while the instance is paused, and never delivered once it is dead.
  */
 export class PausableKeyValueService implements KeyValueService {
-    /** The leases granted to this instance, including revoked and expired ones. */
+    /** The ids of the leases granted to this instance, including revoked and expired ones. */
     readonly leaseIds: string[] = [];
     private readonly opts: { keyValue: KeyValueService; lifecycle: InstanceLifecycle; };
 
--- a/fuzz/promises/src/simulatedEntry.ts
+++ b/fuzz/promises/src/simulatedEntry.ts
@@ -100,7 +100,7 @@
         });
     }
 
-    /** Returns the leases ever granted to this entry. */
+    /** Returns the ids of all leases granted to this entry, including revoked and expired ones. */
     get leaseIds(): readonly string[] {
         return this.pausableKeyValue.leaseIds;
     }
--- a/fuzz/promises/src/simulationPlatform.ts
+++ b/fuzz/promises/src/simulationPlatform.ts
@@ -14,7 +14,7 @@
     readonly instanceList: MemoryInstanceList;
     readonly network: MemoryNetwork;
     readonly upstreams = new UpstreamHistory();
-    /** Returns the live instances that have a data folder. */
+    /** Returns the live instances that have a data folder. The fleet sets this function. */
     holders: () => SegmentHolder[] = () => [];
 
     constructor(opts: { clock: ManualClock; options: SimulationOptions; }) {
--- a/fuzz/promises/src/step.ts
+++ b/fuzz/promises/src/step.ts
@@ -1,7 +1,17 @@
-/** How an item of a submitted job behaves at its upstream. */
+/**
+ * How an item of a submitted job behaves at its upstream.
+ *
+ * `answer` completes, `slow` streams chunks before it completes, `reject` and `fail` end with an error, and `crash`
+ * crashes the side that runs the item.
+ */
 export type ItemBehaviour = "answer" | "slow" | "reject" | "fail" | "crash";
 
-/** One step of a fuzz case. An index beyond the last entry, side, folder or job wraps around. */
+/**
+ * One step of a fuzz case. An index beyond the last entry, side, folder or job wraps around.
+ *
+ * `silence` makes an entry and a side unreachable from each other. `lapse-leases` expires the leases of all live
+ * entries. `tear-folder` truncates the segments of one data folder.
+ */
 export type Step =
     | {
         kind: "submit";
--- a/fuzz/promises/test/mutantKeyValueService.ts
+++ b/fuzz/promises/test/mutantKeyValueService.ts
@@ -9,15 +9,15 @@
 interface Mutation {
     /** Drops the comparisons of keys that contain one of these. */
     dropsCompares?: string[];
-    /** Makes puts of keys that contain this without their lease. */
+    /** Removes the lease from the puts of keys that contain this. */
     dropsLeases?: string;
     /** The outcome reported in place of an unknown one. */
     assumedOutcome?: "not-run" | "succeeded";
-    /** Reports a write of keys that contain this as succeeded without making it. */
+    /** Reports a transaction on keys that contain this as succeeded without running it. */
     skipsWrites?: string;
 }
 
-/** A key-value service that drops, changes or misreports transactions, as a faulty component would use it. */
+/** A key-value service that drops, changes or misreports transactions. It simulates a component with a fault. */
 export class MutantKeyValueService implements KeyValueService {
     private readonly service: KeyValueService;
     private readonly mutation: Mutation;
--- a/fuzz/promises/test/recovery.test.ts
+++ b/fuzz/promises/test/recovery.test.ts
@@ -108,9 +108,9 @@
 });
 
 const outageCases = [
-    { name: "an outage of 30 minutes loses no result and reruns none", seed: 7 },
-    { name: "an outage of 30 minutes reruns none, seed 1", seed: 1 },
-    { name: "an outage of 30 minutes reruns none, seed 5", seed: 5 },
+    { name: "an outage of 30 minutes loses no result and reruns no item", seed: 7 },
+    { name: "an outage of 30 minutes reruns no item, seed 1", seed: 1 },
+    { name: "an outage of 30 minutes reruns no item, seed 5", seed: 5 },
 ];
 
 outageCases.forEach(({ name, seed }) => {
