--- a/fuzz/soak/src/callRecord.ts
+++ b/fuzz/soak/src/callRecord.ts
@@ -17,6 +17,7 @@
     /** Whether the HTTP response arrived in full. */
     isComplete: boolean;
     responseBody: string;
+    /** Whether the response has the header that proves that it comes from an upstream. */
     hasProof: boolean;
     /** For probes: the version of the configuration whose route is requested. */
     version: number | undefined;
--- a/fuzz/soak/src/checkJobs.ts
+++ b/fuzz/soak/src/checkJobs.ts
@@ -13,8 +13,8 @@
 const SETTLE_MS = 1000;
 
 /**
- * Returns a violation for each accepted job that was lost or did not end, for each item with a duplicate, incomplete or
- * moved result or abandoned too early, and for each item that ran after the cancellation of its job.
+ * Returns a violation for each accepted job that was lost or did not end. Also returns one for each item whose result
+ * is duplicate, incomplete or moved, that was abandoned too early, or that ran after the cancellation of its job.
  */
 export function checkJobs(record: SoakRecord): Violation[] {
     return record.jobs
--- a/fuzz/soak/src/checkRecovery.ts
+++ b/fuzz/soak/src/checkRecovery.ts
@@ -1,6 +1,7 @@
 import type { SoakRecord } from "./soakRecord.js";
 import type { Violation } from "./violation.js";
 
+/** Calls sent within this time after the end of all faults are not counted. */
 const RECOVERY_MS = 12_000;
 /** With fewer calls the share is not significant. */
 const MIN_CALLS = 20;
--- a/fuzz/soak/src/checkRuns.ts
+++ b/fuzz/soak/src/checkRuns.ts
@@ -8,8 +8,8 @@
 const NOT_RUN_STATUSES = [408, 421, 429, 503];
 
 /**
- * Returns a violation for each request that upstreams ran changed, at the wrong service, more often than its kind
- * allows, or although its caller had been told that it does not run.
+ * Returns a violation for each request that upstreams ran with other content, at the wrong service, more often than its
+ * kind allows, or although its response stated that it did not run.
  */
 export function checkRuns(record: SoakRecord): Violation[] {
     const runsById = groupBy(record.runs, run => run.callId);
--- a/fuzz/soak/src/checkStops.ts
+++ b/fuzz/soak/src/checkStops.ts
@@ -9,7 +9,7 @@
 
 /**
  * Returns a violation for each forwarded request that a planned stop cut off, and for each process that exited
- * without being told to.
+ * although the soak did not request it.
  */
 export function checkStops(record: SoakRecord): Violation[] {
     const exits = record.exits.map(exit => ({
--- a/fuzz/soak/src/faultInjector.ts
+++ b/fuzz/soak/src/faultInjector.ts
@@ -147,6 +147,10 @@
         });
     }
 
+    /**
+     * Silences a relay in one or both directions; a target fraction below 0.5 selects `forward` as the one direction.
+     * Connections opened after the fault work; those silenced stay silent.
+     */
     private async silenceRelay(relay: SoakUpstream["relay"], isOneWay: boolean, fault: PlannedFault): Promise<void> {
         const singleDirection = fault.targetFraction < 0.5 ? "forward" as const : "backward" as const;
         const directions = isOneWay ? [singleDirection] : ["forward" as const, "backward" as const];
@@ -204,6 +208,7 @@
         this.fleet.upstreams[this.fleet.upstreams.indexOf(upstream)] = successor;
     }
 
+    /** Runs the action on the process that the fault selects, unless that process already has an active fault. */
     private async runOnProcess(
         fault: PlannedFault,
         action: (process: SoakProcess, relay: SoakUpstream["relay"]) => Promise<void>,
@@ -225,6 +230,7 @@
         }
     }
 
+    /** Runs the action on the upstream that the fault selects, unless that upstream already has an active fault. */
     private async runOnUpstream(
         fault: PlannedFault,
         action: (upstream: SoakUpstream) => Promise<void>,
@@ -266,6 +272,7 @@
     return values[Math.floor(fraction * values.length)]!;
 }
 
+/** Splits a kind of fault at its first dash into family and variant, shape [family] or [family, variant]. */
 function splitOnce(kind: string): string[] {
     const dash = kind.indexOf("-");
     return dash < 0 ? [kind] : [kind.slice(0, dash), kind.slice(dash + 1)];
--- a/fuzz/soak/src/runRecord.ts
+++ b/fuzz/soak/src/runRecord.ts
@@ -10,6 +10,7 @@
     path: string;
     body: string;
     atMs: number;
+    /** Id of the event after which the stream is to resume; 0 for a stream from its start. */
     lastEventId: number;
     /** The mode in which the upstream failed the request on purpose; undefined if it did not. */
     faultMode: UpstreamMode | undefined;
--- a/fuzz/soak/src/soakCaller.ts
+++ b/fuzz/soak/src/soakCaller.ts
@@ -36,6 +36,7 @@
         this.opts = opts;
     }
 
+    /** Sends random calls, with pauses between them, until `signal` is aborted. */
     async run(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
             const kind = KINDS[this.opts.random.nextInteger(KINDS.length)]!;
@@ -50,7 +51,10 @@
         this.connection?.close();
     }
 
-    /** Requests, from random gateways, routes that exist only in the newest configuration or the one before it. */
+    /**
+     * Requests, from random gateways, routes that exist only in the newest configuration or the one before it.
+     * Continues until `signal` is aborted.
+     */
     async probe(gateways: SoakGateway[], signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
             await pause(MAX_PAUSE_MS);
--- a/fuzz/soak/src/soakFleet.ts
+++ b/fuzz/soak/src/soakFleet.ts
@@ -75,6 +75,7 @@
         }));
     }
 
+    /** Starts the key-value service, the upstreams and all processes. Does not wait until the processes are ready. */
     async start(): Promise<void> {
         const storePort = await this.store.listen(this.hostOf(4, 1));
         await this.operator.writeNextConfiguration();
@@ -128,6 +129,7 @@
         });
     }
 
+    /** Kills all processes, then closes the relays, the upstreams and the key-value service. */
     async close(): Promise<void> {
         await Promise.all(this.members.map(({ process }) => process.kill()));
         this.members.forEach(({ storeRelay }) => storeRelay.close());
@@ -160,6 +162,7 @@
         return { process: new SoakProcess({ ...this.opts, folder, program, settings }), storeRelay };
     }
 
+    /** Returns a loopback address. Groups: 1 gateways, 2 runners, 3 upstreams, 4 key-value service and its relays. */
     private hostOf(group: number, number: number): string {
         return `127.${this.opts.subnet}.${group}.${number}`;
     }
--- a/fuzz/soak/src/soakOperator.ts
+++ b/fuzz/soak/src/soakOperator.ts
@@ -44,6 +44,7 @@
         this.record.versions.push({ version, writtenAtMs, ackedAtMs: this.nowMs() });
     }
 
+    /** Writes the entry of an upstream. Records the acknowledgement if the upstream drains. */
     async announce(upstream: SoakUpstream): Promise<void> {
         const key = `${wireKeys.upstreams}${upstream.id}`;
         await this.keyValueService.transact([], [{ kind: "put", key, value: encodeUpstream(upstream.announcement) }]);
@@ -52,6 +53,7 @@
         }
     }
 
+    /** Deletes the entry of an upstream. */
     async remove(upstream: SoakUpstream): Promise<void> {
         await this.keyValueService.transact([], [{ kind: "delete", key: `${wireKeys.upstreams}${upstream.id}` }]);
     }
--- a/fuzz/soak/src/soakReport.ts
+++ b/fuzz/soak/src/soakReport.ts
@@ -6,7 +6,9 @@
     violations: Violation[];
     /** The injected faults, each as `TIME_MS KIND TARGET`. */
     faults: string[];
+    /** Number of calls, including probes. */
     calls: number;
+    /** Number of calls that got a complete response with status 200. */
     served: number;
     /** Number of accepted jobs. */
     jobs: number;
--- a/fuzz/soak/src/soakUpstream.ts
+++ b/fuzz/soak/src/soakUpstream.ts
@@ -21,6 +21,7 @@
 const SLOTS = 8;
 /** Maximum number of requests that wait for a slot, in addition to those that run. */
 const MAX_QUEUED = 8;
+/** Share of the requests that an upstream fails while its mode is neither `healthy` nor `slow`. */
 const MISBEHAVING_SHARE = 0.4;
 
 /**
@@ -49,6 +50,7 @@
         return this.upstream;
     }
 
+    /** Starts to listen behind a relay. `relay` and `announcement` are defined only afterwards. */
     async listen(host: string): Promise<void> {
         await new Promise<void>(resolve => this.server.listen(0, host, resolve));
         this.relay = new TcpRelay({ host, port: (this.server.address() as AddressInfo).port });
--- a/fuzz/soak/src/upstreamMode.ts
+++ b/fuzz/soak/src/upstreamMode.ts
@@ -1,2 +1,7 @@
-/** How an upstream treats requests. */
+/**
+ * How an upstream treats requests. `slow` delays all responses. The modes after it fail a share of the requests.
+ *
+ * `errors` responds with status 500. `cut` closes the connection within the first event. `hang` sends no response and
+ * closes the connection late. `garble` sends a wrong body without proof.
+ */
 export type UpstreamMode = "healthy" | "slow" | "errors" | "cut" | "hang" | "garble";
--- a/fuzz/soak/test/brokenGateway.ts
+++ b/fuzz/soak/test/brokenGateway.ts
@@ -198,7 +198,7 @@
         }));
     }
 
-    /** Runs an item, again as long as upstreams are full. */
+    /** Runs an item, and retries it while the upstreams are full. */
     private async runItem(item: WireItem): Promise<string> {
         const call = { ...item, body: Buffer.from(item.body, "base64").toString("utf8") };
         let response = await this.run(call);
--- a/fuzz/soak/test/oracle.test.ts
+++ b/fuzz/soak/test/oracle.test.ts
@@ -20,6 +20,7 @@
 /** Time in which the last jobs end. */
 const LAST_JOBS_MS = 2500;
 const FIRST_SUBNET = 221;
+/** How long before the start of the test all faults ended. More than the recovery time that the oracle allows. */
 const FAULTS_ENDED_BEFORE_MS = 20_000;
 
 /** Runs callers, jobs and probes against a gateway with one breakage. @returns the promises found broken */
