--- a/bench/decisions/src/callOutcomes.ts
+++ b/bench/decisions/src/callOutcomes.ts
@@ -70,8 +70,8 @@
     if (isOnTime(call)) {
         return 1;
     }
-    const isReturnOnTime = call.rejections > 0 && call.firstEventAtMs - call.lastAttemptAtMs <= OBJECTIVE_MS;
-    return isReturnOnTime ? (1 + LATE_VALUE) / 2 : LATE_VALUE;
+    const isRetryOnTime = call.rejections > 0 && call.firstEventAtMs - call.lastAttemptAtMs <= OBJECTIVE_MS;
+    return isRetryOnTime ? (1 + LATE_VALUE) / 2 : LATE_VALUE;
 }
 
 function isOnTime(call: CallOutcome): boolean {
--- a/bench/decisions/src/simulationClock.ts
+++ b/bench/decisions/src/simulationClock.ts
@@ -11,7 +11,7 @@
 /** A clock for simulations. It moves from one timer to the next without waiting. */
 export class SimulationClock implements Clock {
     private currentMs = 0;
-    private setCount = 0;
+    private timerCount = 0;
     /** Binary heap with the next due timer at its root. */
     private readonly heap: PendingTimer[] = [];
 
@@ -20,7 +20,7 @@
     }
 
     setTimer(delayMs: number, action: () => void): Timer {
-        const timer: PendingTimer = { dueMs: this.currentMs + Math.max(0, delayMs), order: this.setCount++, action };
+        const timer: PendingTimer = { dueMs: this.currentMs + Math.max(0, delayMs), order: this.timerCount++, action };
         this.push(timer);
         return {
             cancel: () => {
--- a/bench/faults/src/faultSchedule.ts
+++ b/bench/faults/src/faultSchedule.ts
@@ -1,4 +1,4 @@
-import { Recorder } from "@knapweedwood/bench.load/recorder";
+import { LatencyRecorder } from "@knapweedwood/bench.load/latencyRecorder";
 import type { Clock } from "@knapweedwood/core.clock/clock";
 import { sleep } from "@knapweedwood/core.clock/sleep";
 import type { Random } from "@knapweedwood/core.random/random";
@@ -18,7 +18,7 @@
 /** Brings faults in, one after another, until its time is over. */
 export class FaultSchedule {
     readonly counts: { [kind: string]: number; } = {};
-    readonly recovery = new Recorder();
+    readonly recovery = new LatencyRecorder();
     private readonly opts: { bed: FaultsBed; probe: OwnershipProbe; clock: Clock; random: Random; };
     private readonly running: Promise<void>[] = [];
 
--- a/bench/load/src/recorder.ts
+++ b/bench/load/src/latencyRecorder.ts
@@ -6,7 +6,7 @@
 const SIGNIFICANT_DIGITS = 3;
 
 /** Records durations in an HDR histogram with a resolution of one microsecond, up to one hour. */
-export class Recorder {
+export class LatencyRecorder {
     private readonly histogram: Histogram = build({
         lowestDiscernibleValue: 1,
         highestTrackableValue: HIGHEST_US,
@@ -20,7 +20,7 @@
     }
 
     /** Adds the durations of another recorder. */
-    add(other: Recorder): void {
+    add(other: LatencyRecorder): void {
         this.histogram.add(other.histogram);
     }
 
--- a/bench/load/test/arrivals.test.ts
+++ b/bench/load/test/arrivals.test.ts
@@ -7,9 +7,9 @@
 import { runOpenLoop } from "../src/runOpenLoop.js";
 
 test("Poisson arrivals are ascending, match the requested rate, and are the same for the same seed", () => {
-    const arrive = () => poissonArrivals({ ratePerS: 100, durationMs: 100_000, random: new SeededRandom(1) });
-    const arrivals = arrive();
-    assert.deepEqual(arrivals, arrive());
+    const createArrivals = () => poissonArrivals({ ratePerS: 100, durationMs: 100_000, random: new SeededRandom(1) });
+    const arrivals = createArrivals();
+    assert.deepEqual(arrivals, createArrivals());
     assert.deepEqual(arrivals, [...arrivals].sort((left, right) => left - right));
     assert.ok(Math.abs(arrivals.length - 10_000) < 400, `${arrivals.length} arrivals`);
 });
@@ -32,18 +32,18 @@
 test("an open loop starts calls at their arrival times while earlier calls are in progress", async () => {
     const clock = new ManualClock();
     const started: number[] = [];
-    const dues: number[] = [];
+    const dueTimesMs: number[] = [];
     const loop = runOpenLoop({
         clock,
         arrivals: [10, 20, 30],
         call: async (_index, dueMs) => {
             started.push(clock.nowMs());
-            dues.push(dueMs);
+            dueTimesMs.push(dueMs);
             await new Promise<void>(resolve => clock.setTimer(1000, resolve));
         },
     });
     await clock.advance(2000);
     await loop;
     assert.deepEqual(started, [10, 20, 30]);
-    assert.deepEqual(dues, [10, 20, 30]);
+    assert.deepEqual(dueTimesMs, [10, 20, 30]);
 });
--- a/bench/load/test/reports.test.ts
+++ b/bench/load/test/reports.test.ts
@@ -1,10 +1,10 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { htmlReport } from "../src/htmlReport.js";
-import { Recorder } from "../src/recorder.js";
+import { LatencyRecorder } from "../src/latencyRecorder.js";
 
 test("a recorder returns percentiles within its resolution", () => {
-    const recorder = new Recorder();
+    const recorder = new LatencyRecorder();
     Array.from({ length: 1000 }, (_, index) => index + 1).forEach(durationMs => recorder.record(durationMs));
     const summary = recorder.summary();
     assert.equal(summary.count, 1000);
--- a/bench/mixed/src/armFigures.ts
+++ b/bench/mixed/src/armFigures.ts
@@ -1,10 +1,10 @@
-import type { LatencySummary } from "./latencySummary.js";
+import type { LatencyQuantiles } from "./latencyQuantiles.js";
 
 /** Figures of one arm over all its slices. */
 export interface ArmFigures {
     title: string;
-    timeToFirstToken: LatencySummary;
-    tokenGap: LatencySummary;
+    timeToFirstToken: LatencyQuantiles;
+    tokenGap: LatencyQuantiles;
     batchTokensPerSecond: number;
     onlineTokensPerSecond: number;
     /** Batch tokens as a share of the bound (e); 0 for online alone. */
--- a/bench/mixed/src/engineMain.ts
+++ b/bench/mixed/src/engineMain.ts
@@ -1,11 +1,11 @@
 import { readChildSettings } from "@knapweedwood/bench.overhead/readChildSettings";
 import { SystemClock } from "@knapweedwood/core.clock/systemClock";
 import { EngineServer } from "@knapweedwood/standins.engine/engineServer";
-import type { EngineSettings } from "./engineSettings.js";
+import type { MixedEngineSettings } from "./mixedEngineSettings.js";
 
 const HOST = "127.0.0.1";
 
-const settings = readChildSettings<EngineSettings>();
+const settings = readChildSettings<MixedEngineSettings>();
 const server = new EngineServer({
     clock: new SystemClock(),
     seed: settings.seed,
--- a/bench/mixed/src/latencySummary.ts
+++ b/bench/mixed/src/latencyQuantiles.ts
@@ -1,5 +1,5 @@
 /** Sample count and quantiles of a latency, in milliseconds. */
-export interface LatencySummary {
+export interface LatencyQuantiles {
     count: number;
     p50Ms: number;
     p99Ms: number;
--- a/bench/mixed/src/simulatedArm.ts
+++ b/bench/mixed/src/simulatedArm.ts
@@ -1,12 +1,12 @@
 import type { EngineTotals } from "@knapweedwood/standins.engine/engineTotals";
-import type { LatencySummary } from "./latencySummary.js";
+import type { LatencyQuantiles } from "./latencyQuantiles.js";
 
 /** Figures of one arm of a simulation. */
 export interface SimulatedArm {
-    timeToFirstToken: LatencySummary;
+    timeToFirstToken: LatencyQuantiles;
     /** Time to first token by arrival, shape [arrivals]; undefined where the call did not end within the simulation. */
     firstTokenMs: (number | undefined)[];
-    tokenGap: LatencySummary;
+    tokenGap: LatencyQuantiles;
     failedCalls: number;
     totals: EngineTotals;
 }
--- a/bench/overhead/src/overheadExperiment.ts
+++ b/bench/overhead/src/overheadExperiment.ts
@@ -1,5 +1,5 @@
+import { LatencyRecorder } from "@knapweedwood/bench.load/latencyRecorder";
 import { poissonArrivals } from "@knapweedwood/bench.load/poissonArrivals";
-import { Recorder } from "@knapweedwood/bench.load/recorder";
 import { runClosedLoop } from "@knapweedwood/bench.load/runClosedLoop";
 import { runOpenLoop } from "@knapweedwood/bench.load/runOpenLoop";
 import { SystemClock } from "@knapweedwood/core.clock/systemClock";
@@ -77,7 +77,11 @@
     async measureFirstToken(tokensPerS: number): Promise<OverheadReport["firstToken"]> {
         const saturationPerS = tokensPerS / STREAM_TOKENS;
         const offeredPerS = saturationPerS * LOAD_SHARE;
-        const recorders = { direct: new Recorder(), passThrough: new Recorder(), entry: new Recorder() };
+        const recorders = {
+            direct: new LatencyRecorder(),
+            passThrough: new LatencyRecorder(),
+            entry: new LatencyRecorder(),
+        };
         for (let round = 0; round < this.plan.rounds; round += 1) {
             for (const path of PATHS) {
                 await this.firstTokenRound(path, offeredPerS, recorders[path]);
@@ -148,7 +152,7 @@
         });
     }
 
-    private firstTokenRound(path: Path, ratePerS: number, recorder: Recorder): Promise<void> {
+    private firstTokenRound(path: Path, ratePerS: number, recorder: LatencyRecorder): Promise<void> {
         return runOpenLoop({
             clock: this.clock,
             arrivals: poissonArrivals({ ratePerS, durationMs: this.plan.phaseMs, random: this.random }),
