--- a/bench/decisions/src/callOutcome.ts
+++ b/bench/decisions/src/callOutcome.ts
@@ -5,6 +5,6 @@
     firstEventAtMs: number | undefined;
     /** Start of the last attempt. */
     lastAttemptAtMs: number;
-    /** How many attempts were rejected. */
+    /** Number of rejected attempts. */
     rejections: number;
 }
--- a/bench/decisions/src/callOutcomes.ts
+++ b/bench/decisions/src/callOutcomes.ts
@@ -2,10 +2,13 @@
 import type { DecisionFigures } from "./decisionFigures.js";
 import type { LoadPattern } from "./loadPattern.js";
 
+/** Time to the first event up to which a call is on time. */
 const OBJECTIVE_MS = 300;
-/** Value of a late response, where one on time has the value 1. */
+/** Value of a late response. A response on time has the value 1. */
 const LATE_VALUE = 0.15;
+/** Length of the windows of which the worst is reported. */
 const WINDOW_MS = 2000;
+/** Length of the window in which all calls must be on time to count as recovered. */
 const RECOVERY_WINDOW_MS = 500;
 const MS_PER_SECOND = 1000;
 
@@ -39,7 +42,7 @@
         };
     }
 
-    /** Time after the span until every call of a window is on time; Infinity where that never happens. */
+    /** Returns the time from the end of the span to the first window whose calls are all on time, else Infinity. */
     private recoveryMs(load: LoadPattern): number {
         for (let fromMs = load.toMs; fromMs < load.durationMs - WINDOW_MS; fromMs += RECOVERY_WINDOW_MS) {
             if (this.onTimeShare(fromMs, RECOVERY_WINDOW_MS) === 1) {
@@ -60,8 +63,9 @@
 }
 
 /**
- * A call on time at its first attempt has the value 1. One on time at the attempt after a rejection counts halfway
- * between on time and late. A late call has LATE_VALUE, an unserved one 0.
+ * Returns the value of a call to its caller. A call on time, counted from its arrival, has the value 1. A late call has
+ * LATE_VALUE, or the mean of 1 and LATE_VALUE where its retry after a rejection is on time, counted from the retry. An
+ * unserved call has the value 0.
  */
 function valueOf(call: CallOutcome): number {
     if (call.firstEventAtMs === undefined) {
--- a/bench/decisions/src/callQueue.ts
+++ b/bench/decisions/src/callQueue.ts
@@ -4,5 +4,6 @@
 export interface CallQueue {
     submit(call: QueuedRequest): void;
     remove(call: QueuedRequest): void;
+    /** Places queued requests on upstreams with free slots. */
     dispatch(): void;
 }
--- a/bench/decisions/src/compareDecisions.ts
+++ b/bench/decisions/src/compareDecisions.ts
@@ -6,7 +6,7 @@
 const POLICIES: DecisionPolicy[] = ["ours", "first-come", "forwarder"];
 
 /**
- * Simulates each load with each policy.
+ * Simulates each load with each policy, once for each of `seeds` consecutive seeds from `seed` on.
  *
  * @returns means over the seeds, shape [loads * policies]
  */
--- a/bench/decisions/src/decisionFigures.ts
+++ b/bench/decisions/src/decisionFigures.ts
@@ -3,19 +3,22 @@
     policy: string;
     load: string;
     calls: number;
-    /** Mean value of a call to its caller: 1 on time, less after a rejection, little where late, 0 where unserved. */
+    /**
+     * Mean value of a call to its caller: 1 where on time, less where only its retry was on time, little where late, 0
+     * where unserved.
+     */
     meanValue: number;
-    /** Shares of the calls by their first event: on time counted from the first attempt, late, never. */
+    /** Shares of the calls whose first event was on time, late or missing, counted from the first attempt. */
     onTimeShare: number;
     lateShare: number;
     unservedShare: number;
     /** Share of the calls that were rejected at least once. */
     refusedShare: number;
-    /** Smallest share on time of all windows of two seconds. */
+    /** Smallest share of calls on time in any window of two seconds. */
     worstWindowShare: number;
     /** Calls on time per second. */
     goodputPerSecond: number;
-    /** Time after the span until all calls of half a second are on time; Infinity where that never happens. */
+    /** Time from the end of the span to the first half second whose calls are all on time; Infinity where none is. */
     recoveryMs: number;
     /** Share of the items due in the span whose result was stored on time. */
     itemsOnTimeShare: number;
--- a/bench/decisions/src/jobSimulation.ts
+++ b/bench/decisions/src/jobSimulation.ts
@@ -19,8 +19,11 @@
 
 const ITEMS_PER_JOB = 10;
 const MEAN_JOB_GAP_MS = 2100;
+/** Time from the acceptance of a job to its due time. */
 const DUE_MS = 18_000;
+/** Run time of an item that isn't preempted. */
 const ITEM_MS = 4800;
+/** Number of events that an item produces. */
 const ITEM_EVENTS = 223;
 
 interface RunningItem {
@@ -31,7 +34,7 @@
     startedAtMs: number;
 }
 
-/** Simulates the process that runs batch items: makes the real decisions, without connections and records. */
+/** Simulates the process that runs batch items. It makes the real decisions, without connections and stored records. */
 export class JobSimulation {
     readonly reporter = new LoadReporter("runner", () => []);
     private readonly opts: { clock: Clock; random: Random; engines: () => SimulatedEngine[]; service: ServiceName; };
@@ -45,7 +48,10 @@
         this.scheduleNextJob();
     }
 
-    /** Preempts the runs that online requests displace, then starts items on engines with free slots. */
+    /**
+     * Preempts the runs that online requests displace, then starts items on engines with free slots. Starts none while
+     * online requests wait at a gateway.
+     */
     dispatch(): void {
         this.preemptRuns();
         const { clock, service } = this.opts;
@@ -60,7 +66,7 @@
         order.every(({ job, item }) => this.startOnFreeEngine(job, item));
     }
 
-    /** Returns the share of the items due within the span of a load that were done by their due time. */
+    /** Returns the share of the items due in the span of a load that ended by their due time; 1 where none is due. */
     onTimeShare(load: LoadPattern): number {
         const due = this.jobs.filter(job => job.record.dueAtMs >= load.fromMs && job.record.dueAtMs < load.toMs);
         const items = due.flatMap(job => job.items.map(item => ({ job, item })));
--- a/bench/decisions/src/loadReporter.ts
+++ b/bench/decisions/src/loadReporter.ts
@@ -14,7 +14,7 @@
         this.waiting = waiting;
     }
 
-    /** Returns a report of the own counts with the next sequence number. */
+    /** Returns a report of this process's counts, with the next sequence number. */
     createReport(): LoadReport {
         this.sequence += 1;
         return {
--- a/bench/decisions/src/simulatedCaller.ts
+++ b/bench/decisions/src/simulatedCaller.ts
@@ -10,10 +10,13 @@
 import type { SimulatedEngine } from "./simulatedEngine.js";
 import type { SimulatedGateway } from "./simulatedGateway.js";
 
+/** Time to the first event that a caller expects. */
 const OBJECTIVE_MS = 300;
 /** A caller abandons a call after this time without an event. */
 const CALLER_TIMEOUT_MS = 1950;
+/** Mean time for which a call holds a slot of an engine. */
 const MEAN_HOLD_MS = 720;
+/** Time from the start on an engine to the first event, without the round trip. */
 const FIRST_EVENT_MS = 40;
 /** Round trip between caller, gateway and engine. */
 const ROUND_TRIP_MS = 8;
--- a/bench/decisions/src/simulatedEngine.ts
+++ b/bench/decisions/src/simulatedEngine.ts
@@ -6,10 +6,10 @@
 import type { Upstream } from "@knapweedwood/fleet.view/upstream";
 import type { EngineRun } from "./engineRun.js";
 
-/** Requests that wait in the engine's own queue, beyond the control of the gateways, before it rejects more. */
+/** Maximum number of requests in the engine's own queue, which the gateways don't control. It rejects further ones. */
 const MAX_QUEUED = 24;
 
-/** Simulates an engine that admits requests in order of arrival. */
+/** Simulates an engine that runs requests in order of arrival. */
 export class SimulatedEngine {
     readonly upstream: Upstream;
     private readonly clock: Clock;
--- a/bench/decisions/test/simulateDecisions.test.ts
+++ b/bench/decisions/test/simulateDecisions.test.ts
@@ -11,7 +11,7 @@
     return figures.find(figure => figure.load === load && figure.policy === policy)!;
 }
 
-test("calls are worth at least as much under every load as with a plain forwarder or first come, first served", () => {
+test("under every load, the mean value of a call is at least that with a forwarder or first come, first served", () => {
     const worse = loadPatterns.flatMap(({ name }) =>
         ["first-come", "forwarder"].filter(policy =>
             figuresOf(name, policy).meanValue > figuresOf(name, "ours").meanValue
@@ -25,7 +25,7 @@
     assert.deepEqual(slow, []);
 });
 
-test("late requests don't delay others: under overload more are on time than with first come, first served", () => {
+test("late requests don't delay others under overload: more are on time than with first come, first served", () => {
     ["twice the usual", "four times the usual", "twice the usual, a third of the engines lost"].forEach(load => {
         assert.ok(figuresOf(load, "ours").onTimeShare > figuresOf(load, "first-come").onTimeShare, load);
     });
