--- a/bench/load/src/latencyRecorder.ts
+++ b/bench/load/src/latencyRecorder.ts
@@ -24,6 +24,7 @@
         this.histogram.add(other.histogram);
     }
 
+    /** Returns the duration at a percentile between 0 and 100. */
     percentileMs(percentile: number): number {
         return this.histogram.getValueAtPercentile(percentile) / US_PER_MS;
     }
--- a/bench/load/src/launchOptions.ts
+++ b/bench/load/src/launchOptions.ts
@@ -14,7 +14,8 @@
     /** Options of Node.js itself, such as `--cpu-prof`. */
     nodeArguments?: string[];
     environment?: { [name: string]: string; };
-    /** Readiness check; the launch doesn't wait where undefined. */
+    /** Condition for which the launch waits; it doesn't wait where undefined. */
     readiness?: Readiness;
+    /** Time until the process must be ready; 15 seconds by default. */
     readyTimeoutMs?: number;
 }
--- a/bench/load/src/launchedProcess.ts
+++ b/bench/load/src/launchedProcess.ts
@@ -3,12 +3,14 @@
 import { readFile } from "node:fs/promises";
 
 const PAGE_SIZE_BYTES = 4096;
+/** Unit of the processor times in `/proc/PID/stat`. */
 const TICK_MS = 10;
 const DEFAULT_STOP_TIMEOUT_MS = 15_000;
+/** Indexes of the fields in `/proc/PID/stat` after the command name, from 0. */
 const USER_TICKS_FIELD = 11;
 const SYSTEM_TICKS_FIELD = 12;
 
-/** A child process of this program, which is signalled by its process id. */
+/** A child process of this program. Signals go to its process id only. */
 export class LaunchedProcess {
     readonly name: string;
     readonly logFile: string;
@@ -51,6 +53,7 @@
         this.child.kill("SIGSTOP");
     }
 
+    /** Continues a suspended process. */
     resume(): void {
         this.child.kill("SIGCONT");
     }
--- a/bench/load/src/poissonArrivals.ts
+++ b/bench/load/src/poissonArrivals.ts
@@ -3,7 +3,7 @@
 const MS_PER_S = 1000;
 
 /**
- * Draws the arrivals of a Poisson process with a constant rate.
+ * Draws the arrivals of a Poisson process with a constant rate. A rate of 0 or less gives none.
  *
  * @returns arrival times in milliseconds from the start, ascending, shape [arrivals]
  */
--- a/bench/load/src/reportPlot.ts
+++ b/bench/load/src/reportPlot.ts
@@ -8,7 +8,7 @@
     xLabel: string;
     /** Label of the y axis with its unit. */
     yLabel: string;
-    /** Whether the y axis is logarithmic; it omits values of 0 and less. */
+    /** Whether the y axis is logarithmic. Points with a y of 0 or less are then omitted. */
     isLogarithmic?: boolean;
     series: PlotSeries[];
 }
