--- a/bench/mixed/src/armFigures.ts
+++ b/bench/mixed/src/armFigures.ts
@@ -7,12 +7,13 @@
     tokenGap: LatencyQuantiles;
     batchTokensPerSecond: number;
     onlineTokensPerSecond: number;
-    /** Batch tokens as a share of the bound (e); 0 for online alone. */
+    /** Batch tokens per second as a share of the report's `boundTokensPerSecond`; 0 for arm a. */
     batchShareOfBound: number;
     /** Number of cancelled batch streams. */
     preemptions: number;
     /** Tokens of cancelled batch streams from which no stream resumed within the slices. */
     tokensThrownAway: number;
+    /** Number of calls that failed, were rejected, or whose stream ended early. */
     failedCalls: number;
     /** Error texts of the first failures, at most 3. */
     failures: string[];
--- a/bench/mixed/src/armFiguresOf.ts
+++ b/bench/mixed/src/armFiguresOf.ts
@@ -7,7 +7,11 @@
 const MS_PER_SECOND = 1000;
 const SHOWN_FAILURES = 3;
 
-/** Computes the figures of an arm from its slices. Latencies include only calls whose stream ended completely. */
+/**
+ * Computes the figures of an arm from its slices. Latencies include only calls whose stream ended completely.
+ *
+ * @param boundTokensPerSecond upper bound of the batch tokens per second
+ */
 export function armFiguresOf(arm: ArmDefinition, slices: SliceRecord[], boundTokensPerSecond: number): ArmFigures {
     const calls = slices.flatMap(slice => slice.calls);
     const completedCalls = calls.filter(call => call.isWhole);
--- a/bench/mixed/src/batchItemMeans.ts
+++ b/bench/mixed/src/batchItemMeans.ts
@@ -5,6 +5,7 @@
 
 const SAMPLES = 2000;
 const SEED = 1;
+/** Tokens in one block of the engine's prefix cache. Only whole blocks are shared. */
 const BLOCK_TOKENS = 16;
 
 /** Estimates the mean size of a batch item: prompt tokens outside the shared prefix, and output tokens. */
--- a/bench/mixed/src/batchJob.ts
+++ b/bench/mixed/src/batchJob.ts
@@ -14,7 +14,7 @@
         this.jobId = jobId;
     }
 
-    /** Uploads a file of `items` items and creates a job for it. */
+    /** Uploads a file of `items` items and creates a job for it. Throws `BENCH_CALL_FAILED` where a request fails. */
     static async submit(
         testBed: MixedTestBed,
         opts: { seed: number; model: string; items: number; },
@@ -41,7 +41,7 @@
         return new BatchJob(testBed, String(job.id));
     }
 
-    /** Cancels the job. Returns the number of items completed so far. */
+    /** Cancels the job. Returns the number of items completed by then. */
     async cancel(): Promise<number> {
         const job = await this.testBed.call("POST", `/v1/batches/${this.jobId}/cancel`, "{}");
         return (job.request_counts as { completed: number; }).completed;
--- a/bench/mixed/src/createWorkload.ts
+++ b/bench/mixed/src/createWorkload.ts
@@ -14,7 +14,8 @@
 const DIURNAL_SHARE = 0.4;
 
 /**
- * Creates open-loop arrivals with a diurnal base rate, bursts of seconds, heavy-tailed lengths and shared prefixes.
+ * Creates open-loop arrivals with a diurnal base rate, bursts that last seconds, heavy-tailed lengths and shared
+ * prefixes.
  *
  * @returns arrivals by ascending time, shape [arrivals]
  */
--- a/bench/mixed/src/idleCapacityTokens.ts
+++ b/bench/mixed/src/idleCapacityTokens.ts
@@ -19,7 +19,9 @@
     const batchTokenMs = stepModel.perSequenceMs + prefillPerTokenMs;
     const onlineMs = stepModel.perSequenceMs * online.decodeTokens + stepModel.perPrefillTokenMs * online.prefillTokens;
     const batchTokensFor = (steps: number) => (durationMs - onlineMs - steps * stepModel.fixedMs) / batchTokenMs;
+    // Fewest steps in which no step exceeds the objective.
     const fewestSteps = durationMs / opts.objectiveMs;
+    // Fewest steps whose slots hold all online and batch tokens.
     const slotSteps = (durationMs - onlineMs + online.decodeTokens * batchTokenMs)
         / (stepModel.fixedMs + stepModel.maxSequences * batchTokenMs);
     return Math.max(0, batchTokensFor(Math.max(fewestSteps, slotSteps)));
--- a/bench/mixed/src/mixedTestBed.ts
+++ b/bench/mixed/src/mixedTestBed.ts
@@ -51,7 +51,10 @@
         this.opts = opts;
     }
 
-    /** Starts all processes, publishes the service file and waits until both entries serve every model. */
+    /**
+     * Starts all processes, publishes the service file and waits until both entries serve every model. Throws
+     * `NOT_READY` where a model isn't served before the timeout.
+     */
     async start(): Promise<void> {
         await this.startPlatform();
         await Promise.all(Array.from({ length: this.opts.engineCount }, (_, index) => this.startEngine(index)));
--- a/bench/mixed/src/serviceFileOf.ts
+++ b/bench/mixed/src/serviceFileOf.ts
@@ -1,4 +1,4 @@
-/** Returns the experiment's service file, with one service per model. */
+/** Returns the experiment's service file as YAML, with one service per model. */
 export function serviceFileOf(opts: {
     models: string[];
     tokenGapObjectiveMs: number;
--- a/bench/mixed/src/sliceRecord.ts
+++ b/bench/mixed/src/sliceRecord.ts
@@ -7,6 +7,7 @@
     arm: ArmName;
     round: number;
     durationMs: number;
+    /** End of the warm-up, by `performance.now()`. */
     startMs: number;
     /** Calls that were due after the warm-up of the slice. */
     calls: CallRecord[];
