--- a/bench/overhead/src/overheadExperiment.ts
+++ b/bench/overhead/src/overheadExperiment.ts
@@ -13,6 +13,7 @@
 const MS_PER_S = 1000;
 const CONCURRENCY = 64;
 const STREAM_TOKENS = 16;
+/** Share of the entry's saturation at which the time to first token is measured. */
 const LOAD_SHARE = 0.6;
 const MAX_REASON_LENGTH = 200;
 
--- a/bench/overhead/src/overheadOptions.ts
+++ b/bench/overhead/src/overheadOptions.ts
@@ -1,4 +1,4 @@
-/** Options of the experiment. */
+/** Options of the overhead experiment. */
 export interface OverheadOptions {
     /** Total length of the measured phases. */
     seconds?: number;
--- a/bench/overhead/src/overheadPlan.ts
+++ b/bench/overhead/src/overheadPlan.ts
@@ -1,4 +1,4 @@
-/** Options of the experiment with all defaults applied. */
+/** Options of the overhead experiment with all defaults applied. */
 export interface OverheadPlan {
     seed: number;
     rounds: number;
--- a/bench/overhead/src/overheadReport.ts
+++ b/bench/overhead/src/overheadReport.ts
@@ -1,8 +1,8 @@
 import type { LatencySummary } from "@knapweedwood/bench.load/latencySummary";
 
-/** Report of the experiment. */
+/** Report of the overhead experiment. */
 export interface OverheadReport {
-    /** Rate of one-token completions: mean of the rounds, and the rate of each round. */
+    /** Completions of one token per second: mean of the rounds, and the rate of each round. */
     requests: {
         direct: RateSummary;
         passThrough: RateSummary;
@@ -14,22 +14,28 @@
     tokens: { direct: RateSummary; passThrough: RateSummary; entry: RateSummary; };
     /** Time to first token at a share of the entry's streaming saturation. */
     firstToken: {
+        /** Streams per second at which the entry is saturated. */
         saturationPerS: number;
+        /** Streams per second that each path receives. */
         offeredPerS: number;
         direct: LatencySummary;
         /** Control: the effect of one more process in the path on this machine. */
         passThrough: LatencySummary;
         entry: LatencySummary;
+        /** Percentiles of the entry less those of the direct path. */
         addedP50Ms: number;
         addedP99Ms: number;
+        /** Percentile of the pass-through less that of the direct path. */
         passThroughAddedP99Ms: number;
     };
-    /** Processor time per request, by process. */
+    /** Processor time per request, of the entry and of all sides together. */
     processorTime: { entryMsPerRequest: number; sideMsPerRequest: number; };
+    /** Resident memory of an idle entry, an idle side and an empty Node.js process. */
     memory: {
         emptyBytes: number;
         entryBytes: number;
         sideBytes: number;
+        /** Memory beyond that of the empty process. */
         entryBeyondBytes: number;
         sideBeyondBytes: number;
     };
@@ -37,6 +43,7 @@
     failures: { [reason: string]: number; };
     /** One-minute load average of the machine before and after the run, and its number of processors. */
     machine: { loadBefore: number; loadAfter: number; processors: number; };
+    /** Targets with the measured values. */
     targets: { name: string; target: string; measured: string; isMet: boolean; }[];
 }
 
--- a/bench/overhead/src/rateRounds.ts
+++ b/bench/overhead/src/rateRounds.ts
@@ -6,6 +6,7 @@
         this.rates.push(ratePerS);
     }
 
+    /** Mean rate; 0 where there are no rounds. */
     get meanPerS(): number {
         return this.rates.reduce((total, rate) => total + rate, 0) / Math.max(1, this.rates.length);
     }
--- a/bench/overhead/test/runOverhead.test.ts
+++ b/bench/overhead/test/runOverhead.test.ts
@@ -3,7 +3,7 @@
 import { runOverhead } from "../src/runOverhead.js";
 import { targetsOf } from "../src/targetsOf.js";
 
-// The entry rejects calls correctly where the machine stalls for longer than the silence timeout of a link.
+// The entry is right to reject calls while the machine stalls for longer than the silence timeout of a link.
 const REJECTION = /^Status 503: .*ERR_KNAPWEED_NO_UPSTREAM/u;
 
 test("the experiment measures each path, with no failed calls except rejections while the machine stalls", async () => {
