--- a/bench/load/src/recorder.ts
+++ b/bench/load/src/latencyRecorder.ts
@@ -6,7 +6,7 @@
 const SIGNIFICANT_DIGITS = 3;
 
 /** Records durations in an HDR histogram with a resolution of one microsecond, up to one hour. */
-export class Recorder {
+export class LatencyRecorder {
     private readonly histogram: Histogram = build({
         lowestDiscernibleValue: 1,
         highestTrackableValue: HIGHEST_US,
@@ -20,10 +20,11 @@
     }
 
     /** Adds the durations of another recorder. */
-    add(other: Recorder): void {
+    add(other: LatencyRecorder): void {
         this.histogram.add(other.histogram);
     }
 
+    /** Returns the duration at a percentile between 0 and 100. */
     percentileMs(percentile: number): number {
         return this.histogram.getValueAtPercentile(percentile) / US_PER_MS;
     }
--- a/bench/overhead/src/overheadExperiment.ts
+++ b/bench/overhead/src/overheadExperiment.ts
@@ -1,5 +1,5 @@
+import { LatencyRecorder } from "@knapweedwood/bench.load/latencyRecorder";
 import { poissonArrivals } from "@knapweedwood/bench.load/poissonArrivals";
-import { Recorder } from "@knapweedwood/bench.load/recorder";
 import { runClosedLoop } from "@knapweedwood/bench.load/runClosedLoop";
 import { runOpenLoop } from "@knapweedwood/bench.load/runOpenLoop";
 import { SystemClock } from "@knapweedwood/core.clock/systemClock";
@@ -13,6 +13,7 @@
 const MS_PER_S = 1000;
 const CONCURRENCY = 64;
 const STREAM_TOKENS = 16;
+/** Share of the entry's saturation at which the time to first token is measured. */
 const LOAD_SHARE = 0.6;
 const MAX_REASON_LENGTH = 200;
 
@@ -77,7 +78,11 @@
     async measureFirstToken(tokensPerS: number): Promise<OverheadReport["firstToken"]> {
         const saturationPerS = tokensPerS / STREAM_TOKENS;
         const offeredPerS = saturationPerS * LOAD_SHARE;
-        const recorders = { direct: new Recorder(), passThrough: new Recorder(), entry: new Recorder() };
+        const recorders = {
+            direct: new LatencyRecorder(),
+            passThrough: new LatencyRecorder(),
+            entry: new LatencyRecorder(),
+        };
         for (let round = 0; round < this.plan.rounds; round += 1) {
             for (const path of PATHS) {
                 await this.firstTokenRound(path, offeredPerS, recorders[path]);
@@ -148,7 +153,7 @@
         });
     }
 
-    private firstTokenRound(path: Path, ratePerS: number, recorder: Recorder): Promise<void> {
+    private firstTokenRound(path: Path, ratePerS: number, recorder: LatencyRecorder): Promise<void> {
         return runOpenLoop({
             clock: this.clock,
             arrivals: poissonArrivals({ ratePerS, durationMs: this.plan.phaseMs, random: this.random }),
