--- a/bench/affinity/src/generateArrivals.ts
+++ b/bench/affinity/src/generateArrivals.ts
@@ -1,13 +1,13 @@
 import type { Random } from "@knapweedwood/core.random/random";
 import type { PromptArrival } from "./promptArrival.js";
 
-const SYSTEM_PROMPTS = 80;
-const SHORTEST_SYSTEM_CHARACTERS = 1000;
-const SYSTEM_RANGE_CHARACTERS = 3000;
+const SYSTEM_PROMPT_COUNT = 80;
+const MIN_SYSTEM_PROMPT_CHARACTERS = 1000;
+const SYSTEM_PROMPT_RANGE_CHARACTERS = 3000;
 const MAX_TURNS = 6;
 const TURN_CHARACTERS = 600;
-const THINK_MS = 8000;
-const SHORTEST_DECODE_MS = 200;
+const MEAN_THINK_TIME_MS = 8000;
+const MIN_DECODE_MS = 200;
 const DECODE_RANGE_MS = 1500;
 
 interface ArrivalOptions {
@@ -24,23 +24,26 @@
 export function generateArrivals(opts: ArrivalOptions): PromptArrival[] {
     const { random, durationMs } = opts;
     const systemPrompts = Array.from(
-        { length: SYSTEM_PROMPTS },
+        { length: SYSTEM_PROMPT_COUNT },
         (_, index) =>
-            textOf(`system ${index} `, SHORTEST_SYSTEM_CHARACTERS + random.nextInteger(SYSTEM_RANGE_CHARACTERS)),
+            repeatToLength(
+                `system ${index} `,
+                MIN_SYSTEM_PROMPT_CHARACTERS + random.nextInteger(SYSTEM_PROMPT_RANGE_CHARACTERS),
+            ),
     );
     const conversationCount = Math.floor(opts.conversationsPerSecond * durationMs / 1000);
     return Array.from({ length: conversationCount }, (_, index) => {
-        const rank = Math.floor(SYSTEM_PROMPTS ** random.next()) - 1;
+        const rank = Math.floor(SYSTEM_PROMPT_COUNT ** random.next()) - 1;
         const startMs = random.next() * durationMs;
         return Array.from({ length: 1 + random.nextInteger(MAX_TURNS) }, (_unused, turn) => ({
-            atMs: Math.floor(startMs + turn * THINK_MS * (0.5 + random.next())),
-            prompt: systemPrompts[rank] + textOf(`conversation ${index} `, TURN_CHARACTERS * (turn + 1)),
-            decodeMs: SHORTEST_DECODE_MS + DECODE_RANGE_MS * random.next() ** 2,
+            atMs: Math.floor(startMs + turn * MEAN_THINK_TIME_MS * (0.5 + random.next())),
+            prompt: systemPrompts[rank] + repeatToLength(`conversation ${index} `, TURN_CHARACTERS * (turn + 1)),
+            decodeMs: MIN_DECODE_MS + DECODE_RANGE_MS * random.next() ** 2,
             entryIndex: random.nextInteger(opts.entryCount),
         }));
     }).flat().filter(({ atMs }) => atMs < durationMs).sort((left, right) => left.atMs - right.atMs);
 }
 
-function textOf(seed: string, length: number): string {
+function repeatToLength(seed: string, length: number): string {
     return seed.repeat(Math.ceil(length / seed.length)).slice(0, length);
 }
--- a/bench/affinity/src/runArm.ts
+++ b/bench/affinity/src/runArm.ts
@@ -13,24 +13,24 @@
 import type { PromptArrival } from "./promptArrival.js";
 import { SimulatedUpstream } from "./simulatedUpstream.js";
 
-const REPORT_INTERVAL_MS = 100;
-const EVENT_DELAY_MS = 500;
-const EVENT_LOSS_SHARE = 0.1;
-const HASHED_CHARACTERS = 512;
+const LOAD_REPORT_INTERVAL_MS = 100;
+const CACHE_EVENT_DELAY_MS = 500;
+const CACHE_EVENT_LOSS_SHARE = 0.1;
+const PREFIX_HASH_CHARACTERS = 512;
 
 /** Plays all arrivals against one way of choosing, in steps of a millisecond. */
 export function runArm(arm: ArmName, arrivals: readonly PromptArrival[], opts: AffinityOptions): ArmResult {
     const random = new SeededRandom(opts.seed);
-    const events: PendingCacheChange[] = [];
+    const pendingChanges: PendingCacheChange[] = [];
     let nowMs = 0;
     const upstreams = Array.from({ length: opts.upstreamCount }, (_, index) => {
         const instanceId = `upstream-${index}` as InstanceId;
         let sequenceNumber = 0;
         return new SimulatedUpstream(instanceId, (kind, blockHashes) => {
             sequenceNumber += 1;
-            if (random.next() >= EVENT_LOSS_SHARE) {
+            if (random.next() >= CACHE_EVENT_LOSS_SHARE) {
                 const change = { instanceId, sequenceNumber, kind, blockHashes };
-                events.push({ dueMs: nowMs + EVENT_DELAY_MS, change });
+                pendingChanges.push({ dueMs: nowMs + CACHE_EVENT_DELAY_MS, change });
             }
         });
     });
@@ -39,18 +39,20 @@
     const choosers = createChoosers({
         ...opts,
         arm,
-        costOf: instanceId => byId.get(instanceId)!.costOf(currentPrompt, nowMs),
+        costOf: instanceId => byId.get(instanceId)!.estimateFirstTokenMs(currentPrompt, nowMs),
     });
-    const inFlight = new Map(upstreams.map(upstream => [upstream, [] as number[]]));
+    const entryIndexesByUpstream = new Map(upstreams.map(upstream => [upstream, [] as number[]]));
     let candidates: UpstreamCandidate[] = [];
     let peakLoad = 0;
     let nextArrival = 0;
-    while (nextArrival < arrivals.length || upstreams.some(one => one.runningCount + one.queuedCount > 0)) {
-        if (nowMs % REPORT_INTERVAL_MS === 0) {
+    while (
+        nextArrival < arrivals.length || upstreams.some(upstream => upstream.runningCount + upstream.queuedCount > 0)
+    ) {
+        if (nowMs % LOAD_REPORT_INTERVAL_MS === 0) {
             candidates = upstreams.map(upstream => toCandidate(upstream, nowMs));
         }
-        while (events.length > 0 && events[0].dueMs <= nowMs) {
-            const { change } = events.shift()!;
+        while (pendingChanges.length > 0 && pendingChanges[0].dueMs <= nowMs) {
+            const { change } = pendingChanges.shift()!;
             if (arm === "prefix-index-with-events") {
                 choosers.forEach(chooser => (chooser as AffinityChooser).onCacheChange(change));
             }
@@ -61,12 +63,12 @@
             const chosen = choosers[arrival.entryIndex].choose(toRequest(arm, arrival, candidates, nowMs))!;
             const upstream = byId.get(chosen)!;
             upstream.enqueue(arrival);
-            inFlight.get(upstream)!.push(arrival.entryIndex);
+            entryIndexesByUpstream.get(upstream)!.push(arrival.entryIndex);
             peakLoad = Math.max(peakLoad, upstream.runningCount + upstream.queuedCount);
         }
         upstreams.forEach(upstream => {
             const endedCount = upstream.advance(nowMs);
-            inFlight.get(upstream)!.splice(0, endedCount).forEach(entryIndex =>
+            entryIndexesByUpstream.get(upstream)!.splice(0, endedCount).forEach(entryIndex =>
                 choosers[entryIndex].observe({
                     instanceId: upstream.instanceId,
                     kind: "success",
@@ -101,7 +103,7 @@
     return {
         candidates,
         nowMs,
-        affinityKey: arm === "prefix-hash" ? prompt.slice(0, HASHED_CHARACTERS) : undefined,
+        affinityKey: arm === "prefix-hash" ? prompt.slice(0, PREFIX_HASH_CHARACTERS) : undefined,
         promptBlocks: arm === "prefix-index" || arm === "prefix-index-with-events"
             ? promptBlocksOf(prompt)
             : undefined,
@@ -116,7 +118,7 @@
     return {
         name,
         requestCount: firstTokenMs.length,
-        hitShare: sum(one => one.cachedTokens) / sum(one => one.promptTokens),
+        hitShare: sum(upstream => upstream.cachedTokens) / sum(upstream => upstream.promptTokens),
         firstTokenP50Ms: quantile(0.5),
         firstTokenP99Ms: quantile(0.99),
         peakLoad,
--- a/bench/affinity/src/simulatedUpstream.ts
+++ b/bench/affinity/src/simulatedUpstream.ts
@@ -3,11 +3,11 @@
 import type { PromptArrival } from "./promptArrival.js";
 
 const SLOTS = 16;
-const CACHE_TOKENS = 24_000;
+const CACHE_CAPACITY_TOKENS = 24_000;
 const CHARACTERS_PER_TOKEN = 4;
 const PREFILL_MS_PER_TOKEN = 0.4;
 
-interface Running {
+interface RunningRequest {
     endsAtMs: number;
 }
 
@@ -20,12 +20,12 @@
     readonly firstTokenMs: number[] = [];
     private readonly cache: PrefixCache;
     private readonly queue: PromptArrival[] = [];
-    private running: Running[] = [];
+    private running: RunningRequest[] = [];
     private prefillUntilMs = 0;
 
     constructor(instanceId: InstanceId, onCacheChange: (kind: "stored" | "evicted", blockHashes: string[]) => void) {
         this.instanceId = instanceId;
-        this.cache = new PrefixCache({ limitTokens: CACHE_TOKENS, onChange: onCacheChange });
+        this.cache = new PrefixCache({ limitTokens: CACHE_CAPACITY_TOKENS, onChange: onCacheChange });
     }
 
     get runningCount(): number {
@@ -41,11 +41,11 @@
     }
 
     /** Time to the first token that a prompt would have here now, in milliseconds. */
-    costOf(prompt: string, nowMs: number): number {
-        const waitingTokens = this.queue.reduce((sum, { prompt: other }) => sum + this.missingTokens(other), 0);
-        const prefillMs = (waitingTokens + this.missingTokens(prompt)) * PREFILL_MS_PER_TOKEN;
-        const slotsWaitMs = Math.max(0, this.running.length + this.queue.length - SLOTS + 1) * PREFILL_MS_PER_TOKEN;
-        return Math.max(0, this.prefillUntilMs - nowMs) + prefillMs + slotsWaitMs * 1000;
+    estimateFirstTokenMs(prompt: string, nowMs: number): number {
+        const waitingTokens = this.queue.reduce((sum, { prompt: other }) => sum + this.countUncachedTokens(other), 0);
+        const prefillMs = (waitingTokens + this.countUncachedTokens(prompt)) * PREFILL_MS_PER_TOKEN;
+        const slotWaitMs = Math.max(0, this.running.length + this.queue.length - SLOTS + 1) * PREFILL_MS_PER_TOKEN;
+        return Math.max(0, this.prefillUntilMs - nowMs) + prefillMs + slotWaitMs * 1000;
     }
 
     /** Moves time on. @returns how many requests have ended */
@@ -61,16 +61,16 @@
 
     private start(arrival: PromptArrival, nowMs: number): void {
         const tokens = Math.ceil(arrival.prompt.length / CHARACTERS_PER_TOKEN);
-        const missing = this.missingTokens(arrival.prompt);
+        const uncachedTokens = this.countUncachedTokens(arrival.prompt);
         this.cache.store(arrival.prompt);
         this.promptTokens += tokens;
-        this.cachedTokens += tokens - missing;
-        this.prefillUntilMs = nowMs + missing * PREFILL_MS_PER_TOKEN;
+        this.cachedTokens += tokens - uncachedTokens;
+        this.prefillUntilMs = nowMs + uncachedTokens * PREFILL_MS_PER_TOKEN;
         this.firstTokenMs.push(this.prefillUntilMs - arrival.atMs);
         this.running.push({ endsAtMs: this.prefillUntilMs + arrival.decodeMs });
     }
 
-    private missingTokens(prompt: string): number {
+    private countUncachedTokens(prompt: string): number {
         return Math.ceil(prompt.length / CHARACTERS_PER_TOKEN) - this.cache.matchTokens(prompt);
     }
 }
