--- a/bench/silent-links/src/runCall.ts
+++ b/bench/silent-links/src/runCall.ts
@@ -9,18 +9,18 @@
     const startedMs = performance.now();
     let frameCount = 0;
     let handlerMs = 0;
-    let isRight = true;
+    let isCorrect = true;
     const toRecord = (outcome: CallRecord["outcome"]): CallRecord => {
         const endedMs = performance.now();
         return { linkIndex, startedMs, endedMs, addedMs: endedMs - startedMs - handlerMs, outcome };
     };
     try {
         for await (const frame of link.call(streamCall, request)) {
-            isRight &&= frame.callId === request.callId && frame.index === frameCount && frame.runCount === 1;
+            isCorrect &&= frame.callId === request.callId && frame.index === frameCount && frame.runCount === 1;
             handlerMs = frame.elapsedMs;
             frameCount += 1;
         }
-        return toRecord(isRight && frameCount === request.frameCount ? "complete" : "wrong");
+        return toRecord(isCorrect && frameCount === request.frameCount ? "complete" : "wrong");
     }
     catch (error) {
         return toRecord(toKnapweedError(error).outcome === "not-run" ? "not-run" : "unknown");
--- a/bench/silent-links/src/runSilentLinks.ts
+++ b/bench/silent-links/src/runSilentLinks.ts
@@ -12,44 +12,46 @@
 import { ServerProcesses } from "./serverProcesses.js";
 import type { SilentLinksOptions } from "./silentLinksOptions.js";
 import type { SilentLinksReport } from "./silentLinksReport.js";
-import { toAddedTime } from "./toAddedTime.js";
+import { summarizeAddedTime } from "./summarizeAddedTime.js";
 
-const SERVERS = 3;
-const LINKS = 9;
-const CALL_INTERVAL_MS = 40;
-const MAX_FRAMES = 60;
+const SERVER_COUNT = 3;
+const LINK_COUNT = 9;
+const MEAN_CALL_INTERVAL_PER_LINK_MS = 40;
+const MAX_FRAMES_PER_CALL = 60;
 const FRAME_GAP_MS = 10;
-const FAULT_INTERVAL_MS = 300;
+const MEAN_FAULT_INTERVAL_MS = 300;
 const FAULT_KINDS: FaultRecord["kind"][] = ["forward", "backward", "both", "cut"];
-const FOUND_WITHIN_MS = 1000;
+const DETECTION_LIMIT_MS = 1000;
 const MS_PER_SECOND = 1000;
 
 /** Calls over links that go silent or are cut every now and then, and measures what that costs the calls. */
 export async function runSilentLinks(opts: SilentLinksOptions): Promise<SilentLinksReport> {
     const servers = new ServerProcesses();
     try {
-        const ports = await servers.start(SERVERS);
+        const ports = await servers.start(SERVER_COUNT);
         const idle = await measureIdleCost(ports[0]);
-        const links = await Promise.all(Array.from({ length: LINKS }, (_, index) => openLink(ports[index % SERVERS])));
+        const links = await Promise.all(
+            Array.from({ length: LINK_COUNT }, (_, index) => openLink(ports[index % SERVER_COUNT])),
+        );
         const endsAtMs = performance.now() + opts.seconds * MS_PER_SECOND;
         const [faults, records] = await Promise.all([
-            causeFaults(links, new SeededRandom(opts.seed), endsAtMs),
+            injectFaults(links, new SeededRandom(opts.seed), endsAtMs),
             makeCalls(links, new SeededRandom(opts.seed + 1), endsAtMs),
         ]);
         const runs = await Promise.all(
-            links.slice(0, SERVERS).map(({ link }) => singleFrame(link.call(runCountsCall, {}))),
+            links.slice(0, SERVER_COUNT).map(({ link }) => singleFrame(link.call(runCountsCall, {}))),
         );
         const replacementCount = links.reduce((sum, { relay }) => sum + relay.connectionCount - 1, 0);
         await closeAll(links);
         const affected = records.filter(record => isAffected(record, faults));
-        const countOf = (outcome: CallRecord["outcome"]) => records.filter(one => one.outcome === outcome).length;
+        const countOf = (outcome: CallRecord["outcome"]) => records.filter(record => record.outcome === outcome).length;
         return {
             ...opts,
-            linkCount: LINKS,
+            linkCount: LINK_COUNT,
             faultCount: faults.length,
             replacementCount,
-            affected: toAddedTime(affected),
-            others: toAddedTime(records.filter(record => !affected.includes(record))),
+            affected: summarizeAddedTime(affected),
+            others: summarizeAddedTime(records.filter(record => !affected.includes(record))),
             wrongCount: countOf("wrong"),
             notRunCount: countOf("not-run"),
             unknownCount: countOf("unknown"),
@@ -71,19 +73,19 @@
     return { relay, endpoint, link };
 }
 
-async function causeFaults(links: LinkUnderTest[], random: SeededRandom, endsAtMs: number): Promise<FaultRecord[]> {
+async function injectFaults(links: LinkUnderTest[], random: SeededRandom, endsAtMs: number): Promise<FaultRecord[]> {
     const faults: FaultRecord[] = [];
     while (performance.now() < endsAtMs) {
-        await pause(FAULT_INTERVAL_MS * 2 * random.next());
+        await pause(MEAN_FAULT_INTERVAL_MS * 2 * random.next());
         const linkIndex = random.nextInteger(links.length);
         const kind = FAULT_KINDS[random.nextInteger(FAULT_KINDS.length)];
         faults.push({ linkIndex, kind, atMs: performance.now() });
-        causeFault(links[linkIndex].relay, kind);
+        injectFault(links[linkIndex].relay, kind);
     }
     return faults;
 }
 
-function causeFault(relay: TcpRelay, kind: FaultRecord["kind"]): void {
+function injectFault(relay: TcpRelay, kind: FaultRecord["kind"]): void {
     if (kind === "cut") {
         relay.cut();
     }
@@ -99,9 +101,9 @@
     const calls: Promise<CallRecord>[] = [];
     for (let callId = 1; performance.now() < endsAtMs; callId += 1) {
         const linkIndex = random.nextInteger(links.length);
-        const frameCount = 1 + random.nextInteger(MAX_FRAMES);
+        const frameCount = 1 + random.nextInteger(MAX_FRAMES_PER_CALL);
         calls.push(runCall(links[linkIndex].link, linkIndex, { callId, frameCount, gapMs: FRAME_GAP_MS }));
-        await pause(CALL_INTERVAL_MS * 2 * random.next() / links.length);
+        await pause(MEAN_CALL_INTERVAL_PER_LINK_MS * 2 * random.next() / links.length);
     }
     return Promise.all(calls);
 }
@@ -109,7 +111,7 @@
 function isAffected(record: CallRecord, faults: readonly FaultRecord[]): boolean {
     return faults.some(fault =>
         fault.linkIndex === record.linkIndex && fault.atMs <= record.endedMs
-        && record.startedMs <= fault.atMs + FOUND_WITHIN_MS
+        && record.startedMs <= fault.atMs + DETECTION_LIMIT_MS
     );
 }
 
--- a/bench/silent-links/src/serverProcess.ts
+++ b/bench/silent-links/src/serverProcess.ts
@@ -8,7 +8,7 @@
 
 const runCounts = new Map<number, number>();
 
-async function* stream({ callId, frameCount, gapMs }: StreamRequest): AsyncGenerator<StreamFrame> {
+async function* streamFrames({ callId, frameCount, gapMs }: StreamRequest): AsyncGenerator<StreamFrame> {
     const startedMs = performance.now();
     const runCount = (runCounts.get(callId) ?? 0) + 1;
     runCounts.set(callId, runCount);
@@ -19,7 +19,7 @@
 }
 
 const endpoint = createBenchEndpoint(`server-${process.pid}`);
-endpoint.handle(streamCall, stream);
+endpoint.handle(streamCall, streamFrames);
 endpoint.handle(runCountsCall, async function*() {
     yield { calls: runCounts.size, doubled: [...runCounts.values()].filter(count => count > 1).length };
 });
--- a/bench/silent-links/src/toAddedTime.ts
+++ b/bench/silent-links/src/summarizeAddedTime.ts
@@ -5,7 +5,7 @@
 const MICROSECONDS_PER_MS = 1000;
 
 /** Sums up what calls lost. */
-export function toAddedTime(records: readonly CallRecord[]): AddedTime {
+export function summarizeAddedTime(records: readonly CallRecord[]): AddedTime {
     const histogram = build();
     records.forEach(({ addedMs }) => histogram.recordValue(Math.max(0, Math.round(addedMs * MICROSECONDS_PER_MS))));
     const quantileMs = (percentile: number) => histogram.getValueAtPercentile(percentile) / MICROSECONDS_PER_MS;
