--- a/bench/config-churn/src/churnFaults.ts
+++ b/bench/config-churn/src/churnFaults.ts
@@ -1,7 +1,7 @@
 import type { Random } from "@knapweedwood/core.random/random";
 import { setTimeout as sleep } from "node:timers/promises";
 import type { ChurnFleet } from "./churnFleet.js";
-import type { Life } from "./life.js";
+import type { ProcessRun } from "./processRun.js";
 
 const PAUSE_MS = 3_000;
 const OUTAGE_MS = 5_000;
@@ -12,8 +12,8 @@
     readonly counts = { kills: 0, pauses: 0, outages: 0, lostAnswers: 0 };
     private readonly fleet: ChurnFleet;
     private readonly random: Random;
-    private readonly running = new Set<Promise<void>>();
-    private readonly disturbed = new Set<string>();
+    private readonly activeFaults = new Set<Promise<void>>();
+    private readonly affectedInstances = new Set<string>();
 
     constructor(opts: { fleet: ChurnFleet; random: Random; }) {
         this.fleet = opts.fleet;
@@ -22,21 +22,21 @@
 
     kill(): void {
         this.counts.kills += 1;
-        this.disturb(async life => {
-            await this.fleet.kill(life);
+        this.runOnRandomProcess(async run => {
+            await this.fleet.kill(run);
             await sleep(RESTART_DELAY_MS);
-            await this.fleet.launch(life.instanceId);
+            await this.fleet.launch(run.instanceId);
         });
     }
 
     pause(): void {
         this.counts.pauses += 1;
-        this.disturb(async life => {
+        this.runOnRandomProcess(async run => {
             const fromMs = Date.now();
-            life.pauses.push({ fromMs, untilMs: fromMs + PAUSE_MS });
-            life.launched.pause();
+            run.pauses.push({ fromMs, untilMs: fromMs + PAUSE_MS });
+            run.launched.pause();
             await sleep(PAUSE_MS);
-            life.launched.resume();
+            run.launched.resume();
         });
     }
 
@@ -46,27 +46,27 @@
         this.track(sleep(OUTAGE_MS).then(() => this.fleet.keyValue.applyFaults({ outage: false })));
     }
 
-    loseAnswer(): void {
+    loseResponse(): void {
         this.counts.lostAnswers += 1;
         this.fleet.keyValue.applyFaults({ loseAnswers: 1 });
     }
 
     /** Resolves once all faults have ended. */
     async settle(): Promise<void> {
-        await Promise.all(this.running);
+        await Promise.all(this.activeFaults);
     }
 
-    private disturb(action: (life: Life) => Promise<void>): void {
-        const candidates = this.fleet.living().filter(life => !this.disturbed.has(life.instanceId));
-        const life = candidates[this.random.nextInteger(candidates.length)];
-        if (life !== undefined) {
-            this.disturbed.add(life.instanceId);
-            this.track(action(life).finally(() => this.disturbed.delete(life.instanceId)));
+    private runOnRandomProcess(action: (run: ProcessRun) => Promise<void>): void {
+        const candidates = this.fleet.runningProcesses().filter(run => !this.affectedInstances.has(run.instanceId));
+        const run = candidates[this.random.nextInteger(candidates.length)];
+        if (run !== undefined) {
+            this.affectedInstances.add(run.instanceId);
+            this.track(action(run).finally(() => this.affectedInstances.delete(run.instanceId)));
         }
     }
 
     private track(fault: Promise<void>): void {
-        const tracked = fault.finally(() => this.running.delete(tracked));
-        this.running.add(tracked);
+        const tracked = fault.finally(() => this.activeFaults.delete(tracked));
+        this.activeFaults.add(tracked);
     }
 }
--- a/bench/config-churn/src/churnFleet.ts
+++ b/bench/config-churn/src/churnFleet.ts
@@ -6,18 +6,18 @@
 import { createHash } from "node:crypto";
 import { fileURLToPath } from "node:url";
 import type { ConfigChurnOptions } from "./configChurnOptions.js";
-import type { Life } from "./life.js";
+import type { ProcessRun } from "./processRun.js";
 
 const HOST = "127.0.0.1";
 const ZONES = ["a", "b", "c"];
-const ENTRIES_SHARE = 0.2;
+const ENTRY_SHARE = 0.2;
 const MIN_ENTRIES = 3;
-const LIST_LAG_MS = 500;
-const LIST_TTL_MS = 6_000;
-const LAUNCHES_AT_ONCE = 6;
-const NOBODY_LISTENS = `http://${HOST}:9`;
+const INSTANCE_LIST_LAG_MS = 500;
+const INSTANCE_LIST_TTL_MS = 6_000;
+const MAX_CONCURRENT_LAUNCHES = 6;
+const UNREACHABLE_URL = `http://${HOST}:9`;
 
-interface Place {
+interface DaemonSpec {
     instanceId: string;
     kind: "entry" | "side";
     zone: string;
@@ -29,103 +29,109 @@
 export class ChurnFleet {
     readonly operatorKey = "bench-operator-key";
     readonly keyValue: KeyValueServer;
-    /** Every life so far. */
-    readonly lives: Life[] = [];
+    /** Every run so far. */
+    readonly runs: ProcessRun[] = [];
     private readonly opts: ConfigChurnOptions;
     private readonly clock = new SystemClock();
     private readonly instanceList: InstanceListServer;
-    private readonly places = new Map<string, Place>();
+    private readonly daemonSpecs = new Map<string, DaemonSpec>();
     private readonly urls = { keyValueUrl: "", instanceListUrl: "" };
 
     constructor(opts: ConfigChurnOptions) {
         this.opts = opts;
         this.keyValue = new KeyValueServer({ clock: this.clock });
-        this.instanceList = new InstanceListServer({ clock: this.clock, lagMs: LIST_LAG_MS, ttlMs: LIST_TTL_MS });
+        this.instanceList = new InstanceListServer({
+            clock: this.clock,
+            lagMs: INSTANCE_LIST_LAG_MS,
+            ttlMs: INSTANCE_LIST_TTL_MS,
+        });
     }
 
     async start(): Promise<void> {
         this.urls.keyValueUrl = `http://${HOST}:${await this.keyValue.listen({ host: HOST, port: 0 })}`;
         this.urls.instanceListUrl = `http://${HOST}:${await this.instanceList.listen({ host: HOST, port: 0 })}`;
-        const entryCount = Math.max(MIN_ENTRIES, Math.round(this.opts.processes * ENTRIES_SHARE));
+        const entryCount = Math.max(MIN_ENTRIES, Math.round(this.opts.processes * ENTRY_SHARE));
         for (let n = 0; n < this.opts.processes; n += 1) {
             const kind = n < entryCount ? "entry" : "side";
             const instanceId = `${kind}-${n}`;
             const zone = ZONES[n % ZONES.length] ?? "a";
             const [linkPort, httpPort] = [await freePort(), await freePort()];
-            this.places.set(instanceId, { instanceId, kind, zone, linkPort, httpPort });
+            this.daemonSpecs.set(instanceId, { instanceId, kind, zone, linkPort, httpPort });
         }
-        const ids = [...this.places.keys()];
-        for (let begin = 0; begin < ids.length; begin += LAUNCHES_AT_ONCE) {
-            await Promise.all(ids.slice(begin, begin + LAUNCHES_AT_ONCE).map(instanceId => this.launch(instanceId)));
+        const ids = [...this.daemonSpecs.keys()];
+        for (let begin = 0; begin < ids.length; begin += MAX_CONCURRENT_LAUNCHES) {
+            await Promise.all(
+                ids.slice(begin, begin + MAX_CONCURRENT_LAUNCHES).map(instanceId => this.launch(instanceId)),
+            );
         }
     }
 
     async stop(): Promise<void> {
-        await Promise.all(this.living().map(life => this.kill(life)));
+        await Promise.all(this.runningProcesses().map(run => this.kill(run)));
         await this.keyValue.close();
         await this.instanceList.close();
     }
 
-    living(): Life[] {
-        return this.lives.filter(life => life.endedAtMs === undefined);
+    runningProcesses(): ProcessRun[] {
+        return this.runs.filter(run => run.endedAtMs === undefined);
     }
 
     /** Ends a process at once. */
-    async kill(life: Life): Promise<void> {
-        life.endedAtMs = this.clock.nowMs();
-        await life.launched.kill();
+    async kill(run: ProcessRun): Promise<void> {
+        run.endedAtMs = this.clock.nowMs();
+        await run.launched.kill();
     }
 
     /** Starts a new process for an instance, at the same address. */
     async launch(instanceId: string): Promise<void> {
-        const place = this.places.get(instanceId) as Place;
+        const spec = this.daemonSpecs.get(instanceId) as DaemonSpec;
         const startedAtMs = this.clock.nowMs();
-        const isEntry = place.kind === "entry";
+        const isEntry = spec.kind === "entry";
         const launched = await launchProcess({
-            name: `${instanceId}-${this.lives.filter(life => life.instanceId === instanceId).length + 1}`,
+            name: `${instanceId}-${this.runs.filter(run => run.instanceId === instanceId).length + 1}`,
             folder: this.opts.folder,
-            mainFile: fileURLToPath(import.meta.resolve(`@knapweedwood/daemons.${place.kind}/main`)),
-            settings: isEntry ? this.entrySettings(place) : this.sideSettings(place),
+            mainFile: fileURLToPath(import.meta.resolve(`@knapweedwood/daemons.${spec.kind}/main`)),
+            settings: isEntry ? this.entrySettings(spec) : this.sideSettings(spec),
             readiness: isEntry
-                ? { kind: "url", url: `http://${HOST}:${place.httpPort}/livez` }
-                : { kind: "port", port: place.linkPort },
+                ? { kind: "url", url: `http://${HOST}:${spec.httpPort}/livez` }
+                : { kind: "port", port: spec.linkPort },
         });
-        this.lives.push({
+        this.runs.push({
             instanceId,
-            kind: place.kind,
+            kind: spec.kind,
             launched,
             startedAtMs,
             endedAtMs: undefined,
             pauses: [],
-            url: isEntry ? `http://${HOST}:${place.httpPort}` : undefined,
+            url: isEntry ? `http://${HOST}:${spec.httpPort}` : undefined,
         });
     }
 
-    private entrySettings(place: Place): object {
+    private entrySettings(spec: DaemonSpec): object {
         return {
-            ...commonSettings(place),
-            http: { host: HOST, port: place.httpPort },
+            ...commonSettings(spec),
+            http: { host: HOST, port: spec.httpPort },
             platform: this.urls,
             bootstrapKeyHash: createHash("sha256").update(this.operatorKey).digest("hex"),
         };
     }
 
-    private sideSettings(place: Place): object {
+    private sideSettings(spec: DaemonSpec): object {
         return {
-            ...commonSettings(place),
+            ...commonSettings(spec),
             service: "nobody",
-            upstream: { kind: "plain", url: NOBODY_LISTENS },
+            upstream: { kind: "plain", url: UNREACHABLE_URL },
             platform: { instanceListUrl: this.urls.instanceListUrl },
         };
     }
 }
 
-function commonSettings(place: Place): object {
+function commonSettings(spec: DaemonSpec): object {
     return {
-        instanceId: place.instanceId,
+        instanceId: spec.instanceId,
         region: "bench",
-        zone: place.zone,
-        link: { host: HOST, port: place.linkPort },
+        zone: spec.zone,
+        link: { host: HOST, port: spec.linkPort },
         logs: { level: "info" },
     };
 }
--- a/bench/config-churn/src/countReversals.ts
+++ b/bench/config-churn/src/countReversals.ts
@@ -1,8 +1,8 @@
-import type { JudgedLife } from "./judgedLife.js";
+import type { RunHistory } from "./runHistory.js";
 
 /** Counts how often a process went to a lower or equal revision. */
-export function countReversals(lives: readonly JudgedLife[]): number {
-    return lives
+export function countReversals(histories: readonly RunHistory[]): number {
+    return histories
         .map(({ adoptions }) =>
             adoptions.filter((adoption, index) => adoption.revision <= (adoptions[index - 1]?.revision ?? 0))
         )
--- a/bench/config-churn/src/life.ts
+++ b/bench/config-churn/src/processRun.ts
@@ -1,7 +1,7 @@
 import type { LaunchedProcess } from "@knapweedwood/bench.load/launchedProcess";
 
 /** One run of one daemon, from its start until it was killed. */
-export interface Life {
+export interface ProcessRun {
     instanceId: string;
     kind: "entry" | "side";
     launched: LaunchedProcess;
--- a/bench/config-churn/src/publishTeam.ts
+++ b/bench/config-churn/src/publishTeam.ts
@@ -11,17 +11,17 @@
 ): Promise<PublishOutcome> {
     const text = `teams: [{ teamId: ${opts.teamId}, weight: ${opts.weight} }]`;
     try {
-        const answer = await request(`${opts.url}/admin/v1/configuration/publish`, {
+        const response = await request(`${opts.url}/admin/v1/configuration/publish`, {
             method: "POST",
             headers: { authorization: `Bearer ${opts.key}`, "content-type": "application/json" },
             body: JSON.stringify({ files: [{ path: "knapweed.yaml", text }], message: "bench" }),
             signal: AbortSignal.timeout(TIMEOUT_MS),
         });
-        const body = await answer.body.json() as { revision?: number; };
-        if (answer.statusCode === OK_STATUS) {
+        const body = await response.body.json() as { revision?: number; };
+        if (response.statusCode === OK_STATUS) {
             return { kind: "accepted", revision: body.revision ?? 0 };
         }
-        return answer.headers[OUTCOME_HEADER] === "not-run" ? { kind: "refused" } : { kind: "unknown" };
+        return response.headers[OUTCOME_HEADER] === "not-run" ? { kind: "refused" } : { kind: "unknown" };
     }
     catch {
         return { kind: "unknown" };
--- a/bench/config-churn/src/revisionLatencies.ts
+++ b/bench/config-churn/src/revisionLatencies.ts
@@ -1,9 +1,9 @@
-import type { JudgedLife } from "./judgedLife.js";
+import type { RunHistory } from "./runHistory.js";
 
 /** A process counts for a revision when it had been up for this long before it was published. */
-const JOINED_MS = 5_000;
+const MIN_UPTIME_MS = 5_000;
 /** And was not resumed within this time before. */
-const RESUMED_MS = 1_000;
+const RESUME_GRACE_MS = 1_000;
 
 /**
  * Time from the publish of a revision until each undisturbed process had it or a higher one, in milliseconds; processes
@@ -12,19 +12,19 @@
  * @returns shape [undisturbed processes]
  */
 export function revisionLatencies(
-    opts: { revision: number; publishedAtMs: number; lives: readonly JudgedLife[]; endMs: number; },
+    opts: { revision: number; publishedAtMs: number; histories: readonly RunHistory[]; endMs: number; },
 ): number[] {
-    return opts.lives.flatMap(judged => {
-        const reached = judged.adoptions.find(adoption => adoption.revision >= opts.revision);
+    return opts.histories.flatMap(history => {
+        const reached = history.adoptions.find(adoption => adoption.revision >= opts.revision);
         const reachedAtMs = reached?.atMs ?? Infinity;
-        return isUndisturbed(judged, opts.publishedAtMs, Math.min(reachedAtMs, opts.endMs))
+        return isUndisturbed(history, opts.publishedAtMs, Math.min(reachedAtMs, opts.endMs))
             ? [Math.max(0, reachedAtMs - opts.publishedAtMs)]
             : [];
     });
 }
 
-function isUndisturbed({ life }: JudgedLife, fromMs: number, untilMs: number): boolean {
-    const isUp = life.startedAtMs + JOINED_MS <= fromMs && (life.endedAtMs ?? Infinity) > untilMs;
-    const isPaused = life.pauses.some(pause => pause.fromMs <= untilMs && pause.untilMs + RESUMED_MS >= fromMs);
+function isUndisturbed({ run }: RunHistory, fromMs: number, untilMs: number): boolean {
+    const isUp = run.startedAtMs + MIN_UPTIME_MS <= fromMs && (run.endedAtMs ?? Infinity) > untilMs;
+    const isPaused = run.pauses.some(pause => pause.fromMs <= untilMs && pause.untilMs + RESUME_GRACE_MS >= fromMs);
     return isUp && !isPaused;
 }
--- a/bench/config-churn/src/runConfigChurn.ts
+++ b/bench/config-churn/src/runConfigChurn.ts
@@ -6,19 +6,19 @@
 import type { ConfigChurnOptions } from "./configChurnOptions.js";
 import type { ConfigChurnReport } from "./configChurnReport.js";
 import { countReversals } from "./countReversals.js";
-import type { JudgedLife } from "./judgedLife.js";
 import type { PublishOutcome } from "./publishOutcome.js";
 import { publishTeam } from "./publishTeam.js";
 import { quantilesOf } from "./quantilesOf.js";
 import { readAdoptions } from "./readAdoptions.js";
 import { revisionLatencies } from "./revisionLatencies.js";
+import type { RunHistory } from "./runHistory.js";
 
 const SETTLE_MS = 8_000;
 const QUIET_MS = 10_000;
-const KILL_EVERY = 8;
-const PAUSE_EVERY = 11;
-const LOSE_ANSWER_EVERY = 9;
-const TEAMS = 20;
+const PUBLISHES_PER_KILL = 8;
+const PUBLISHES_PER_PAUSE = 11;
+const PUBLISHES_PER_LOST_RESPONSE = 9;
+const TEAM_COUNT = 20;
 
 interface Published {
     outcome: PublishOutcome;
@@ -34,12 +34,12 @@
         await fleet.start();
         await sleep(SETTLE_MS);
         opts.onProgress?.(`publishing ${opts.publishes} times`);
-        const published = await publishUnderChurn({ opts, fleet, faults, random });
+        const published = await publishUnderFaults({ opts, fleet, faults, random });
         await faults.settle();
         await sleep(QUIET_MS);
-        const living = fleet.living().length;
-        const lives = await judgeLives(fleet);
-        return reportOf({ published, lives, living, faults: faults.counts });
+        const runningCount = fleet.runningProcesses().length;
+        const histories = await readRunHistories(fleet);
+        return createReport({ published, histories, runningCount, faults: faults.counts });
     }
     finally {
         await faults.settle();
@@ -47,16 +47,16 @@
     }
 }
 
-async function publishUnderChurn(
+async function publishUnderFaults(
     run: { opts: ConfigChurnOptions; fleet: ChurnFleet; faults: ChurnFaults; random: Random; },
 ): Promise<Published[]> {
     const { opts, fleet, faults, random } = run;
     const pending: Promise<Published>[] = [];
     for (let n = 1; n <= opts.publishes; n += 1) {
         injectFaults(faults, n, opts.publishes);
-        const entries = fleet.living().flatMap(life => life.url ?? []);
+        const entries = fleet.runningProcesses().flatMap(run => run.url ?? []);
         const url = entries[random.nextInteger(entries.length)] ?? "";
-        const teamId = `team-${random.nextInteger(TEAMS)}`;
+        const teamId = `team-${random.nextInteger(TEAM_COUNT)}`;
         pending.push(publishTeam({ url, key: fleet.operatorKey, teamId, weight: n }).then(outcome => ({ outcome })));
         await sleep(opts.publishIntervalMs * (0.5 + random.next()));
     }
@@ -64,63 +64,69 @@
 }
 
 function injectFaults(faults: ChurnFaults, n: number, publishes: number): void {
-    if (n % KILL_EVERY === 0) {
+    if (n % PUBLISHES_PER_KILL === 0) {
         faults.kill();
     }
-    if (n % PAUSE_EVERY === 0) {
+    if (n % PUBLISHES_PER_PAUSE === 0) {
         faults.pause();
     }
-    if (n % LOSE_ANSWER_EVERY === 0) {
-        faults.loseAnswer();
+    if (n % PUBLISHES_PER_LOST_RESPONSE === 0) {
+        faults.loseResponse();
     }
     if (n === Math.floor(publishes / 2)) {
         faults.outage();
     }
 }
 
-async function judgeLives(fleet: ChurnFleet): Promise<JudgedLife[]> {
-    return Promise.all(fleet.lives.map(async life => ({
-        life,
-        adoptions: readAdoptions(await life.launched.readLog()),
+async function readRunHistories(fleet: ChurnFleet): Promise<RunHistory[]> {
+    return Promise.all(fleet.runs.map(async run => ({
+        run,
+        adoptions: readAdoptions(await run.launched.readLog()),
     })));
 }
 
-function reportOf(
-    run: { published: Published[]; lives: JudgedLife[]; living: number; faults: ConfigChurnReport["faults"]; },
+function createReport(
+    opts: {
+        published: Published[];
+        histories: RunHistory[];
+        runningCount: number;
+        faults: ConfigChurnReport["faults"];
+    },
 ): ConfigChurnReport {
-    const count = (kind: PublishOutcome["kind"]) => run.published.filter(({ outcome }) => outcome.kind === kind).length;
-    const accepted = run.published.flatMap(({ outcome }) => outcome.kind === "accepted" ? [outcome.revision] : []);
-    const publishedAt = publishTimes(run.lives);
+    const count = (kind: PublishOutcome["kind"]) =>
+        opts.published.filter(({ outcome }) => outcome.kind === kind).length;
+    const accepted = opts.published.flatMap(({ outcome }) => outcome.kind === "accepted" ? [outcome.revision] : []);
+    const publishTimes = publishTimesByRevision(opts.histories);
     const endMs = Date.now();
     const latencies = [...new Set(accepted)].flatMap(revision => {
-        const publishedAtMs = publishedAt.get(revision);
-        const each = publishedAtMs === undefined
+        const publishedAtMs = publishTimes.get(revision);
+        const latenciesMs = publishedAtMs === undefined
             ? []
-            : revisionLatencies({ revision, publishedAtMs, lives: run.lives, endMs });
-        return each.length === 0 ? [] : [each];
+            : revisionLatencies({ revision, publishedAtMs, histories: opts.histories, endMs });
+        return latenciesMs.length === 0 ? [] : [latenciesMs];
     });
-    const current = run.lives.filter(({ life }) => life.endedAtMs === undefined);
-    const highest = Math.max(0, ...current.map(({ adoptions }) => adoptions.at(-1)?.revision ?? 0));
+    const runningHistories = opts.histories.filter(({ run }) => run.endedAtMs === undefined);
+    const highest = Math.max(0, ...runningHistories.map(({ adoptions }) => adoptions.at(-1)?.revision ?? 0));
     return {
-        processes: run.living,
+        processes: opts.runningCount,
         publishes: { accepted: count("accepted"), refused: count("refused"), unknown: count("unknown") },
-        faults: run.faults,
+        faults: opts.faults,
         inForceEverywhere: quantilesOf(latencies.map(each => Math.max(...each))),
         inForceOneProcess: quantilesOf(latencies.flat()),
-        reversals: countReversals(run.lives),
+        reversals: countReversals(opts.histories),
         lostRevisions: accepted.filter(revision => revision > highest).length
             + accepted.length - new Set(accepted).size,
         agreed: {
-            reached: current.filter(({ adoptions }) => adoptions.at(-1)?.revision === highest).length,
-            total: current.length,
+            reached: runningHistories.filter(({ adoptions }) => adoptions.at(-1)?.revision === highest).length,
+            total: runningHistories.length,
         },
     };
 }
 
 /** When each revision was published, as the processes that have it know. */
-function publishTimes(lives: JudgedLife[]): Map<number, number> {
+function publishTimesByRevision(histories: RunHistory[]): Map<number, number> {
     return new Map(
-        lives.flatMap(({ adoptions }) =>
+        histories.flatMap(({ adoptions }) =>
             adoptions.map((adoption): [number, number] => [adoption.revision, adoption.atMs - adoption.ageMs])
         ),
     );
--- a/bench/config-churn/test/judging.test.ts
+++ b/bench/config-churn/test/adoptionAnalysis.test.ts
@@ -1,14 +1,14 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { countReversals } from "../src/countReversals.js";
-import type { JudgedLife } from "../src/judgedLife.js";
 import { quantilesOf } from "../src/quantilesOf.js";
 import { readAdoptions } from "../src/readAdoptions.js";
 import { revisionLatencies } from "../src/revisionLatencies.js";
+import type { RunHistory } from "../src/runHistory.js";
 
-function life(revisions: [revision: number, atMs: number][], rest: Partial<JudgedLife["life"]> = {}): JudgedLife {
+function history(revisions: [revision: number, atMs: number][], rest: Partial<RunHistory["run"]> = {}): RunHistory {
     return {
-        life: { instanceId: "i", startedAtMs: 0, endedAtMs: undefined, pauses: [], ...rest },
+        run: { instanceId: "i", startedAtMs: 0, endedAtMs: undefined, pauses: [], ...rest },
         adoptions: revisions.map(([revision, atMs]) => ({ revision, atMs, ageMs: 0 })),
     };
 }
@@ -23,20 +23,20 @@
 });
 
 test("a fall to a lower revision counts as a reversal", () => {
-    assert.equal(countReversals([life([[1, 0], [3, 1], [2, 2], [4, 3]]), life([[1, 0], [5, 1]])]), 1);
+    assert.equal(countReversals([history([[1, 0], [3, 1], [2, 2], [4, 3]]), history([[1, 0], [5, 1]])]), 1);
 });
 
 test("disturbed processes are left out, and one that never had the revision is not", () => {
-    const lives = [
-        life([[6, 10_040]]),
-        life([[7, 10_100]]),
-        life([[6, 10_500]], { startedAtMs: 8_000 }),
-        life([[6, 13_500]], { pauses: [{ fromMs: 9_000, untilMs: 12_000 }] }),
-        life([], { endedAtMs: 10_050 }),
+    const histories = [
+        history([[6, 10_040]]),
+        history([[7, 10_100]]),
+        history([[6, 10_500]], { startedAtMs: 8_000 }),
+        history([[6, 13_500]], { pauses: [{ fromMs: 9_000, untilMs: 12_000 }] }),
+        history([], { endedAtMs: 10_050 }),
     ];
     const opts = { revision: 6, publishedAtMs: 10_000, endMs: 60_000 };
-    assert.deepEqual(revisionLatencies({ ...opts, lives }), [40, 100]);
-    assert.deepEqual(revisionLatencies({ ...opts, lives: [life([[5, 9_000]])] }), [Infinity]);
+    assert.deepEqual(revisionLatencies({ ...opts, histories }), [40, 100]);
+    assert.deepEqual(revisionLatencies({ ...opts, histories: [history([[5, 9_000]])] }), [Infinity]);
 });
 
 test("quantiles are by nearest rank", () => {
