--- a/bench/faults/src/apiClient.ts
+++ b/bench/faults/src/apiClient.ts
@@ -4,13 +4,13 @@
 import { FormData, request } from "undici";
 
 const MAX_ATTEMPTS = 200;
-const RETRY_MS = 250;
+const RETRY_DELAY_MS = 250;
 const TIMEOUT_MS = 15_000;
 
 /** Calls the callers' API of any entry, as a client that resends until it is answered. */
 export class ApiClient {
     private readonly opts: { entryUrls: string[]; key: string; clock: Clock; };
-    private turn = 0;
+    private nextEntryIndex = 0;
 
     constructor(opts: ApiClient["opts"]) {
         this.opts = opts;
@@ -18,7 +18,7 @@
 
     /** Uploads a batch input file. @returns its id */
     async upload(text: string): Promise<string> {
-        const file = await this.insist<{ id: string; }>("POST", "/v1/files", () => {
+        const file = await this.requestJson<{ id: string; }>("POST", "/v1/files", () => {
             const form = new FormData();
             form.append("purpose", "batch");
             form.append("file", new Blob([text]), "input.jsonl");
@@ -29,7 +29,7 @@
 
     /** Creates a batch under an idempotency key; resends go to other entries. */
     async createBatch(opts: { inputFileId: string; endpoint: string; idempotencyKey: string; }): Promise<string> {
-        const batch = await this.insist<{ id: string; }>("POST", "/v1/batches", () => ({
+        const batch = await this.requestJson<{ id: string; }>("POST", "/v1/batches", () => ({
             headers: { "content-type": "application/json", "idempotency-key": opts.idempotencyKey },
             body: JSON.stringify({
                 input_file_id: opts.inputFileId,
@@ -40,60 +40,64 @@
         return batch.id;
     }
 
-    batch(id: string): Promise<BatchAnswer> {
-        return this.insist("GET", `/v1/batches/${id}`, () => ({}));
+    getBatch(id: string): Promise<BatchResponse> {
+        return this.requestJson("GET", `/v1/batches/${id}`, () => ({}));
     }
 
     /** The lines of a file, shape [lines]; none where there is no file. */
-    async lines(fileId: string | undefined | null): Promise<OutputLine[]> {
+    async readLines(fileId: string | undefined | null): Promise<OutputLine[]> {
         if (fileId === undefined || fileId === null) {
             return [];
         }
-        const text = await this.insistText("GET", `/v1/files/${fileId}/content`, () => ({}));
+        const text = await this.requestText("GET", `/v1/files/${fileId}/content`, () => ({}));
         return text.trimEnd().split("\n").map(line => JSON.parse(line) as OutputLine);
     }
 
-    private async insist<Answer>(method: "GET" | "POST", path: string, content: () => Content): Promise<Answer> {
-        return JSON.parse(await this.insistText(method, path, content)) as Answer;
+    private async requestJson<Body>(
+        method: "GET" | "POST",
+        path: string,
+        content: () => RequestContent,
+    ): Promise<Body> {
+        return JSON.parse(await this.requestText(method, path, content)) as Body;
     }
 
-    private async insistText(method: "GET" | "POST", path: string, content: () => Content): Promise<string> {
-        let reason = "";
+    private async requestText(method: "GET" | "POST", path: string, content: () => RequestContent): Promise<string> {
+        let lastError = "";
         for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
             try {
                 return await this.send(method, path, content());
             }
             catch (error) {
-                reason = String(error);
+                lastError = String(error);
             }
-            await sleep(this.opts.clock, RETRY_MS);
+            await sleep(this.opts.clock, RETRY_DELAY_MS);
         }
-        throw new KnapweedError("BENCH_CALL_FAILED", `${method} ${path}: ${reason}`);
+        throw new KnapweedError("BENCH_CALL_FAILED", `${method} ${path}: ${lastError}`);
     }
 
-    private async send(method: "GET" | "POST", path: string, content: Content): Promise<string> {
+    private async send(method: "GET" | "POST", path: string, content: RequestContent): Promise<string> {
         const { entryUrls, key } = this.opts;
-        const answer = await request(`${entryUrls[this.turn++ % entryUrls.length]}${path}`, {
+        const response = await request(`${entryUrls[this.nextEntryIndex++ % entryUrls.length]}${path}`, {
             method,
             headers: { authorization: `Bearer ${key}`, ...content.headers },
             body: content.body,
             headersTimeout: TIMEOUT_MS,
             bodyTimeout: TIMEOUT_MS,
         });
-        const text = await answer.body.text();
-        if (answer.statusCode !== 200) {
-            throw new KnapweedError("BENCH_STATUS", `${answer.statusCode}: ${text}`);
+        const text = await response.body.text();
+        if (response.statusCode !== 200) {
+            throw new KnapweedError("BENCH_STATUS", `${response.statusCode}: ${text}`);
         }
         return text;
     }
 }
 
-interface Content {
+interface RequestContent {
     headers?: { [name: string]: string; };
     body?: string | FormData;
 }
 
-interface BatchAnswer {
+interface BatchResponse {
     status: string;
     output_file_id?: string | null;
     error_file_id?: string | null;
--- a/bench/faults/src/auditReceipts.ts
+++ b/bench/faults/src/auditReceipts.ts
@@ -1,20 +1,20 @@
 import { digestOf } from "@knapweedwood/core.hashing/digestOf";
-import type { BatchWork } from "./batchWork.js";
+import type { BatchJob } from "./batchJob.js";
 import type { FaultsReport } from "./faultsReport.js";
 import type { RunRecords } from "./runRecords.js";
 
 /** Compares a job of calls that may not be repeated with what the services ran. */
 export function auditReceipts(
-    work: BatchWork,
-    lines: Awaited<ReturnType<BatchWork["finish"]>>,
+    job: BatchJob,
+    lines: Awaited<ReturnType<BatchJob["finish"]>>,
     records: RunRecords,
     bodyOf: (marker: string) => object,
 ): FaultsReport["receipts"] {
     const counts = records.countsByBody();
-    const markers = Array.from({ length: work.itemCount }, (_, index) => work.markerOf(index));
+    const markers = Array.from({ length: job.itemCount }, (_, index) => job.markerOf(index));
     const found = new Set([...lines.output, ...lines.errors].map(line => line.custom_id));
     return {
-        accepted: work.itemCount,
+        accepted: job.itemCount,
         completed: lines.output.length,
         unknown: lines.errors.filter(line => line.error?.code === "outcome_unknown").length,
         lost: markers.filter(marker => !found.has(marker)).length,
--- a/bench/faults/src/batchWork.ts
+++ b/bench/faults/src/batchJob.ts
@@ -3,17 +3,17 @@
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 import type { ApiClient } from "./apiClient.js";
 
-const CHECK_MS = 500;
+const POLL_INTERVAL_MS = 500;
 const MAX_WAIT_MS = 600_000;
 
 /** One job of the experiment and what came out of it. */
-export class BatchWork {
+export class BatchJob {
     readonly name: string;
     readonly itemCount: number;
     private readonly opts: { api: ApiClient; clock: Clock; endpoint: string; bodyOf: (marker: string) => object; };
     private id: string | undefined;
 
-    constructor(opts: BatchWork["opts"] & { name: string; itemCount: number; }) {
+    constructor(opts: BatchJob["opts"] & { name: string; itemCount: number; }) {
         this.opts = opts;
         this.name = opts.name;
         this.itemCount = opts.itemCount;
@@ -31,9 +31,9 @@
         });
         const inputFileId = await api.upload(lines.join(""));
         this.id = await api.createBatch({ inputFileId, endpoint, idempotencyKey: this.name });
-        const again = await api.createBatch({ inputFileId, endpoint, idempotencyKey: this.name });
-        if (again !== this.id) {
-            throw new KnapweedError("BENCH_RESEND_DIFFERS", `${this.name}: ${this.id} and ${again}`);
+        const resentId = await api.createBatch({ inputFileId, endpoint, idempotencyKey: this.name });
+        if (resentId !== this.id) {
+            throw new KnapweedError("BENCH_RESEND_DIFFERS", `${this.name}: ${this.id} and ${resentId}`);
         }
     }
 
@@ -42,17 +42,20 @@
         const { api, clock } = this.opts;
         const endMs = clock.nowMs() + MAX_WAIT_MS;
         while (clock.nowMs() < endMs) {
-            const batch = await api.batch(this.id ?? "");
+            const batch = await api.getBatch(this.id ?? "");
             if (batch.status === "completed") {
-                return { output: await api.lines(batch.output_file_id), errors: await api.lines(batch.error_file_id) };
+                return {
+                    output: await api.readLines(batch.output_file_id),
+                    errors: await api.readLines(batch.error_file_id),
+                };
             }
             if (batch.status === "failed" || batch.status === "cancelled") {
                 throw new KnapweedError("BENCH_JOB_FAILED", JSON.stringify(batch));
             }
-            await sleep(clock, CHECK_MS);
+            await sleep(clock, POLL_INTERVAL_MS);
         }
-        throw new KnapweedError("BENCH_JOB_STUCK", JSON.stringify(await api.batch(this.id ?? "")));
+        throw new KnapweedError("BENCH_JOB_STUCK", JSON.stringify(await api.getBatch(this.id ?? "")));
     }
 }
 
-type Lines = Awaited<ReturnType<ApiClient["lines"]>>;
+type Lines = Awaited<ReturnType<ApiClient["readLines"]>>;
--- a/bench/faults/src/faultSchedule.ts
+++ b/bench/faults/src/faultSchedule.ts
@@ -3,24 +3,24 @@
 import { sleep } from "@knapweedwood/core.clock/sleep";
 import type { Random } from "@knapweedwood/core.random/random";
 import { request } from "undici";
-import type { FaultsBed } from "./faultsBed.js";
+import type { FaultsTestBed } from "./faultsTestBed.js";
 import type { ManagedProcess } from "./managedProcess.js";
 import type { OwnershipProbe } from "./ownershipProbe.js";
 
-const FAULT_INTERVAL_MS = 1500;
-const DOWN_MS = 1500;
+const MEAN_FAULT_INTERVAL_MS = 1500;
+const RESTART_DELAY_MS = 1500;
 const SIDE_PAUSE_MS = 3000;
 const ENTRY_PAUSE_MS = 6000;
 const OUTAGE_MS = 3000;
-const LOST_ANSWERS = 3;
-const ORDER_TIMEOUT_MS = 2000;
+const AFFECTED_RESPONSE_COUNT = 3;
+const FAULT_REQUEST_TIMEOUT_MS = 2000;
 
 /** Brings faults in, one after another, until its time is over. */
 export class FaultSchedule {
     readonly counts: { [kind: string]: number; } = {};
     readonly recovery = new Recorder();
-    private readonly opts: { bed: FaultsBed; probe: OwnershipProbe; clock: Clock; random: Random; };
-    private readonly running: Promise<void>[] = [];
+    private readonly opts: { bed: FaultsTestBed; probe: OwnershipProbe; clock: Clock; random: Random; };
+    private readonly activeFaults: Promise<void>[] = [];
 
     constructor(opts: FaultSchedule["opts"]) {
         this.opts = opts;
@@ -34,45 +34,51 @@
             const kinds = Object.keys(faults);
             const kind = kinds[random.nextInteger(kinds.length)];
             this.counts[kind] = (this.counts[kind] ?? 0) + 1;
-            this.running.push(faults[kind]());
-            await sleep(clock, FAULT_INTERVAL_MS * (0.5 + random.next()));
+            this.activeFaults.push(faults[kind]());
+            await sleep(clock, MEAN_FAULT_INTERVAL_MS * (0.5 + random.next()));
         }
-        await Promise.all(this.running);
+        await Promise.all(this.activeFaults);
     }
 
     private faults(): { [kind: string]: () => Promise<void>; } {
         const { bed } = this.opts;
         return {
-            "SIGKILL entry": () => this.loseEntry(),
-            "SIGKILL side": () => this.withRunning(bed.sides, side => side.lose(DOWN_MS, ms => this.sleep(ms))),
+            "SIGKILL entry": () => this.killEntry(),
+            "SIGKILL side": () =>
+                this.withRandomProcess(bed.sides, side => side.killAndRestart(RESTART_DELAY_MS, ms => this.sleep(ms))),
             "SIGSTOP entry": () =>
-                this.withRunning(bed.entries, entry => entry.pause(ENTRY_PAUSE_MS, ms => this.sleep(ms))),
-            "SIGSTOP side": () => this.withRunning(bed.sides, side => side.pause(SIDE_PAUSE_MS, ms => this.sleep(ms))),
+                this.withRandomProcess(bed.entries, entry => entry.pause(ENTRY_PAUSE_MS, ms => this.sleep(ms))),
+            "SIGSTOP side": () =>
+                this.withRandomProcess(bed.sides, side => side.pause(SIDE_PAUSE_MS, ms => this.sleep(ms))),
             "key-value outage": () => this.outage(),
-            "key-value answers lost": () => this.order(`${bed.keyValueUrl}/faults`, { loseAnswers: LOST_ANSWERS }),
-            "key-value connections silent": () => this.order(`${bed.keyValueUrl}/faults`, { silentConnections: true }),
-            "service answers lost": () => this.order(`${this.anyService()}/__faults`, { loseAnswers: LOST_ANSWERS }),
-            "service refusals": () => this.order(`${this.anyService()}/__faults`, { refusals: LOST_ANSWERS }),
+            "key-value answers lost": () =>
+                this.applyFaults(`${bed.keyValueUrl}/faults`, { loseAnswers: AFFECTED_RESPONSE_COUNT }),
+            "key-value connections silent": () =>
+                this.applyFaults(`${bed.keyValueUrl}/faults`, { silentConnections: true }),
+            "service answers lost": () =>
+                this.applyFaults(`${this.randomServiceUrl()}/__faults`, { loseAnswers: AFFECTED_RESPONSE_COUNT }),
+            "service refusals": () =>
+                this.applyFaults(`${this.randomServiceUrl()}/__faults`, { refusals: AFFECTED_RESPONSE_COUNT }),
         };
     }
 
-    private async loseEntry(): Promise<void> {
+    private async killEntry(): Promise<void> {
         const { bed, probe, clock } = this.opts;
         // Two of three data folders stay reachable, as an acknowledged segment needs.
         if (bed.entries.some(entry => !entry.isRunning)) {
             return;
         }
-        const victim = bed.entries[this.opts.random.nextInteger(bed.entries.length)];
-        const lostAtMs = clock.nowMs();
-        const lost = victim.lose(DOWN_MS, ms => this.sleep(ms));
-        const recoveredAtMs = await probe.waitUntilOwned(victim.instanceId);
+        const entry = bed.entries[this.opts.random.nextInteger(bed.entries.length)];
+        const killedAtMs = clock.nowMs();
+        const restarted = entry.killAndRestart(RESTART_DELAY_MS, ms => this.sleep(ms));
+        const recoveredAtMs = await probe.waitUntilOwned(entry.instanceId);
         if (recoveredAtMs !== undefined) {
-            this.recovery.record(recoveredAtMs - lostAtMs);
+            this.recovery.record(recoveredAtMs - killedAtMs);
         }
-        await lost;
+        await restarted;
     }
 
-    private async withRunning(
+    private async withRandomProcess(
         processes: ManagedProcess[],
         action: (process: ManagedProcess) => Promise<void>,
     ): Promise<void> {
@@ -84,25 +90,25 @@
 
     private async outage(): Promise<void> {
         const url = `${this.opts.bed.keyValueUrl}/faults`;
-        await this.order(url, { outage: true });
+        await this.applyFaults(url, { outage: true });
         await this.sleep(OUTAGE_MS);
-        await this.order(url, { outage: false });
+        await this.applyFaults(url, { outage: false });
     }
 
-    private anyService(): string {
+    private randomServiceUrl(): string {
         const { serviceUrls } = this.opts.bed;
         return serviceUrls[this.opts.random.nextInteger(serviceUrls.length)];
     }
 
     /** Sends a fault order. Its own answer is lost where it silences the connection that it came by. */
-    private async order(url: string, body: object): Promise<void> {
+    private async applyFaults(url: string, body: object): Promise<void> {
         const sent = request(url, {
             method: "POST",
             body: JSON.stringify(body),
             reset: true,
-            headersTimeout: ORDER_TIMEOUT_MS,
+            headersTimeout: FAULT_REQUEST_TIMEOUT_MS,
         });
-        await sent.then(answer => answer.body.dump(), () => undefined);
+        await sent.then(response => response.body.dump(), () => undefined);
     }
 
     private sleep(durationMs: number): Promise<void> {
--- a/bench/faults/src/faultsBed.ts
+++ b/bench/faults/src/faultsTestBed.ts
@@ -21,7 +21,7 @@
 const PUBLISH_RETRY_MS = 200;
 
 /** Three entries in three zones, three engines and two plain services with their sides, and the stand-ins. */
-export class FaultsBed {
+export class FaultsTestBed {
     readonly model = MODEL;
     readonly key = OPERATOR_KEY;
     readonly entries: ManagedProcess[] = [];
@@ -55,7 +55,7 @@
     }
 
     async stop(): Promise<void> {
-        await Promise.all([...this.sides, ...this.entries].map(managed => managed.stop()));
+        await Promise.all([...this.sides, ...this.entries].map(process => process.stop()));
         await this.platform?.stop();
     }
 
@@ -119,7 +119,7 @@
 
     private async publish(): Promise<void> {
         for (let attempt = 0; attempt < PUBLISH_ATTEMPTS; attempt++) {
-            const answer = await request(`${this.entryUrls[0]}/admin/v1/configuration/publish`, {
+            const response = await request(`${this.entryUrls[0]}/admin/v1/configuration/publish`, {
                 method: "POST",
                 headers: { "content-type": "application/json", authorization: `Bearer ${OPERATOR_KEY}` },
                 body: JSON.stringify({
@@ -127,8 +127,8 @@
                     message: "bench",
                 }),
             });
-            const text = await answer.body.text();
-            if (answer.statusCode === 200) {
+            const text = await response.body.text();
+            if (response.statusCode === 200) {
                 return;
             }
             if (attempt === PUBLISH_ATTEMPTS - 1) {
--- a/bench/faults/src/keyedCallers.ts
+++ b/bench/faults/src/keyedCallers.ts
@@ -5,7 +5,7 @@
 
 const CONCURRENCY = 8;
 const MAX_ATTEMPTS = 12;
-const RETRY_MS = 400;
+const RETRY_DELAY_MS = 400;
 const TIMEOUT_MS = 15_000;
 
 interface KeyedOutcome {
@@ -17,22 +17,22 @@
 /** Sends calls with an idempotency key and resends each, to any entry, until it is answered or patience ends. */
 export class KeyedCallers {
     readonly outcomes: KeyedOutcome[] = [];
-    private readonly opts: { entryUrls: string[]; key: string; clock: Clock; random: Random; paceMs: number; };
-    private next = 0;
+    private readonly opts: { entryUrls: string[]; key: string; clock: Clock; random: Random; meanIntervalMs: number; };
+    private nextIndex = 0;
 
     constructor(opts: KeyedCallers["opts"]) {
         this.opts = opts;
     }
 
     async run(count: number): Promise<void> {
-        await Promise.all(Array.from({ length: CONCURRENCY }, () => this.work(count)));
+        await Promise.all(Array.from({ length: CONCURRENCY }, () => this.runWorker(count)));
     }
 
-    private async work(count: number): Promise<void> {
-        while (this.next < count) {
-            const marker = `receipt-${this.next++}`;
+    private async runWorker(count: number): Promise<void> {
+        while (this.nextIndex < count) {
+            const marker = `receipt-${this.nextIndex++}`;
             await this.callUntilAnswered(marker);
-            await sleep(this.opts.clock, this.opts.paceMs * CONCURRENCY * this.opts.random.next() * 2);
+            await sleep(this.opts.clock, this.opts.meanIntervalMs * CONCURRENCY * this.opts.random.next() * 2);
         }
     }
 
@@ -40,22 +40,22 @@
         let outcome: KeyedOutcome["outcome"] = "unknown";
         let attempts = 0;
         // A first attempt without an answer leaves the outcome open, whatever a later refusal says of itself.
-        let isOpen = false;
+        let isUncertain = false;
         while (attempts < MAX_ATTEMPTS && outcome !== "answered") {
             attempts += 1;
             outcome = await this.call(marker);
-            isOpen ||= outcome === "unknown";
+            isUncertain ||= outcome === "unknown";
             if (outcome !== "answered") {
-                await sleep(this.opts.clock, RETRY_MS);
+                await sleep(this.opts.clock, RETRY_DELAY_MS);
             }
         }
-        this.outcomes.push({ marker, outcome: outcome === "not-run" && isOpen ? "unknown" : outcome, attempts });
+        this.outcomes.push({ marker, outcome: outcome === "not-run" && isUncertain ? "unknown" : outcome, attempts });
     }
 
     private async call(marker: string): Promise<KeyedOutcome["outcome"]> {
         const { entryUrls, key, random } = this.opts;
         try {
-            const answer = await request(
+            const response = await request(
                 `${entryUrls[random.nextInteger(entryUrls.length)]}/services/ledger/receipts`,
                 {
                     method: "POST",
@@ -70,9 +70,9 @@
                     bodyTimeout: TIMEOUT_MS,
                 },
             );
-            await answer.body.text();
-            const said = answer.headers["x-knapweed-outcome"];
-            return said === "answered" || said === "not-run" ? said : "unknown";
+            await response.body.text();
+            const reported = response.headers["x-knapweed-outcome"];
+            return reported === "answered" || reported === "not-run" ? reported : "unknown";
         }
         catch (error) {
             return (error as { code?: string; }).code === "ECONNREFUSED" ? "not-run" : "unknown";
--- a/bench/faults/src/managedProcess.ts
+++ b/bench/faults/src/managedProcess.ts
@@ -7,7 +7,7 @@
     readonly instanceId: string;
     private readonly opts: LaunchOptions;
     private launched: LaunchedProcess | undefined;
-    private isBusy = false;
+    private isInterrupted = false;
 
     constructor(opts: LaunchOptions) {
         this.instanceId = opts.name;
@@ -16,7 +16,7 @@
 
     /** Whether it runs, neither lost nor paused. */
     get isRunning(): boolean {
-        return this.launched !== undefined && !this.isBusy && !this.launched.hasExited;
+        return this.launched !== undefined && !this.isInterrupted && !this.launched.hasExited;
     }
 
     async start(): Promise<void> {
@@ -24,21 +24,21 @@
     }
 
     /** Kills the process and starts it again after `downMs`. */
-    async lose(downMs: number, sleep: (ms: number) => Promise<void>): Promise<void> {
-        this.isBusy = true;
+    async killAndRestart(downMs: number, sleep: (ms: number) => Promise<void>): Promise<void> {
+        this.isInterrupted = true;
         await this.launched?.kill();
         await sleep(downMs);
         await this.start();
-        this.isBusy = false;
+        this.isInterrupted = false;
     }
 
     /** Stops it from running for `durationMs`. */
     async pause(durationMs: number, sleep: (ms: number) => Promise<void>): Promise<void> {
-        this.isBusy = true;
+        this.isInterrupted = true;
         this.launched?.pause();
         await sleep(durationMs);
         this.launched?.resume();
-        this.isBusy = false;
+        this.isInterrupted = false;
     }
 
     async stop(): Promise<void> {
--- a/bench/faults/src/ownershipProbe.ts
+++ b/bench/faults/src/ownershipProbe.ts
@@ -21,11 +21,11 @@
     async waitUntilOwned(lostInstanceId: string): Promise<number | undefined> {
         const { clock } = this.opts;
         const endMs = clock.nowMs() + MAX_WAIT_MS;
-        const before = await this.revisionsOf(lostInstanceId);
-        while (before !== undefined && clock.nowMs() < endMs) {
-            const owners = await this.owners();
-            const isLeft = owners?.some(owner => before.has(owner.modRevision)) ?? true;
-            if (!isLeft && owners?.length === PARTITION_COUNT) {
+        const lostRevisions = await this.revisionsOf(lostInstanceId);
+        while (lostRevisions !== undefined && clock.nowMs() < endMs) {
+            const owners = await this.listOwners();
+            const hasLostOwner = owners?.some(owner => lostRevisions.has(owner.modRevision)) ?? true;
+            if (!hasLostOwner && owners?.length === PARTITION_COUNT) {
                 return clock.nowMs();
             }
             await sleep(clock, PROBE_INTERVAL_MS);
@@ -34,13 +34,13 @@
     }
 
     private async revisionsOf(instanceId: string): Promise<Set<number> | undefined> {
-        const owners = await this.owners();
+        const owners = await this.listOwners();
         return owners && new Set(
             owners.filter(owner => owner.instanceId === instanceId).map(owner => owner.modRevision),
         );
     }
 
-    private async owners(): Promise<{ instanceId: string; modRevision: number; }[] | undefined> {
+    private async listOwners(): Promise<{ instanceId: string; modRevision: number; }[] | undefined> {
         const entries = await this.opts.keyValue.list(partitionKeys.owners("batch")).catch(() => undefined);
         return entries?.map(entry => ({
             instanceId: decodeRecord<PartitionRecord>(entry.value).instanceId,
--- a/bench/faults/src/platformMain.ts
+++ b/bench/faults/src/platformMain.ts
@@ -7,8 +7,8 @@
 import { readChildSettings } from "./readChildSettings.js";
 
 const HOST = "127.0.0.1";
-const LIST_LAG_MS = 500;
-const LIST_TTL_MS = 6000;
+const INSTANCE_LIST_LAG_MS = 500;
+const INSTANCE_LIST_TTL_MS = 6000;
 const SERVICE_DELAY_MS = 5;
 const STEP_MODEL = {
     fixedMs: 2,
@@ -36,5 +36,5 @@
 services.forEach(({ server }) => server.applyFaults({ delayMs: SERVICE_DELAY_MS }));
 await Promise.all(services.map(({ port, server }) => server.listen({ host: HOST, port })));
 await new KeyValueServer({ clock }).listen({ host: HOST, port: settings.keyValuePort });
-await new InstanceListServer({ clock, lagMs: LIST_LAG_MS, ttlMs: LIST_TTL_MS })
+await new InstanceListServer({ clock, lagMs: INSTANCE_LIST_LAG_MS, ttlMs: INSTANCE_LIST_TTL_MS })
     .listen({ host: HOST, port: settings.instanceListPort });
--- a/bench/faults/src/runFaults.ts
+++ b/bench/faults/src/runFaults.ts
@@ -9,12 +9,12 @@
 import { auditItems } from "./auditItems.js";
 import { auditKeyedCalls } from "./auditKeyedCalls.js";
 import { auditReceipts } from "./auditReceipts.js";
-import { BatchWork } from "./batchWork.js";
-import { FaultsBed } from "./faultsBed.js";
+import { BatchJob } from "./batchJob.js";
 import { FaultSchedule } from "./faultSchedule.js";
 import type { FaultsOptions } from "./faultsOptions.js";
 import type { FaultsPlan } from "./faultsPlan.js";
 import type { FaultsReport } from "./faultsReport.js";
+import { FaultsTestBed } from "./faultsTestBed.js";
 import { KeyedCallers } from "./keyedCallers.js";
 import { OwnershipProbe } from "./ownershipProbe.js";
 import { RunRecords } from "./runRecords.js";
@@ -28,18 +28,18 @@
 
 /** Runs jobs and keyed calls on real processes under faults, and audits what ran. */
 export async function runFaults(opts: FaultsOptions = {}): Promise<FaultsReport> {
-    const plan = await planOf(opts);
-    const bed = new FaultsBed(plan);
+    const plan = await resolvePlan(opts);
+    const bed = new FaultsTestBed(plan);
     try {
         await bed.start();
-        return await measure(plan, bed);
+        return await runExperiment(plan, bed);
     }
     finally {
         await bed.stop();
     }
 }
 
-async function planOf(opts: FaultsOptions): Promise<FaultsPlan> {
+async function resolvePlan(opts: FaultsOptions): Promise<FaultsPlan> {
     return {
         seed: opts.seed ?? 1,
         faultsMs: (opts.seconds ?? DEFAULT_SECONDS) * MS_PER_S,
@@ -50,7 +50,7 @@
     };
 }
 
-async function measure(plan: FaultsPlan, bed: FaultsBed): Promise<FaultsReport> {
+async function runExperiment(plan: FaultsPlan, bed: FaultsTestBed): Promise<FaultsReport> {
     const clock = new SystemClock();
     const random = new SeededRandom(plan.seed);
     const [loadBefore] = loadavg();
@@ -65,7 +65,7 @@
     });
     const receiptBody = (marker: string) => ({ receipt: marker });
     const jobs = Array.from({ length: JOB_COUNT }, (_, index) =>
-        new BatchWork({
+        new BatchJob({
             api,
             clock,
             name: `lots-${index}`,
@@ -73,7 +73,7 @@
             itemCount: Math.ceil(plan.itemCount / JOB_COUNT),
             bodyOf: chatBody,
         }));
-    const receipts = new BatchWork({
+    const receipts = new BatchJob({
         api,
         clock,
         name: "batch-receipts",
@@ -86,7 +86,7 @@
         key: bed.key,
         clock,
         random,
-        paceMs: plan.faultsMs / plan.keyedCallCount,
+        meanIntervalMs: plan.faultsMs / plan.keyedCallCount,
     });
     const keyValue = new EtcdKeyValueService({ baseUrl: bed.keyValueUrl, clock });
     const schedule = new FaultSchedule({ bed, probe: new OwnershipProbe({ keyValue, clock }), clock, random });
@@ -95,16 +95,16 @@
         callers.run(plan.keyedCallCount),
         schedule.run(plan.faultsMs),
     ]);
-    const finished = await Promise.all(jobs.map(async work => ({ work, lines: await work.finish() })));
+    const finishedJobs = await Promise.all(jobs.map(async job => ({ job, lines: await job.finish() })));
     const receiptLines = receipts.itemCount > 0 ? await receipts.finish() : { output: [], errors: [] };
     const records = await RunRecords.read(bed);
     const [loadAfter] = loadavg();
     const figures = {
         seed: plan.seed,
         items: auditItems(
-            finished,
+            finishedJobs,
             records,
-            (marker, body) => textOf(body) === expectedText({ endpoint, body: chatBody(marker) }),
+            (marker, body) => contentOf(body) === expectedText({ endpoint, body: chatBody(marker) }),
         ),
         receipts: auditReceipts(receipts, receiptLines, records, receiptBody),
         keyedCalls: auditKeyedCalls(callers, records),
@@ -113,14 +113,14 @@
         durationMs: clock.nowMs() - startedAtMs,
         machine: { loadBefore, loadAfter, processors: cpus().length },
     };
-    return { ...figures, holds: holds(figures) };
+    return { ...figures, holds: hasNoViolations(figures) };
 }
 
-function textOf(body: { choices?: { message?: { content?: string; }; }[]; }): string | undefined {
+function contentOf(body: { choices?: { message?: { content?: string; }; }[]; }): string | undefined {
     return body.choices?.[0]?.message?.content;
 }
 
-function holds(figures: Omit<FaultsReport, "holds">): boolean {
+function hasNoViolations(figures: Omit<FaultsReport, "holds">): boolean {
     const { items, receipts, keyedCalls } = figures;
     return [
         items.lost,
--- a/bench/faults/src/runRecords.ts
+++ b/bench/faults/src/runRecords.ts
@@ -13,13 +13,13 @@
     static async read(opts: { engineUrls: string[]; serviceUrls: string[]; }): Promise<RunRecords> {
         const records = new RunRecords();
         for (const url of opts.engineUrls) {
-            const counts = await read<{ [marker: string]: { started: number; }; }>(url);
+            const counts = await readRecord<{ [marker: string]: { started: number; }; }>(url);
             Object.entries(counts).forEach(([marker, { started }]) =>
                 records.engineStarts.set(marker, started + records.engineStartsOf(marker))
             );
         }
         for (const url of opts.serviceUrls) {
-            records.serviceCalls.push(...(await read<{ calls: ServiceCall[]; }>(url)).calls);
+            records.serviceCalls.push(...(await readRecord<{ calls: ServiceCall[]; }>(url)).calls);
         }
         return records;
     }
@@ -39,9 +39,9 @@
     }
 }
 
-async function read<Answer>(url: string): Promise<Answer> {
-    const answer = await request(`${url}/__record`);
-    return await answer.body.json() as Answer;
+async function readRecord<Body>(url: string): Promise<Body> {
+    const response = await request(`${url}/__record`);
+    return await response.body.json() as Body;
 }
 
 function countBy(names: string[]): Map<string, number> {
