--- a/bench/capacity/src/capacityRows.ts
+++ b/bench/capacity/src/capacityRows.ts
@@ -4,9 +4,9 @@
 import { valueAt } from "./valueAt.js";
 
 const SECONDS_PER_DAY = 86_400;
-const FAN_OUT = 16;
+const RELAY_FAN_OUT = 16;
 const BYTES_PER_MEGABYTE = 1_000_000;
-const COPIES = 2;
+const COPY_COUNT = 2;
 /** The size of the configuration that relays were measured with is below this. */
 const MEASURED_TEAMS = 100;
 const CHANGES_PER_SECOND = fleetSize.changesPerDay / SECONDS_PER_DAY;
@@ -20,9 +20,9 @@
         sideRow(cost),
         relay,
         ownerRow(cost),
-        keeperRow(cost),
+        segmentStoreRow(cost),
         plannerRow(cost),
-        sumOf("entry and relay together", [entry, relay]),
+        sumRow("entry and relay together", [entry, relay]),
     ];
 }
 
@@ -94,18 +94,19 @@
     return {
         role: "relay (watcher of a zone), added to its entry",
         state: `revisions of ${Math.round((fleetSize.entries + fleetSize.upstreams) / fleetSize.zones)} processes`,
-        messages: `beats of up to ${FAN_OUT} children; each delta ${FAN_OUT} times; root read once a second, one watch`,
-        cpuMsPerSecond: FAN_OUT
+        messages:
+            `beats of up to ${RELAY_FAN_OUT} children; each delta ${RELAY_FAN_OUT} times; root read once a second, one watch`,
+        cpuMsPerSecond: RELAY_FAN_OUT
             * (cost.slope("relay.cpu") + CHANGES_PER_SECOND * cost.slope("relay.publish-cpu")),
-        heapBytes: FAN_OUT * cost.slope("links.heap"),
-        bytesPerSecond: FAN_OUT
+        heapBytes: RELAY_FAN_OUT * cost.slope("links.heap"),
+        bytesPerSecond: RELAY_FAN_OUT
             * (cost.slope("relay.sent") + CHANGES_PER_SECOND * cost.slope("relay.publish-sent") * deltaGrowth(cost)),
         keyValueCallsPerSecond: cost.largest("distribution.calls") / 2,
         mechanism: "rendezvous rank over the instance list; content-addressed chunks",
     };
 }
 
-function sumOf(role: string, rows: CapacityRow[]): CapacityRow {
+function sumRow(role: string, rows: CapacityRow[]): CapacityRow {
     const total = (value: (row: CapacityRow) => number) => rows.reduce((sum, row) => sum + value(row), 0);
     return {
         role,
@@ -140,11 +141,11 @@
     };
 }
 
-function keeperRow(cost: Costs): CapacityRow {
-    const bytesPerSecond = (fleetSize.itemsPerDay * fleetSize.bytesPerItem * COPIES)
-        / SECONDS_PER_DAY / fleetSize.segmentKeepers;
+function segmentStoreRow(cost: Costs): CapacityRow {
+    const bytesPerSecond = (fleetSize.itemsPerDay * fleetSize.bytesPerItem * COPY_COUNT)
+        / SECONDS_PER_DAY / fleetSize.segmentStores;
     return {
-        role: `segment keeper (one of ${fleetSize.segmentKeepers}), added to its entry`,
+        role: `segment keeper (one of ${fleetSize.segmentStores}), added to its entry`,
         state: "segments on its disk; none in memory",
         messages: "segments of up to 1 MB, written to two keepers",
         cpuMsPerSecond: bytesPerSecond / BYTES_PER_MEGABYTE * cost.slope("segments.cpu"),
@@ -163,7 +164,7 @@
         state: `plan of ${upstreams} upstreams, ${(planBytes / 1024).toFixed(0)} KB in one value`,
         messages: "lease kept alive; the plan written when it changes, at most once a period",
         cpuMsPerSecond: cost.at("planner.cpu", upstreams) / fleetSize.plannerPeriodSeconds,
-        heapBytes: COPIES * planBytes,
+        heapBytes: COPY_COUNT * planBytes,
         bytesPerSecond: planBytes / fleetSize.plannerPeriodSeconds,
         keyValueCallsPerSecond: 2 / fleetSize.plannerPeriodSeconds,
         mechanism: "lease with a fencing number (placement/planner); sides converge (placement/orders)",
--- a/bench/capacity/src/createEndpoint.ts
+++ b/bench/capacity/src/createBenchEndpoint.ts
@@ -8,7 +8,7 @@
 import { silentMetrics } from "@knapweedwood/observability.metrics/silentMetrics";
 
 /** The links of one library-level process on loopback. */
-export function createEndpoint(name: string, kind: "entry" | "side"): WebSocketLinkEndpoint {
+export function createBenchEndpoint(name: string, kind: "entry" | "side"): WebSocketLinkEndpoint {
     return new WebSocketLinkEndpoint({
         identity: {
             instanceId: name as InstanceId,
--- a/bench/capacity/src/createMember.ts
+++ b/bench/capacity/src/createFleetMember.ts
@@ -6,11 +6,11 @@
 import { silentMetrics } from "@knapweedwood/observability.metrics/silentMetrics";
 import type { InstanceList } from "@knapweedwood/routing.instance-list/instanceList";
 import type { InstanceRecord } from "@knapweedwood/routing.instance-list/instanceRecord";
-import { createEndpoint } from "./createEndpoint.js";
-import type { Member } from "./member.js";
+import { createBenchEndpoint } from "./createBenchEndpoint.js";
+import type { FleetMember } from "./fleetMember.js";
 
 /** Makes a library-level process that follows the configuration, and enters it in the list; its caller starts it. */
-export async function createMember(
+export async function createFleetMember(
     opts: {
         name: string;
         kind: "entry" | "side";
@@ -18,8 +18,8 @@
         instanceList: InstanceList;
         seed: number;
     },
-): Promise<Member> {
-    const endpoint = createEndpoint(opts.name, opts.kind);
+): Promise<FleetMember> {
+    const endpoint = createBenchEndpoint(opts.name, opts.kind);
     const address = await endpoint.listen();
     const { identity } = endpoint;
     const record: InstanceRecord = { ...identity, address, state: "live", service: undefined, hasDataFolder: false };
--- a/bench/capacity/src/member.ts
+++ b/bench/capacity/src/fleetMember.ts
@@ -3,7 +3,7 @@
 import type { InstanceRecord } from "@knapweedwood/routing.instance-list/instanceRecord";
 
 /** A library-level process that follows the configuration. */
-export interface Member {
+export interface FleetMember {
     endpoint: WebSocketLinkEndpoint;
     record: InstanceRecord;
     configuration: DistributedConfiguration;
--- a/bench/capacity/src/fleetSize.ts
+++ b/bench/capacity/src/fleetSize.ts
@@ -14,7 +14,7 @@
     /** Partitions of all batch jobs, by the settings. */
     batchPartitions: 256,
     /** Instances with a data folder; an assumption. */
-    segmentKeepers: 200,
+    segmentStores: 200,
     /** Bytes of an item with its result; an assumption. */
     bytesPerItem: 4_000,
     /** Bytes of one record of the instance list as JSON. */
--- a/bench/capacity/src/measureBatch.ts
+++ b/bench/capacity/src/measureBatch.ts
@@ -16,7 +16,7 @@
 import { heapAfterCollection } from "./heapAfterCollection.js";
 import type { Measurement } from "./measurement.js";
 
-const START_MS = 1_700_000_000_000;
+const START_TIME_MS = 1_700_000_000_000;
 const ENTRY_COUNT = 2;
 const PULL_COUNT = 256;
 const STEP_MS = 5;
@@ -67,7 +67,7 @@
 
 /** Runs jobs to their end; the heap is that of half-way. */
 async function measurePoint(opts: { jobs: number; itemsPerJob: number; }): Promise<Omit<BatchPoint, "size">> {
-    const clock = new ManualClock(START_MS);
+    const clock = new ManualClock(START_TIME_MS);
     const platform = new SimulationPlatform({ clock, options: defaultSimulationOptions });
     const entries = Array.from(
         { length: ENTRY_COUNT },
@@ -91,7 +91,7 @@
     for (let n = 0; n < opts.jobs; n += 1) {
         await settle(clock, createJob(entries[n % ENTRY_COUNT] ?? fail(), n, opts.itemsPerJob));
     }
-    const heapBytes = await drive(platform, entries, opts.jobs * opts.itemsPerJob, heapBeforeBytes);
+    const heapBytes = await runItems(platform, entries, opts.jobs * opts.itemsPerJob, heapBeforeBytes);
     const point = {
         cpuMs: cpu.readMs(),
         heapBytes,
@@ -129,7 +129,7 @@
 }
 
 /** Pulls and answers items until all are done. @returns the heap used half-way, in bytes */
-async function drive(
+async function runItems(
     platform: SimulationPlatform,
     entries: SimulatedEntry[],
     total: number,
@@ -147,7 +147,7 @@
             await clock.advance(IDLE_STEP_MS);
             continue;
         }
-        await settle(clock, source.report(items.map(completed)));
+        await settle(clock, source.report(items.map(toCompletedResult)));
         const isHalfWay = done < total / 2 && done + items.length >= total / 2;
         done += items.length;
         heapBytes = isHalfWay ? heapAfterCollection() - heapBeforeBytes : heapBytes;
@@ -176,7 +176,7 @@
     });
 }
 
-function completed(item: BatchItem): BatchResult {
+function toCompletedResult(item: BatchItem): BatchResult {
     const { jobId, itemIndex, attempt } = item;
     const body = { choices: [{ index: 0, message: { role: "assistant", content: "assessed, and found in order" } }] };
     return { jobId, itemIndex, attempt, outcome: { kind: "completed", statusCode: 200, body } };
--- a/bench/capacity/src/measureConfiguration.ts
+++ b/bench/capacity/src/measureConfiguration.ts
@@ -14,10 +14,10 @@
 import { heapAfterCollection } from "./heapAfterCollection.js";
 import type { Measurement } from "./measurement.js";
 
-const PUBLISHES = 20;
+const PUBLISH_COUNT = 20;
 const KEYS_PER_TEAM = 2;
 const CONDITIONS =
-    `one process, ${KEYS_PER_TEAM} keys a team, ${PUBLISHES} publishes of one team each, stand-in in memory`;
+    `one process, ${KEYS_PER_TEAM} keys a team, ${PUBLISH_COUNT} publishes of one team each, stand-in in memory`;
 
 interface ConfigurationPoint {
     teams: number;
@@ -65,48 +65,52 @@
         changes: Array.from({ length: teams }, (_, n) => teamChanges(n, 1)).flat(),
     });
     const heapBeforeBytes = heapAfterCollection();
-    const holder = new ActiveConfiguration({ onAdopted: () => undefined });
-    await adoptNewest(holder, keyValue);
+    const activeConfiguration = new ActiveConfiguration({ onAdopted: () => undefined });
+    await adoptLatest(activeConfiguration, keyValue);
     const heapBytes = heapAfterCollection() - heapBeforeBytes;
     const calls = () => keyValue.counters.reads + keyValue.counters.writes;
     const callsBefore = calls();
     const publishCpu = new CpuMeter();
     const revisionBefore = keyValue.revision;
-    for (let n = 0; n < PUBLISHES; n += 1) {
+    for (let n = 0; n < PUBLISH_COUNT; n += 1) {
         await publisher.publish({ actor: "bench", changes: teamChanges(n, 2).slice(0, 1) });
     }
-    const publishCpuMs = publishCpu.readMs() / PUBLISHES;
-    const keyValueCalls = (calls() - callsBefore) / PUBLISHES;
+    const publishCpuMs = publishCpu.readMs() / PUBLISH_COUNT;
+    const keyValueCalls = (calls() - callsBefore) / PUBLISH_COUNT;
     const entries = await keyValue.list("configuration/");
     const writtenBytes = entries
         .filter(entry => entry.modRevision > revisionBefore)
-        .reduce((sum, entry) => sum + entry.value.length, 0) / PUBLISHES;
-    const adoptCpuMs = await measureAdopting({ publisher, keyValue, holder });
+        .reduce((sum, entry) => sum + entry.value.length, 0) / PUBLISH_COUNT;
+    const adoptCpuMs = await measureAdoptionMs({ publisher, keyValue, activeConfiguration });
     keyValue.close();
     return { teams, heapBytes, publishCpuMs, adoptCpuMs, writtenBytes, keyValueCalls };
 }
 
 /** Adopts revision after revision, as one process of the fleet does, with the chunks at hand. */
-async function measureAdopting(
-    opts: { publisher: ConfigurationPublisher; keyValue: MemoryKeyValueService; holder: ActiveConfiguration; },
+async function measureAdoptionMs(
+    opts: {
+        publisher: ConfigurationPublisher;
+        keyValue: MemoryKeyValueService;
+        activeConfiguration: ActiveConfiguration;
+    },
 ): Promise<number> {
-    await adoptNewest(opts.holder, opts.keyValue);
-    let usedMs = 0;
-    for (let n = 0; n < PUBLISHES; n += 1) {
+    await adoptLatest(opts.activeConfiguration, opts.keyValue);
+    let cpuMs = 0;
+    for (let n = 0; n < PUBLISH_COUNT; n += 1) {
         await opts.publisher.publish({ actor: "bench", changes: teamChanges(n, n + 3).slice(0, 1) });
         const store = new ConfigurationStore({ keyValue: opts.keyValue });
         const { root, tree } = await store.load();
         const source = treeSource(tree);
         const cpu = new CpuMeter();
-        await opts.holder.adopt(root ?? fail(), source);
-        usedMs += cpu.readMs();
+        await opts.activeConfiguration.adopt(root ?? fail(), source);
+        cpuMs += cpu.readMs();
     }
-    return usedMs / PUBLISHES;
+    return cpuMs / PUBLISH_COUNT;
 }
 
-async function adoptNewest(holder: ActiveConfiguration, keyValue: MemoryKeyValueService): Promise<void> {
+async function adoptLatest(activeConfiguration: ActiveConfiguration, keyValue: MemoryKeyValueService): Promise<void> {
     const { root } = await new ConfigurationStore({ keyValue }).load();
-    await holder.adopt(root ?? fail(), new KeyValueChunkSource({ keyValue }));
+    await activeConfiguration.adopt(root ?? fail(), new KeyValueChunkSource({ keyValue }));
 }
 
 function treeSource(tree: ConfigurationTree): ChunkSource {
--- a/bench/capacity/src/measureDistribution.ts
+++ b/bench/capacity/src/measureDistribution.ts
@@ -8,18 +8,18 @@
 import { MemoryKeyValueService } from "@knapweedwood/standins.key-value/memoryKeyValueService";
 import { randomUUID } from "node:crypto";
 import { CpuMeter } from "./cpuMeter.js";
+import { createFleetMember } from "./createFleetMember.js";
 import { createMeasurement } from "./createMeasurement.js";
-import { createMember } from "./createMember.js";
+import type { FleetMember } from "./fleetMember.js";
 import type { Measurement } from "./measurement.js";
-import type { Member } from "./member.js";
 import { SocketMeter } from "./socketMeter.js";
 
 const MS_PER_SECOND = 1_000;
 const SETTLE_MS = 6_000;
-const PUBLISHES = 10;
+const PUBLISH_COUNT = 10;
 const PUBLISH_GAP_MS = 1_000;
-const ENTRIES_SHARE = 0.2;
-const IN_FORCE_TIMEOUT_MS = 20_000;
+const ENTRY_SHARE = 0.2;
+const ADOPTION_TIMEOUT_MS = 20_000;
 const CONDITIONS =
     "members of one zone in one operating-system process, a fifth of them entries, links on loopback, publishes one second apart";
 
@@ -30,7 +30,7 @@
     keyValueCallsPerSecond: number;
     cpuMsPerPublish: number;
     sentBytesPerPublish: number;
-    inForceP99Ms: number;
+    adoptionP99Ms: number;
 }
 
 interface Zone {
@@ -84,7 +84,7 @@
             ...common,
             name: "distribution.in-force-p99",
             unit: "ms",
-            points: pick(p => p.inForceP99Ms),
+            points: pick(p => p.adoptionP99Ms),
         }),
     ];
 }
@@ -95,10 +95,10 @@
     const publisher = new ConfigurationPublisher({ ...zone, createChangeId: randomUUID });
     await publishOnce(zone, publisher, 0);
     await sleep(zone.clock, SETTLE_MS);
-    const rest = await measureWhile(zone, sockets, () => sleep(zone.clock, durationMs));
+    const idle = await measureWhile(zone, sockets, () => sleep(zone.clock, durationMs));
     const latenciesMs: number[] = [];
-    const busy = await measureWhile(zone, sockets, async () => {
-        for (let n = 1; n <= PUBLISHES; n += 1) {
+    const publishing = await measureWhile(zone, sockets, async () => {
+        for (let n = 1; n <= PUBLISH_COUNT; n += 1) {
             latenciesMs.push(await publishOnce(zone, publisher, n));
             await sleep(zone.clock, PUBLISH_GAP_MS);
         }
@@ -107,16 +107,16 @@
     await Promise.all(zone.endpoints.map(endpoint => endpoint.close(0)));
     zone.keyValue.close();
     sockets.stop();
-    const extra = (perSecond: (point: typeof rest) => number) =>
-        Math.max(0, perSecond(busy) - perSecond(rest)) * busy.seconds / PUBLISHES / members;
+    const addedPerPublish = (perSecond: (point: typeof idle) => number) =>
+        Math.max(0, perSecond(publishing) - perSecond(idle)) * publishing.seconds / PUBLISH_COUNT / members;
     return {
         members,
-        cpuMsPerSecond: rest.cpuMsPerSecond / members,
-        sentBytesPerSecond: rest.sentBytesPerSecond / members,
-        keyValueCallsPerSecond: rest.callsPerSecond,
-        cpuMsPerPublish: extra(point => point.cpuMsPerSecond),
-        sentBytesPerPublish: extra(point => point.sentBytesPerSecond),
-        inForceP99Ms: latenciesMs.sort((a, b) => a - b).at(-1) ?? 0,
+        cpuMsPerSecond: idle.cpuMsPerSecond / members,
+        sentBytesPerSecond: idle.sentBytesPerSecond / members,
+        keyValueCallsPerSecond: idle.callsPerSecond,
+        cpuMsPerPublish: addedPerPublish(point => point.cpuMsPerSecond),
+        sentBytesPerPublish: addedPerPublish(point => point.sentBytesPerSecond),
+        adoptionP99Ms: latenciesMs.sort((a, b) => a - b).at(-1) ?? 0,
     };
 }
 
@@ -124,11 +124,11 @@
     const clock = new SystemClock();
     const keyValue = new MemoryKeyValueService({ clock });
     const instanceList = new MemoryInstanceList({ clock, lagMs: 0, ttlMs: Number.MAX_SAFE_INTEGER });
-    const entryCount = Math.max(2, Math.round(members * ENTRIES_SHARE));
-    const created: Member[] = [];
+    const entryCount = Math.max(2, Math.round(members * ENTRY_SHARE));
+    const created: FleetMember[] = [];
     for (let n = 0; n < members; n += 1) {
         const kind = n < entryCount ? "entry" : "side";
-        created.push(await createMember({ name: `member-${n}`, kind, keyValue, instanceList, seed: n }));
+        created.push(await createFleetMember({ name: `member-${n}`, kind, keyValue, instanceList, seed: n }));
     }
     const endpoints = created.map(member => member.endpoint);
     const configurations = created.map(member => member.configuration);
@@ -147,7 +147,7 @@
     const acceptedAtMs = zone.clock.nowMs();
     await Promise.all(
         zone.configurations.map(configuration =>
-            configuration.waitFor(revision as Revision, { timeoutMs: IN_FORCE_TIMEOUT_MS })
+            configuration.waitFor(revision as Revision, { timeoutMs: ADOPTION_TIMEOUT_MS })
         ),
     );
     return zone.clock.nowMs() - acceptedAtMs;
--- a/bench/capacity/src/measurePlanner.ts
+++ b/bench/capacity/src/measurePlanner.ts
@@ -6,10 +6,11 @@
 import { createMeasurement } from "./createMeasurement.js";
 import type { Measurement } from "./measurement.js";
 
-const MODELS = 30;
-const ROUNDS = 10;
+const MODEL_COUNT = 30;
+const ROUND_COUNT = 10;
 const ZONES = ["a", "b", "c", "d"];
-const CONDITIONS = `one process, ${MODELS} services of one model, four zones, plans made anew ${ROUNDS} times`;
+const CONDITIONS =
+    `one process, ${MODEL_COUNT} services of one model, four zones, plans made anew ${ROUND_COUNT} times`;
 
 /** Cost of planning a region by the number of its upstreams. */
 export function measurePlanner(opts: { sizes: number[]; }): Measurement[] {
@@ -32,11 +33,11 @@
 }
 
 function measurePoint(upstreams: number): { upstreams: number; cpuMs: number; sizeBytes: number; } {
-    const services = Array.from({ length: MODELS }, (_, n) => serviceOf(n, Math.floor(upstreams / MODELS)));
+    const services = Array.from({ length: MODEL_COUNT }, (_, n) => serviceOf(n, Math.floor(upstreams / MODEL_COUNT)));
     const observations = Array.from({ length: upstreams }, (_, n) => observationOf(n));
     let previous: UpstreamPlan[] = [];
     const cpu = new CpuMeter();
-    for (let round = 0; round < ROUNDS; round += 1) {
+    for (let round = 0; round < ROUND_COUNT; round += 1) {
         previous = planRegion({
             services,
             upstreams: observations,
@@ -46,7 +47,7 @@
             nowMs: round,
         });
     }
-    return { upstreams, cpuMs: cpu.readMs() / ROUNDS, sizeBytes: Buffer.byteLength(JSON.stringify(previous)) };
+    return { upstreams, cpuMs: cpu.readMs() / ROUND_COUNT, sizeBytes: Buffer.byteLength(JSON.stringify(previous)) };
 }
 
 function serviceOf(n: number, replicas: number): ServiceDefinition {
@@ -61,11 +62,11 @@
 }
 
 function observationOf(n: number): ObservedUpstream {
-    const model = `model-${n % MODELS}`;
+    const model = `model-${n % MODEL_COUNT}`;
     return {
         instanceId: `upstream-${n}`,
         zone: ZONES[n % ZONES.length],
-        service: `service-${n % MODELS}`,
+        service: `service-${n % MODEL_COUNT}`,
         state: "live",
         engine: { models: [{ model, version: "1", state: "ready" }], adapters: [], role: "any", incarnation: 1 },
     } as unknown as ObservedUpstream;
--- a/bench/capacity/src/measureRelay.ts
+++ b/bench/capacity/src/measureRelay.ts
@@ -7,14 +7,14 @@
 import { randomUUID } from "node:crypto";
 import { once } from "node:events";
 import { CpuMeter } from "./cpuMeter.js";
+import { createFleetMember } from "./createFleetMember.js";
 import { createMeasurement } from "./createMeasurement.js";
-import { createMember } from "./createMember.js";
 import type { Measurement } from "./measurement.js";
 import { SocketMeter } from "./socketMeter.js";
 
 const MS_PER_SECOND = 1_000;
 const SETTLE_MS = 3_000;
-const PUBLISHES = 10;
+const PUBLISH_COUNT = 10;
 const PUBLISH_GAP_MS = 500;
 const CONDITIONS = "one relay in an operating-system process of its own, its children in another; publishes and the "
     + "stand-in within the relay's process";
@@ -59,33 +59,33 @@
     const sockets = new SocketMeter();
     const keyValue = new MemoryKeyValueService({ clock });
     const instanceList = new MemoryInstanceList({ clock, lagMs: 0, ttlMs: Number.MAX_SAFE_INTEGER });
-    const relay = await createMember({ name: "relay", kind: "entry", keyValue, instanceList, seed: 1 });
+    const relay = await createFleetMember({ name: "relay", kind: "entry", keyValue, instanceList, seed: 1 });
     await relay.configuration.start();
     const publisher = new ConfigurationPublisher({ keyValue, clock, createChangeId: randomUUID });
     await publish(publisher, 0);
-    const others = fork(new URL("./relayChildrenMain.js", import.meta.url));
+    const childProcess = fork(new URL("./relayChildrenMain.js", import.meta.url));
     try {
-        others.send({ relay: relay.record, children });
-        await once(others, "message");
+        childProcess.send({ relay: relay.record, children });
+        await once(childProcess, "message");
         await sleep(clock, SETTLE_MS);
-        const rest = await measureWhile(clock, sockets, () => sleep(clock, durationMs));
-        const busy = await measureWhile(clock, sockets, async () => {
-            for (let n = 1; n <= PUBLISHES; n += 1) {
+        const idle = await measureWhile(clock, sockets, () => sleep(clock, durationMs));
+        const publishing = await measureWhile(clock, sockets, async () => {
+            for (let n = 1; n <= PUBLISH_COUNT; n += 1) {
                 await publish(publisher, n);
                 await sleep(clock, PUBLISH_GAP_MS);
             }
         });
-        const extra = (perSecond: (of: typeof rest) => number) =>
-            Math.max(0, perSecond(busy) - perSecond(rest)) * busy.seconds / PUBLISHES;
+        const addedPerPublish = (perSecond: (sample: typeof idle) => number) =>
+            Math.max(0, perSecond(publishing) - perSecond(idle)) * publishing.seconds / PUBLISH_COUNT;
         return {
             children,
-            ...rest,
-            cpuMsPerPublish: extra(of => of.cpuMsPerSecond),
-            sentBytesPerPublish: extra(of => of.sentBytesPerSecond),
+            ...idle,
+            cpuMsPerPublish: addedPerPublish(sample => sample.cpuMsPerSecond),
+            sentBytesPerPublish: addedPerPublish(sample => sample.sentBytesPerSecond),
         };
     }
     finally {
-        others.kill();
+        childProcess.kill();
         await relay.configuration.stop();
         await relay.endpoint.close(0);
         keyValue.close();
--- a/bench/capacity/src/runCapacity.ts
+++ b/bench/capacity/src/runCapacity.ts
@@ -15,7 +15,7 @@
 import { measureSegments } from "./measureSegments.js";
 import { renderTables } from "./renderTables.js";
 
-const FULL = {
+const FULL_SIZES = {
     processes: [10, 40, 160],
     children: [4, 8, 16],
     teams: [100, 1_000, 10_000],
@@ -26,7 +26,7 @@
     entries: [2, 8, 32],
     durationMs: 10_000,
 };
-const QUICK: typeof FULL = {
+const QUICK_SIZES: typeof FULL_SIZES = {
     processes: [5, 10, 20],
     children: [1, 2, 4],
     teams: [100, 500, 1_000],
@@ -40,9 +40,9 @@
 
 /** Measures the slopes that docs/CAPACITY.md is worked out from, and fills its tables. */
 export async function runCapacity(opts: CapacityOptions): Promise<CapacityReport> {
-    const sizes = opts.isQuick === true ? QUICK : FULL;
+    const sizes = opts.isQuick === true ? QUICK_SIZES : FULL_SIZES;
     const measurements: Measurement[] = [];
-    for (const [name, measure] of stepsOf(sizes)) {
+    for (const [name, measure] of measurementSteps(sizes)) {
         opts.onProgress?.(`measuring ${name}`);
         measurements.push(...await measure());
     }
@@ -58,7 +58,7 @@
     return report;
 }
 
-function stepsOf(sizes: typeof FULL): [string, () => Promise<Measurement[]>][] {
+function measurementSteps(sizes: typeof FULL_SIZES): [string, () => Promise<Measurement[]>][] {
     const { durationMs } = sizes;
     return [
         ["planning", () => Promise.resolve(measurePlanner({ sizes: sizes.upstreams }))],
