--- a/bench/affinity/src/affinityReport.ts
+++ b/bench/affinity/src/affinityReport.ts
@@ -1,12 +1,12 @@
 import type { AffinityOptions } from "./affinityOptions.js";
 import type { ArmResult } from "./armResult.js";
 
-/** What the bench found, for the same arrivals in each arm. */
+/** Results of the benchmark. Every arm handles the same arrivals. */
 export interface AffinityReport extends AffinityOptions {
-    /** Shape [arms]. */
+    /** Result of each arm, shape [arms]. */
     arms: ArmResult[];
-    /** Hits of the index with events over those of random choice. */
+    /** Hit share of the prefix index with events, divided by that of random choice. */
     hitsOverRandom: number;
-    /** Hits of the index with events over those of full knowledge. */
+    /** Hit share of the prefix index with events, divided by that of full knowledge. */
     hitsOverFullKnowledge: number;
 }
--- a/bench/affinity/src/armName.ts
+++ b/bench/affinity/src/armName.ts
@@ -1,4 +1,4 @@
-/** The ways of choosing that are compared. */
+/** Strategies for choosing an upstream that the benchmark compares. */
 export type ArmName =
     | "random"
     | "least-loaded-of-two"
--- a/bench/affinity/src/armResult.ts
+++ b/bench/affinity/src/armResult.ts
@@ -1,13 +1,13 @@
 import type { ArmName } from "./armName.js";
 
-/** How one way of choosing did. */
+/** Result of one strategy for choosing an upstream. */
 export interface ArmResult {
     name: ArmName;
     requestCount: number;
-    /** Prompt tokens that were found in a cache, as a share of all. */
+    /** Prompt tokens that were found in a cache, as a share of all prompt tokens, in [0, 1]. */
     hitShare: number;
     firstTokenP50Ms: number;
     firstTokenP99Ms: number;
-    /** Largest number of requests that waited or ran at one upstream. */
+    /** Largest number of queued and running requests at one upstream. */
     peakLoad: number;
 }
--- a/bench/affinity/src/createChoosers.ts
+++ b/bench/affinity/src/createChoosers.ts
@@ -15,7 +15,7 @@
     costOf: (instanceId: InstanceId) => number;
 }
 
-/** @returns a chooser for each entry, shape [entryCount] */
+/** Returns one chooser for each entry, shape [entryCount]. */
 export function createChoosers(opts: CreateChoosersOptions): UpstreamChooser[] {
     const { arm, entryCount, seed, costOf, affinityLoadFactor } = opts;
     return Array.from({ length: entryCount }, (_, index) => {
--- a/bench/affinity/src/generateArrivals.ts
+++ b/bench/affinity/src/generateArrivals.ts
@@ -18,8 +18,10 @@
 }
 
 /**
- * Conversations that begin with one of many system prompts, some far more often used than others, and repeat all that
- * was said before at each turn. @returns in order of time, shape [arrivals]
+ * Generates the requests of simulated conversations. Each conversation begins with one of many system prompts, of which
+ * some are used far more often than others. Each turn repeats all previous turns.
+ *
+ * @returns requests ordered by arrival time, shape [arrivals]
  */
 export function generateArrivals(opts: ArrivalOptions): PromptArrival[] {
     const { random, durationMs } = opts;
--- a/bench/affinity/src/main.ts
+++ b/bench/affinity/src/main.ts
@@ -1,4 +1,5 @@
-// Runs the bench: node main.js [--seconds N] [--seed N] [--rate N] [--upstreams N] [--entries N] [--factor N] [--json FILE]
+// Runs the benchmark:
+// node main.js [--seconds N] [--seed N] [--rate N] [--upstreams N] [--entries N] [--factor N] [--json FILE]
 import { writeFileSync } from "node:fs";
 import { parseArgs } from "node:util";
 import { runAffinity } from "./runAffinity.js";
--- a/bench/affinity/src/pendingCacheChange.ts
+++ b/bench/affinity/src/pendingCacheChange.ts
@@ -1,6 +1,6 @@
 import type { PrefixCacheChange } from "@knapweedwood/routing.choice/prefixCacheChange";
 
-/** A cache event on its way. */
+/** A cache event that has been sent and is not yet delivered. */
 export interface PendingCacheChange {
     dueMs: number;
     change: PrefixCacheChange;
--- a/bench/affinity/src/runAffinity.ts
+++ b/bench/affinity/src/runAffinity.ts
@@ -15,7 +15,7 @@
     "full-knowledge",
 ];
 
-/** Simulates the same conversations under each way of choosing an upstream. */
+/** Simulates the same conversations with each strategy for choosing an upstream. */
 export function runAffinity(opts: AffinityOptions): AffinityReport {
     const arrivals = generateArrivals({
         ...opts,
--- a/bench/affinity/src/runArm.ts
+++ b/bench/affinity/src/runArm.ts
@@ -18,7 +18,7 @@
 const CACHE_EVENT_LOSS_SHARE = 0.1;
 const PREFIX_HASH_CHARACTERS = 512;
 
-/** Plays all arrivals against one way of choosing, in steps of a millisecond. */
+/** Simulates all arrivals with one strategy for choosing an upstream, in steps of one millisecond. */
 export function runArm(arm: ArmName, arrivals: readonly PromptArrival[], opts: AffinityOptions): ArmResult {
     const random = new SeededRandom(opts.seed);
     const pendingChanges: PendingCacheChange[] = [];
--- a/bench/affinity/src/simulatedUpstream.ts
+++ b/bench/affinity/src/simulatedUpstream.ts
@@ -11,10 +11,12 @@
     endsAtMs: number;
 }
 
-/** A model engine: reads one prompt at a time, then produces the answers of up to 16 at once. */
+/** Simulates a model engine that prefills one prompt at a time and generates up to 16 responses concurrently. */
 export class SimulatedUpstream {
     readonly instanceId: InstanceId;
+    /** Prompt tokens of all started requests. */
     promptTokens = 0;
+    /** Prompt tokens of started requests that were in the cache. */
     cachedTokens = 0;
     /** Time from arrival to the first token, shape [requests]. */
     readonly firstTokenMs: number[] = [];
@@ -40,7 +42,7 @@
         this.queue.push(arrival);
     }
 
-    /** Time to the first token that a prompt would have here now, in milliseconds. */
+    /** Estimates the time to the first token, in milliseconds, if the prompt were enqueued now. */
     estimateFirstTokenMs(prompt: string, nowMs: number): number {
         const waitingTokens = this.queue.reduce((sum, { prompt: other }) => sum + this.countUncachedTokens(other), 0);
         const prefillMs = (waitingTokens + this.countUncachedTokens(prompt)) * PREFILL_MS_PER_TOKEN;
@@ -48,7 +50,7 @@
         return Math.max(0, this.prefillUntilMs - nowMs) + prefillMs + slotWaitMs * 1000;
     }
 
-    /** Moves time on. @returns how many requests have ended */
+    /** Advances the simulation to `nowMs`. @returns the number of requests that have completed since the last call */
     advance(nowMs: number): number {
         const before = this.running.length;
         this.running = this.running.filter(({ endsAtMs }) => endsAtMs > nowMs);
