--- a/bench/silent-links/src/addedTime.ts
+++ b/bench/silent-links/src/addedTime.ts
@@ -1,4 +1,4 @@
-/** Time that calls took beyond their handlers. */
+/** Latency of calls beyond the duration of their handlers. */
 export interface AddedTime {
     callCount: number;
     p50Ms: number;
--- a/bench/silent-links/src/createBenchEndpoint.ts
+++ b/bench/silent-links/src/createBenchEndpoint.ts
@@ -7,7 +7,7 @@
 import { silentLogger } from "@knapweedwood/observability.logs/silentLogger";
 import { silentMetrics } from "@knapweedwood/observability.metrics/silentMetrics";
 
-/** An endpoint on loopback. */
+/** Creates a link endpoint on the loopback interface, without logs and metrics. */
 export function createBenchEndpoint(name: string): WebSocketLinkEndpoint {
     return new WebSocketLinkEndpoint({
         identity: {
--- a/bench/silent-links/src/main.ts
+++ b/bench/silent-links/src/main.ts
@@ -1,4 +1,4 @@
-// Runs the bench: node main.js [--seconds N] [--seed N] [--json FILE]
+// Runs the benchmark: node main.js [--seconds N] [--seed N] [--json FILE]
 import { writeFileSync } from "node:fs";
 import { parseArgs } from "node:util";
 import { runSilentLinks } from "./runSilentLinks.js";
--- a/bench/silent-links/src/measureIdleCost.ts
+++ b/bench/silent-links/src/measureIdleCost.ts
@@ -8,7 +8,7 @@
 const MICROSECONDS_PER_MS = 1000;
 const MS_PER_SECOND = 1000;
 
-/** Opens many links to one process, leaves them idle and counts. */
+/** Opens 200 links to one process, leaves them idle, and measures traffic and processor time per link. */
 export async function measureIdleCost(port: number): Promise<IdleCost> {
     const endpoint = createBenchEndpoint("idle");
     Array.from({ length: IDLE_LINK_COUNT }, (_, index) => endpoint.connect(`127.0.0.1:${port}?link=${index}`));
--- a/bench/silent-links/src/runCall.ts
+++ b/bench/silent-links/src/runCall.ts
@@ -4,7 +4,7 @@
 import { streamCall } from "./streamCall.js";
 import type { StreamRequest } from "./streamRequest.js";
 
-/** Makes one call and checks each of its frames. */
+/** Makes one call and checks each of its frames. Records an error as its outcome instead of rejecting. */
 export async function runCall(link: Link, linkIndex: number, request: StreamRequest): Promise<CallRecord> {
     const startedMs = performance.now();
     let frameCount = 0;
--- a/bench/silent-links/src/runCounts.ts
+++ b/bench/silent-links/src/runCounts.ts
@@ -1,5 +1,6 @@
-/** How often handlers were started in a process. */
+/** Numbers of calls whose handlers were started in a process. */
 export interface RunCounts {
+    /** Calls whose handler was started at least once. */
     calls: number;
     /** Calls whose handler was started more than once. */
     doubled: number;
--- a/bench/silent-links/src/runCountsCall.ts
+++ b/bench/silent-links/src/runCountsCall.ts
@@ -1,5 +1,5 @@
 import { defineCall } from "@knapweedwood/links.calls/defineCall";
 import type { RunCounts } from "./runCounts.js";
 
-/** Asks how often handlers were started. */
+/** Requests the numbers of calls whose handlers were started in the server process. */
 export const runCountsCall = defineCall<Record<string, never>, RunCounts>("bench.runCounts");
--- a/bench/silent-links/src/runSilentLinks.ts
+++ b/bench/silent-links/src/runSilentLinks.ts
@@ -24,7 +24,7 @@
 const DETECTION_LIMIT_MS = 1000;
 const MS_PER_SECOND = 1000;
 
-/** Calls over links that go silent or are cut every now and then, and measures what that costs the calls. */
+/** Makes calls over links that are silenced or cut at random times, and measures the latency that this adds. */
 export async function runSilentLinks(opts: SilentLinksOptions): Promise<SilentLinksReport> {
     const servers = new ServerProcesses();
     try {
--- a/bench/silent-links/src/serverProcess.ts
+++ b/bench/silent-links/src/serverProcess.ts
@@ -1,4 +1,4 @@
-// Process of the bench that answers calls. It tells its parent the address that it listens on.
+// Server process of the benchmark. It handles calls and sends its listening address to the parent process.
 import { setTimeout as pause } from "node:timers/promises";
 import { createBenchEndpoint } from "./createBenchEndpoint.js";
 import { runCountsCall } from "./runCountsCall.js";
--- a/bench/silent-links/src/serverProcesses.ts
+++ b/bench/silent-links/src/serverProcesses.ts
@@ -1,11 +1,11 @@
 import { type ChildProcess, fork } from "node:child_process";
 import { once } from "node:events";
 
-/** The processes that answer the bench's calls. */
+/** Child processes that handle the calls of the benchmark. */
 export class ServerProcesses {
     private readonly children: ChildProcess[] = [];
 
-    /** Starts processes. @returns the ports that they listen on, shape [count] */
+    /** Starts `count` processes. @returns the ports that they listen on, shape [count] */
     async start(count: number): Promise<number[]> {
         return Promise.all(Array.from({ length: count }, () => this.startOne()));
     }
--- a/bench/silent-links/src/silentLinksReport.ts
+++ b/bench/silent-links/src/silentLinksReport.ts
@@ -1,19 +1,22 @@
 import type { AddedTime } from "./addedTime.js";
 
-/** What the bench found. */
+/** Results of the benchmark. */
 export interface SilentLinksReport {
     seed: number;
     seconds: number;
     linkCount: number;
     faultCount: number;
-    /** Connections that were opened in place of others. */
+    /** Connections that replaced a lost connection. */
     replacementCount: number;
-    /** Calls on a link that went silent or was cut, or begun there before that was found. */
+    /** Calls that were active on a link when it was silenced or cut, or that started before the loss was detected. */
     affected: AddedTime;
+    /** All other calls. */
     others: AddedTime;
-    /** Answers that were not complete, in order and each frame once. */
+    /** Calls whose response had missing, repeated or reordered frames. */
     wrongCount: number;
+    /** Calls that failed and certainly did not run. */
     notRunCount: number;
+    /** Calls that failed and may have run. */
     unknownCount: number;
     /** Calls whose handler was started more than once. */
     doubledCount: number;
--- a/bench/silent-links/src/streamFrame.ts
+++ b/bench/silent-links/src/streamFrame.ts
@@ -1,9 +1,9 @@
-/** One frame of a stream. */
+/** One response frame of {@link streamCall}. */
 export interface StreamFrame {
     callId: number;
     index: number;
-    /** How often a handler has been started for this call. */
+    /** Number of times that a handler has been started for this call. */
     runCount: number;
-    /** Time since the handler was started. */
+    /** Time since the handler was started, in milliseconds. */
     elapsedMs: number;
 }
--- a/bench/silent-links/src/streamRequest.ts
+++ b/bench/silent-links/src/streamRequest.ts
@@ -1,6 +1,7 @@
-/** Asks for a stream of frames. */
+/** Request of {@link streamCall}. */
 export interface StreamRequest {
     callId: number;
     frameCount: number;
+    /** Time before each frame. */
     gapMs: number;
 }
--- a/bench/silent-links/src/summarizeAddedTime.ts
+++ b/bench/silent-links/src/summarizeAddedTime.ts
@@ -4,7 +4,7 @@
 
 const MICROSECONDS_PER_MS = 1000;
 
-/** Sums up what calls lost. */
+/** Summarizes the added latency of calls. Negative values count as zero. */
 export function summarizeAddedTime(records: readonly CallRecord[]): AddedTime {
     const histogram = build();
     records.forEach(({ addedMs }) => histogram.recordValue(Math.max(0, Math.round(addedMs * MICROSECONDS_PER_MS))));
