--- a/bench/config-churn/src/adoption.ts
+++ b/bench/config-churn/src/adoption.ts
@@ -1,7 +1,8 @@
-/** A process put a revision in force. */
+/** Adoption of a configuration revision by a process. */
 export interface Adoption {
     revision: number;
+    /** Time of the adoption, in milliseconds since the epoch. */
     atMs: number;
-    /** Time since the revision was published. */
+    /** Time from the publish to the adoption. */
     ageMs: number;
 }
--- a/bench/config-churn/src/churnFaults.ts
+++ b/bench/config-churn/src/churnFaults.ts
@@ -7,7 +7,7 @@
 const OUTAGE_MS = 5_000;
 const RESTART_DELAY_MS = 500;
 
-/** Kills, pauses, outages and lost answers, while publishes go on. */
+/** Injects process kills and pauses, key-value outages and lost key-value responses while revisions are published. */
 export class ChurnFaults {
     readonly counts = { kills: 0, pauses: 0, outages: 0, lostAnswers: 0 };
     private readonly fleet: ChurnFleet;
@@ -20,6 +20,7 @@
         this.random = opts.random;
     }
 
+    /** Kills a random process and restarts its instance after 500 ms. */
     kill(): void {
         this.counts.kills += 1;
         this.runOnRandomProcess(async run => {
@@ -29,6 +30,7 @@
         });
     }
 
+    /** Suspends a random process for 3 s. */
     pause(): void {
         this.counts.pauses += 1;
         this.runOnRandomProcess(async run => {
@@ -40,18 +42,20 @@
         });
     }
 
+    /** Makes the key-value service unavailable for 5 s. */
     outage(): void {
         this.counts.outages += 1;
         this.fleet.keyValue.applyFaults({ outage: true });
         this.track(sleep(OUTAGE_MS).then(() => this.fleet.keyValue.applyFaults({ outage: false })));
     }
 
+    /** Lets the next write to the key-value service take effect without a response. */
     loseResponse(): void {
         this.counts.lostAnswers += 1;
         this.fleet.keyValue.applyFaults({ loseAnswers: 1 });
     }
 
-    /** Resolves once all faults have ended. */
+    /** Waits until all active faults have ended. */
     async settle(): Promise<void> {
         await Promise.all(this.activeFaults);
     }
--- a/bench/config-churn/src/churnFleet.ts
+++ b/bench/config-churn/src/churnFleet.ts
@@ -25,11 +25,11 @@
     httpPort: number;
 }
 
-/** Daemons as processes of their own, with the platform's stand-ins in this process. */
+/** Runs daemons as separate processes and the platform's stand-ins in this process. */
 export class ChurnFleet {
     readonly operatorKey = "bench-operator-key";
     readonly keyValue: KeyValueServer;
-    /** Every run so far. */
+    /** Runs of all processes, including those that have ended. */
     readonly runs: ProcessRun[] = [];
     private readonly opts: ConfigChurnOptions;
     private readonly clock = new SystemClock();
@@ -72,17 +72,18 @@
         await this.instanceList.close();
     }
 
+    /** Returns the runs that have not ended. */
     runningProcesses(): ProcessRun[] {
         return this.runs.filter(run => run.endedAtMs === undefined);
     }
 
-    /** Ends a process at once. */
+    /** Kills a process and records the end of its run. */
     async kill(run: ProcessRun): Promise<void> {
         run.endedAtMs = this.clock.nowMs();
         await run.launched.kill();
     }
 
-    /** Starts a new process for an instance, at the same address. */
+    /** Starts a process for an instance. A restarted instance keeps its address. */
     async launch(instanceId: string): Promise<void> {
         const spec = this.daemonSpecs.get(instanceId) as DaemonSpec;
         const startedAtMs = this.clock.nowMs();
--- a/bench/config-churn/src/configChurnOptions.ts
+++ b/bench/config-churn/src/configChurnOptions.ts
@@ -1,13 +1,14 @@
 /** Options of {@link runConfigChurn}. */
 export interface ConfigChurnOptions {
-    /** Folder for settings and logs of the processes. */
+    /** Folder for the settings and logs of the processes. */
     folder: string;
     seed: number;
-    /** Daemons, a fifth of them entries. */
+    /** Number of daemons. A fifth of them, but at least three, are entries. */
     processes: number;
+    /** Number of publishes. */
     publishes: number;
     /** Mean time between two publishes. */
     publishIntervalMs: number;
-    /** Told of each step. */
+    /** Called with a message at each step. */
     onProgress?: ((message: string) => void) | undefined;
 }
--- a/bench/config-churn/src/configChurnReport.ts
+++ b/bench/config-churn/src/configChurnReport.ts
@@ -1,18 +1,18 @@
 import type { Quantiles } from "./quantiles.js";
 
-/** What `knapweed bench config` writes. */
+/** Report of `knapweed bench config`. */
 export interface ConfigChurnReport {
     processes: number;
     publishes: { accepted: number; refused: number; unknown: number; };
     faults: { kills: number; pauses: number; outages: number; lostAnswers: number; };
-    /** From the publish until the last undisturbed process had the revision. */
+    /** Time from a publish until all undisturbed processes had adopted the revision. */
     inForceEverywhere: Quantiles;
-    /** From the publish until one process had the revision, over all undisturbed processes. */
+    /** Time from a publish until each single undisturbed process had adopted the revision. */
     inForceOneProcess: Quantiles;
-    /** Times that a process went to a lower revision. */
+    /** Adoptions of a revision that was not higher than the process's previous revision. */
     reversals: number;
-    /** Accepted revisions that the final one does not follow. */
+    /** Accepted revisions above the final revision, and accepted publishes that share a revision with another one. */
     lostRevisions: number;
-    /** Processes that had the last revision at the end. */
+    /** Processes that had adopted the final revision at the end. */
     agreed: { reached: number; total: number; };
 }
--- a/bench/config-churn/src/countReversals.ts
+++ b/bench/config-churn/src/countReversals.ts
@@ -1,6 +1,6 @@
 import type { RunHistory } from "./runHistory.js";
 
-/** Counts how often a process went to a lower or equal revision. */
+/** Counts adoptions of a revision that was lower than or equal to the previous one of the same process run. */
 export function countReversals(histories: readonly RunHistory[]): number {
     return histories
         .map(({ adoptions }) =>
--- a/bench/config-churn/src/publishOutcome.ts
+++ b/bench/config-churn/src/publishOutcome.ts
@@ -1,4 +1,4 @@
-/** What became of one publish. */
+/** Outcome of one publish; `unknown` means that it may have been accepted. */
 export type PublishOutcome =
     | { kind: "accepted"; revision: number; }
     | { kind: "refused"; }
--- a/bench/config-churn/src/publishTeam.ts
+++ b/bench/config-churn/src/publishTeam.ts
@@ -5,7 +5,7 @@
 const OUTCOME_HEADER = "x-knapweed-outcome";
 const OK_STATUS = 200;
 
-/** Publishes one team through an entry's operators' API. */
+/** Publishes one team through an entry's operators' API. A failed request gives the outcome `unknown`. */
 export async function publishTeam(
     opts: { url: string; key: string; teamId: string; weight: number; },
 ): Promise<PublishOutcome> {
--- a/bench/config-churn/src/quantilesOf.ts
+++ b/bench/config-churn/src/quantilesOf.ts
@@ -1,6 +1,6 @@
 import type { Quantiles } from "./quantiles.js";
 
-/** Quantiles of values in any order, by nearest rank. */
+/** Returns quantiles by nearest rank; the values may be unsorted. All are 0 where there are no values. */
 export function quantilesOf(valuesMs: readonly number[]): Quantiles {
     const sorted = [...valuesMs].sort((left, right) => left - right);
     const at = (share: number) => sorted[Math.max(0, Math.ceil(share * sorted.length) - 1)] ?? 0;
--- a/bench/config-churn/src/readAdoptions.ts
+++ b/bench/config-churn/src/readAdoptions.ts
@@ -2,7 +2,7 @@
 
 const EVENT = '"event":"configuration-adopted"';
 
-/** The revisions that a process put in force, in order, from its log. */
+/** Returns the revisions that a process adopted according to its log, in the order of the log. */
 export function readAdoptions(log: string): Adoption[] {
     return log
         .split("\n")
--- a/bench/config-churn/src/revisionLatencies.ts
+++ b/bench/config-churn/src/revisionLatencies.ts
@@ -1,13 +1,14 @@
 import type { RunHistory } from "./runHistory.js";
 
-/** A process counts for a revision when it had been up for this long before it was published. */
+/** A process counts for a revision if it had been running for this long when the revision was published. */
 const MIN_UPTIME_MS = 5_000;
-/** And was not resumed within this time before. */
+/** A process does not count if it was resumed within this time before the publish. */
 const RESUME_GRACE_MS = 1_000;
 
 /**
- * Time from the publish of a revision until each undisturbed process had it or a higher one, in milliseconds; processes
- * that were starting, paused or killed meanwhile are left out. Infinite for one that never had it.
+ * Returns the time from the publish of a revision until each undisturbed process adopted it or a higher one, in
+ * milliseconds. Processes that were starting, paused or killed meanwhile are excluded. The time is `Infinity` for an
+ * undisturbed process that never adopted the revision.
  *
  * @returns shape [undisturbed processes]
  */
--- a/bench/config-churn/src/runConfigChurn.ts
+++ b/bench/config-churn/src/runConfigChurn.ts
@@ -24,7 +24,10 @@
     outcome: PublishOutcome;
 }
 
-/** Publishes again and again on real processes under churn, and judges from their logs what was in force when. */
+/**
+ * Publishes revisions to real processes while faults are injected. Evaluates from the process logs when each revision
+ * was adopted.
+ */
 export async function runConfigChurn(opts: ConfigChurnOptions): Promise<ConfigChurnReport> {
     const fleet = new ChurnFleet(opts);
     const random = new SeededRandom(opts.seed);
@@ -123,7 +126,7 @@
     };
 }
 
-/** When each revision was published, as the processes that have it know. */
+/** Returns the publish time of each revision, from the adoption time and age that processes logged. */
 function publishTimesByRevision(histories: RunHistory[]): Map<number, number> {
     return new Map(
         histories.flatMap(({ adoptions }) =>
--- a/bench/config-churn/test/adoptionAnalysis.test.ts
+++ b/bench/config-churn/test/adoptionAnalysis.test.ts
@@ -13,7 +13,7 @@
     };
 }
 
-test("adoptions are read from log lines, others are passed over", () => {
+test("readAdoptions reads adoptions from log lines and ignores other lines", () => {
     const log = [
         '{"event":"link.opened"}',
         '{"time":"1970-01-01T00:00:05.000Z","level":"info","event":"configuration-adopted","revision":3,"ageMs":12}',
@@ -22,11 +22,11 @@
     assert.deepEqual(readAdoptions(log.join("\n")), [{ revision: 3, atMs: 5000, ageMs: 12 }]);
 });
 
-test("a fall to a lower revision counts as a reversal", () => {
+test("countReversals counts the adoption of a lower revision", () => {
     assert.equal(countReversals([history([[1, 0], [3, 1], [2, 2], [4, 3]]), history([[1, 0], [5, 1]])]), 1);
 });
 
-test("disturbed processes are left out, and one that never had the revision is not", () => {
+test("revisionLatencies excludes disturbed processes and includes those that never adopted the revision", () => {
     const histories = [
         history([[6, 10_040]]),
         history([[7, 10_100]]),
@@ -39,7 +39,7 @@
     assert.deepEqual(revisionLatencies({ ...opts, histories: [history([[5, 9_000]])] }), [Infinity]);
 });
 
-test("quantiles are by nearest rank", () => {
+test("quantilesOf uses the nearest rank", () => {
     const values = Array.from({ length: 100 }, (_, n) => 100 - n);
     assert.deepEqual(quantilesOf(values), { p50Ms: 50, p99Ms: 99, maxMs: 100, count: 100 });
 });
