--- a/bench/faults/src/apiClient.ts
+++ b/bench/faults/src/apiClient.ts
@@ -7,7 +7,10 @@
 const RETRY_DELAY_MS = 250;
 const TIMEOUT_MS = 15_000;
 
-/** Calls the callers' API of any entry, as a client that resends until it is answered. */
+/**
+ * Client of the callers' API. Resends a failed request to the next entry after 250 ms, up to 200 attempts in all, then
+ * rejects with BENCH_CALL_FAILED.
+ */
 export class ApiClient {
     private readonly opts: { entryUrls: string[]; key: string; clock: Clock; };
     private nextEntryIndex = 0;
@@ -16,7 +19,7 @@
         this.opts = opts;
     }
 
-    /** Uploads a batch input file. @returns its id */
+    /** Uploads a batch input file. @returns the id of the file */
     async upload(text: string): Promise<string> {
         const file = await this.requestJson<{ id: string; }>("POST", "/v1/files", () => {
             const form = new FormData();
@@ -27,7 +30,7 @@
         return file.id;
     }
 
-    /** Creates a batch under an idempotency key; resends go to other entries. */
+    /** Creates a batch under an idempotency key. Resends go to other entries. @returns the id of the batch */
     async createBatch(opts: { inputFileId: string; endpoint: string; idempotencyKey: string; }): Promise<string> {
         const batch = await this.requestJson<{ id: string; }>("POST", "/v1/batches", () => ({
             headers: { "content-type": "application/json", "idempotency-key": opts.idempotencyKey },
@@ -40,11 +43,12 @@
         return batch.id;
     }
 
+    /** Returns the state of a batch. */
     getBatch(id: string): Promise<BatchResponse> {
         return this.requestJson("GET", `/v1/batches/${id}`, () => ({}));
     }
 
-    /** The lines of a file, shape [lines]; none where there is no file. */
+    /** Returns the parsed lines of a file, shape [lines]; empty if there is no file id. */
     async readLines(fileId: string | undefined | null): Promise<OutputLine[]> {
         if (fileId === undefined || fileId === null) {
             return [];
@@ -72,7 +76,10 @@
             }
             await sleep(this.opts.clock, RETRY_DELAY_MS);
         }
-        throw new KnapweedError("BENCH_CALL_FAILED", `${method} ${path}: ${lastError}`);
+        throw new KnapweedError(
+            "BENCH_CALL_FAILED",
+            `${method} ${path} still failed at the last attempt: ${lastError}`,
+        );
     }
 
     private async send(method: "GET" | "POST", path: string, content: RequestContent): Promise<string> {
@@ -86,7 +93,7 @@
         });
         const text = await response.body.text();
         if (response.statusCode !== 200) {
-            throw new KnapweedError("BENCH_STATUS", `${response.statusCode}: ${text}`);
+            throw new KnapweedError("BENCH_STATUS", `unexpected HTTP status ${response.statusCode}: ${text}`);
         }
         return text;
     }
--- a/bench/faults/src/auditItems.ts
+++ b/bench/faults/src/auditItems.ts
@@ -4,7 +4,7 @@
 
 type BatchLines = Awaited<ReturnType<BatchJob["finish"]>>;
 
-/** Compares the results of the jobs with what was submitted and with what the engines ran. */
+/** Compares the results of the jobs with the submitted items and with the engines' records of started runs. */
 export function auditItems(
     jobs: { job: BatchJob; lines: BatchLines; }[],
     records: RunRecords,
--- a/bench/faults/src/auditKeyedCalls.ts
+++ b/bench/faults/src/auditKeyedCalls.ts
@@ -2,7 +2,7 @@
 import type { KeyedCallers } from "./keyedCallers.js";
 import type { RunRecords } from "./runRecords.js";
 
-/** Compares the last word on each keyed call with what the services ran. */
+/** Compares the final outcome of each keyed call with the services' records of handled calls. */
 export function auditKeyedCalls(callers: KeyedCallers, records: RunRecords): FaultsReport["keyedCalls"] {
     const counts = records.countsByMarker();
     const { outcomes } = callers;
--- a/bench/faults/src/auditReceipts.ts
+++ b/bench/faults/src/auditReceipts.ts
@@ -3,7 +3,7 @@
 import type { FaultsReport } from "./faultsReport.js";
 import type { RunRecords } from "./runRecords.js";
 
-/** Compares a job of calls that may not be repeated with what the services ran. */
+/** Compares the results of a job of non-repeatable calls with the services' records of handled calls. */
 export function auditReceipts(
     job: BatchJob,
     lines: Awaited<ReturnType<BatchJob["finish"]>>,
--- a/bench/faults/src/batchJob.ts
+++ b/bench/faults/src/batchJob.ts
@@ -6,7 +6,7 @@
 const POLL_INTERVAL_MS = 500;
 const MAX_WAIT_MS = 600_000;
 
-/** One job of the experiment and what came out of it. */
+/** Submits one batch job of the experiment and reads its results. */
 export class BatchJob {
     readonly name: string;
     readonly itemCount: number;
@@ -19,10 +19,12 @@
         this.itemCount = opts.itemCount;
     }
 
+    /** Returns the custom id of an item. It marks the item in the upstreams' records. */
     markerOf(index: number): string {
         return `${this.name}-${index}`;
     }
 
+    /** Creates the job and sends the creation request twice. Rejects if the second response names another batch. */
     async submit(): Promise<void> {
         const { api, endpoint, bodyOf } = this.opts;
         const lines = Array.from({ length: this.itemCount }, (_, index) => {
@@ -33,11 +35,18 @@
         this.id = await api.createBatch({ inputFileId, endpoint, idempotencyKey: this.name });
         const resentId = await api.createBatch({ inputFileId, endpoint, idempotencyKey: this.name });
         if (resentId !== this.id) {
-            throw new KnapweedError("BENCH_RESEND_DIFFERS", `${this.name}: ${this.id} and ${resentId}`);
+            throw new KnapweedError(
+                "BENCH_RESEND_DIFFERS",
+                `${this.name}: creating the batch twice gave ${this.id} and ${resentId}`,
+            );
         }
     }
 
-    /** Waits for the end of the job. @returns the lines of its output and error files */
+    /**
+     * Waits for the end of the job. Rejects if the job fails or does not end within 10 minutes.
+     *
+     * @returns the lines of its output and error files
+     */
     async finish(): Promise<{ output: Lines; errors: Lines; }> {
         const { api, clock } = this.opts;
         const endMs = clock.nowMs() + MAX_WAIT_MS;
--- a/bench/faults/src/faultSchedule.ts
+++ b/bench/faults/src/faultSchedule.ts
@@ -15,9 +15,11 @@
 const AFFECTED_RESPONSE_COUNT = 3;
 const FAULT_REQUEST_TIMEOUT_MS = 2000;
 
-/** Brings faults in, one after another, until its time is over. */
+/** Injects random faults at random intervals for a given time. */
 export class FaultSchedule {
+    /** Number of injected faults by kind. */
     readonly counts: { [kind: string]: number; } = {};
+    /** Time from the kill of an entry until each partition has a live owner. */
     readonly recovery = new Recorder();
     private readonly opts: { bed: FaultsTestBed; probe: OwnershipProbe; clock: Clock; random: Random; };
     private readonly activeFaults: Promise<void>[] = [];
@@ -26,6 +28,7 @@
         this.opts = opts;
     }
 
+    /** Injects faults for `durationMs`, then waits until all of them have ended. */
     async run(durationMs: number): Promise<void> {
         const { clock, random } = this.opts;
         const endMs = clock.nowMs() + durationMs;
@@ -64,7 +67,7 @@
 
     private async killEntry(): Promise<void> {
         const { bed, probe, clock } = this.opts;
-        // Two of three data folders stay reachable, as an acknowledged segment needs.
+        // An acknowledged segment needs two of the three data folders to stay reachable.
         if (bed.entries.some(entry => !entry.isRunning)) {
             return;
         }
@@ -100,7 +103,7 @@
         return serviceUrls[this.opts.random.nextInteger(serviceUrls.length)];
     }
 
-    /** Sends a fault order. Its own answer is lost where it silences the connection that it came by. */
+    /** Sends faults to a stand-in. The response is lost if the fault silences the connection of the request itself. */
     private async applyFaults(url: string, body: object): Promise<void> {
         const sent = request(url, {
             method: "POST",
--- a/bench/faults/src/faultsPlan.ts
+++ b/bench/faults/src/faultsPlan.ts
@@ -1,4 +1,4 @@
-/** The options of the experiment, filled in. */
+/** Options of the experiment with all defaults applied. */
 export interface FaultsPlan {
     seed: number;
     faultsMs: number;
--- a/bench/faults/src/faultsReport.ts
+++ b/bench/faults/src/faultsReport.ts
@@ -1,25 +1,27 @@
 import type { LatencySummary } from "@knapweedwood/bench.load/latencySummary";
 
-/** Figures of the experiment, audited against the stand-ins' own record of what ran. */
+/** Results of the experiment, checked against the stand-ins' own records of what ran. */
 export interface FaultsReport {
     seed: number;
     items: {
         accepted: number;
         completed: number;
-        /** Set aside with a typed reason. */
+        /** Items in the error files, with an error code or an HTTP status as the reason. */
         failed: number;
+        /** Items without a result. */
         lost: number;
-        /** Items with more than one result. */
+        /** Results beyond one for each item. */
         doubled: number;
-        /** Answers that do not belong to their item. */
+        /** Responses that do not belong to their item. */
         swapped: number;
-        /** Runs at the engines beyond one for each item, as a share of the items. */
+        /** Runs that the engines started beyond one for each item, as a share of the items. */
         redoneShare: number;
+        /** Runs that the engines started. */
         startedRuns: number;
-        /** Reasons of the failed items, with their counts. */
+        /** Number of failed items by error code or HTTP status. */
         reasons: { [code: string]: number; };
     };
-    /** Items of a service whose calls may not be repeated. */
+    /** Items of the job to a service with non-repeatable calls. */
     receipts: { accepted: number; completed: number; unknown: number; lost: number; ranTwice: number; };
     keyedCalls: {
         sent: number;
@@ -27,16 +29,17 @@
         unknown: number;
         notRun: number;
         ranTwice: number;
-        /** Calls whose last word was "not run" although they ran. */
+        /** Calls that ran although their final outcome was `not-run`. */
         notRunButRan: number;
         resends: number;
     };
-    /** From the loss of an entry until each partition has a live owner. */
+    /** Time from the kill of an entry until each partition has a live owner. */
     recovery: LatencySummary;
+    /** Number of injected faults by kind. */
     faults: { [kind: string]: number; };
     durationMs: number;
-    /** Load of the machine, mean of one minute, and its processors. */
+    /** Load average of the machine over one minute, before and after, and its number of processors. */
     machine: { loadBefore: number; loadAfter: number; processors: number; };
-    /** Whether nothing was lost, doubled, swapped or run twice. */
+    /** Whether nothing was lost, doubled, swapped or run twice, and no call ran that was reported as not run. */
     holds: boolean;
 }
--- a/bench/faults/src/faultsTestBed.ts
+++ b/bench/faults/src/faultsTestBed.ts
@@ -20,7 +20,10 @@
 const PUBLISH_ATTEMPTS = 50;
 const PUBLISH_RETRY_MS = 200;
 
-/** Three entries in three zones, three engines and two plain services with their sides, and the stand-ins. */
+/**
+ * Runs three entries in three zones, three engines and two plain services with their sides, and the stand-ins. All are
+ * separate processes.
+ */
 export class FaultsTestBed {
     readonly model = MODEL;
     readonly key = OPERATOR_KEY;
--- a/bench/faults/src/keyedCallers.ts
+++ b/bench/faults/src/keyedCallers.ts
@@ -14,8 +14,9 @@
     attempts: number;
 }
 
-/** Sends calls with an idempotency key and resends each, to any entry, until it is answered or patience ends. */
+/** Sends calls with an idempotency key. Resends each to a random entry until it is answered, at most 12 attempts. */
 export class KeyedCallers {
+    /** Final outcome of each call, shape [calls]. */
     readonly outcomes: KeyedOutcome[] = [];
     private readonly opts: { entryUrls: string[]; key: string; clock: Clock; random: Random; meanIntervalMs: number; };
     private nextIndex = 0;
@@ -24,6 +25,7 @@
         this.opts = opts;
     }
 
+    /** Sends `count` calls from eight concurrent workers. */
     async run(count: number): Promise<void> {
         await Promise.all(Array.from({ length: CONCURRENCY }, () => this.runWorker(count)));
     }
@@ -39,7 +41,7 @@
     private async callUntilAnswered(marker: string): Promise<void> {
         let outcome: KeyedOutcome["outcome"] = "unknown";
         let attempts = 0;
-        // A first attempt without an answer leaves the outcome open, whatever a later refusal says of itself.
+        // Once an attempt ends without a known outcome, the call stays unknown even if a later attempt is not run.
         let isUncertain = false;
         while (attempts < MAX_ATTEMPTS && outcome !== "answered") {
             attempts += 1;
--- a/bench/faults/src/main.ts
+++ b/bench/faults/src/main.ts
@@ -2,6 +2,7 @@
 import { parseArgs } from "node:util";
 import { runFaults } from "./runFaults.js";
 
+// Runs the experiment:
 // node main.js [--json FILE] [--seconds N] [--items N] [--calls N] [--receipts N] [--seed N] [--folder FOLDER]
 const { values } = parseArgs({
     options: {
--- a/bench/faults/src/managedProcess.ts
+++ b/bench/faults/src/managedProcess.ts
@@ -2,7 +2,7 @@
 import type { LaunchOptions } from "@knapweedwood/bench.load/launchOptions";
 import { launchProcess } from "@knapweedwood/bench.load/launchProcess";
 
-/** A process of the fleet that is started again after a loss. */
+/** A process of the fleet that can be killed and restarted, or suspended and resumed. */
 export class ManagedProcess {
     readonly instanceId: string;
     private readonly opts: LaunchOptions;
@@ -14,7 +14,7 @@
         this.opts = opts;
     }
 
-    /** Whether it runs, neither lost nor paused. */
+    /** Whether the process is running, neither killed nor paused. */
     get isRunning(): boolean {
         return this.launched !== undefined && !this.isInterrupted && !this.launched.hasExited;
     }
@@ -23,7 +23,7 @@
         this.launched = await launchProcess(this.opts);
     }
 
-    /** Kills the process and starts it again after `downMs`. */
+    /** Kills the process and restarts it after `downMs`. */
     async killAndRestart(downMs: number, sleep: (ms: number) => Promise<void>): Promise<void> {
         this.isInterrupted = true;
         await this.launched?.kill();
@@ -32,7 +32,7 @@
         this.isInterrupted = false;
     }
 
-    /** Stops it from running for `durationMs`. */
+    /** Suspends the process for `durationMs`. */
     async pause(durationMs: number, sleep: (ms: number) => Promise<void>): Promise<void> {
         this.isInterrupted = true;
         this.launched?.pause();
--- a/bench/faults/src/ownershipProbe.ts
+++ b/bench/faults/src/ownershipProbe.ts
@@ -9,7 +9,7 @@
 const MAX_WAIT_MS = 30_000;
 const PARTITION_COUNT = 16;
 
-/** Watches who owns the batch partitions. */
+/** Polls the key-value service for the owners of the batch partitions. */
 export class OwnershipProbe {
     private readonly opts: { keyValue: KeyValueService; clock: Clock; };
 
@@ -17,7 +17,11 @@
         this.opts = opts;
     }
 
-    /** @returns when each partition had an owner of another incarnation than the lost one; undefined where none did */
+    /**
+     * Waits until each partition has an owner and none of the ownership records of the lost instance remain.
+     *
+     * @returns the time when this was so; undefined after 30 seconds, or if the owners cannot be read at the start
+     */
     async waitUntilOwned(lostInstanceId: string): Promise<number | undefined> {
         const { clock } = this.opts;
         const endMs = clock.nowMs() + MAX_WAIT_MS;
--- a/bench/faults/src/platformSettings.ts
+++ b/bench/faults/src/platformSettings.ts
@@ -1,4 +1,4 @@
-/** Ports of the process that carries the platform's stand-ins, the engines and the plain services. */
+/** Settings of the process that runs the platform's stand-ins, the engines and the plain services. */
 export interface PlatformSettings {
     seed: number;
     keyValuePort: number;
--- a/bench/faults/src/runFaults.ts
+++ b/bench/faults/src/runFaults.ts
@@ -26,7 +26,7 @@
 const JOB_COUNT = 4;
 const MAX_TOKENS = 4;
 
-/** Runs jobs and keyed calls on real processes under faults, and audits what ran. */
+/** Runs jobs and keyed calls on real processes while faults are injected, and compares the results with what ran. */
 export async function runFaults(opts: FaultsOptions = {}): Promise<FaultsReport> {
     const plan = await resolvePlan(opts);
     const bed = new FaultsTestBed(plan);
--- a/bench/faults/src/runRecords.ts
+++ b/bench/faults/src/runRecords.ts
@@ -5,11 +5,12 @@
     bodyDigest: string;
 }
 
-/** The upstreams' own record of what ran. */
+/** Records of the runs that the upstreams' stand-ins started. */
 export class RunRecords {
     private readonly engineStarts = new Map<string, number>();
     private readonly serviceCalls: ServiceCall[] = [];
 
+    /** Reads the records of all engines and plain services. */
     static async read(opts: { engineUrls: string[]; serviceUrls: string[]; }): Promise<RunRecords> {
         const records = new RunRecords();
         for (const url of opts.engineUrls) {
@@ -24,16 +25,17 @@
         return records;
     }
 
+    /** Returns how often the engines started a run with the marker. */
     engineStartsOf(marker: string): number {
         return this.engineStarts.get(marker) ?? 0;
     }
 
-    /** How often each marker was run by a plain service. */
+    /** Returns how often the plain services ran each marker. */
     countsByMarker(): Map<string, number> {
         return countBy(this.serviceCalls.flatMap(call => call.marker ?? []));
     }
 
-    /** How often each body without a marker was run by a plain service. */
+    /** Returns how often the plain services ran each body that was sent without a marker, by digest. */
     countsByBody(): Map<string, number> {
         return countBy(this.serviceCalls.filter(call => call.marker === undefined).map(call => call.bodyDigest));
     }
--- a/bench/faults/src/serviceFile.ts
+++ b/bench/faults/src/serviceFile.ts
@@ -1,4 +1,4 @@
-/** The service file of the experiment: a model engine, and a plain service whose calls may not be repeated. */
+/** Returns the service file of the experiment: a model engine and a plain service with non-repeatable calls. */
 export function serviceFile(model: string): string {
     return [
         "teams:",
