--- a/bench/capacity/src/capacityBounds.ts
+++ b/bench/capacity/src/capacityBounds.ts
@@ -1,6 +1,6 @@
-/** What control may cost a node, and what the key-value service bears. */
+/** Upper bounds of the control cost of one node and of the load on the key-value service. */
 export const capacityBounds = {
-    /** 3.8% of a core. */
+    /** Processor time; 38 ms/s are 3.8% of a core. */
     cpuMsPerSecond: 38,
     heapBytes: 64 * 1024 * 1024,
     bytesPerSecond: 25 * 1024,
--- a/bench/capacity/src/capacityOptions.ts
+++ b/bench/capacity/src/capacityOptions.ts
@@ -1,11 +1,11 @@
 /** Options of {@link runCapacity}. */
 export interface CapacityOptions {
-    /** Where the report goes; nowhere where undefined. */
+    /** File for the report as JSON; not written if undefined. */
     jsonFile?: string | undefined;
-    /** The page whose tables are filled; left alone where undefined. */
+    /** Markdown page whose tables are updated; not changed if undefined. */
     pageFile?: string | undefined;
-    /** Fewer and smaller sizes, for a first look. */
+    /** Measures at smaller sizes and for a shorter time, for a first estimate. */
     isQuick?: boolean | undefined;
-    /** Told of each step. */
+    /** Called with a message at each step. */
     onProgress?: ((message: string) => void) | undefined;
 }
--- a/bench/capacity/src/capacityReport.ts
+++ b/bench/capacity/src/capacityReport.ts
@@ -2,8 +2,9 @@
 import type { KeyValueTotal } from "./keyValueTotals.js";
 import type { Measurement } from "./measurement.js";
 
-/** What `knapweed bench capacity` writes. */
+/** Report of `knapweed bench capacity`. */
 export interface CapacityReport {
+    /** Time of the report in ISO 8601. */
     measuredAt: string;
     measurements: Measurement[];
     rows: CapacityRow[];
--- a/bench/capacity/src/capacityRows.ts
+++ b/bench/capacity/src/capacityRows.ts
@@ -4,14 +4,14 @@
 import { valueAt } from "./valueAt.js";
 
 const SECONDS_PER_DAY = 86_400;
-const RELAY_FAN_OUT = 16;
+const FAN_OUT = 16;
 const BYTES_PER_MEGABYTE = 1_000_000;
 const COPY_COUNT = 2;
-/** The size of the configuration that relays were measured with is below this. */
+/** Relays were measured with a smaller configuration than this. */
 const MEASURED_TEAMS = 100;
 const CHANGES_PER_SECOND = fleetSize.changesPerDay / SECONDS_PER_DAY;
 
-/** Works out each role's cost from the measured slopes. */
+/** Computes the cost of each role from the measurements. Throws an `Error` if a quantity is missing. */
 export function capacityRows(measurements: Measurement[]): CapacityRow[] {
     const cost = costsOf(measurements);
     const [entry, relay] = [entryRow(cost), relayRow(cost)];
@@ -27,13 +27,16 @@
 }
 
 interface Costs {
+    /** Growth per unit of size, never negative. */
     slope: (name: string) => number;
-    /** Value at the largest size measured. */
+    /** Value at the largest measured size, never negative. */
     largest: (name: string) => number;
+    /** Value at a size, by {@link valueAt}. */
     at: (name: string, size: number) => number;
     configurationHeapBytes: number;
-    /** Of one process, for following the configuration. */
+    /** Processor time of one process for following the configuration. */
     followCpuMsPerSecond: number;
+    /** Bytes sent by one process for following the configuration. */
     followBytesPerSecond: number;
 }
 
@@ -94,12 +97,11 @@
     return {
         role: "relay (watcher of a zone), added to its entry",
         state: `revisions of ${Math.round((fleetSize.entries + fleetSize.upstreams) / fleetSize.zones)} processes`,
-        messages:
-            `beats of up to ${RELAY_FAN_OUT} children; each delta ${RELAY_FAN_OUT} times; root read once a second, one watch`,
-        cpuMsPerSecond: RELAY_FAN_OUT
+        messages: `beats of up to ${FAN_OUT} children; each delta ${FAN_OUT} times; root read once a second, one watch`,
+        cpuMsPerSecond: FAN_OUT
             * (cost.slope("relay.cpu") + CHANGES_PER_SECOND * cost.slope("relay.publish-cpu")),
-        heapBytes: RELAY_FAN_OUT * cost.slope("links.heap"),
-        bytesPerSecond: RELAY_FAN_OUT
+        heapBytes: FAN_OUT * cost.slope("links.heap"),
+        bytesPerSecond: FAN_OUT
             * (cost.slope("relay.sent") + CHANGES_PER_SECOND * cost.slope("relay.publish-sent") * deltaGrowth(cost)),
         keyValueCallsPerSecond: cost.largest("distribution.calls") / 2,
         mechanism: "rendezvous rank over the instance list; content-addressed chunks",
@@ -120,7 +122,7 @@
     };
 }
 
-/** How much larger a delta is with all teams than with the few of the measurement. */
+/** Ratio of the size of a delta with all teams to its size in the measurement, which has few teams. */
 function deltaGrowth(cost: Costs): number {
     return cost.at("configuration.written", fleetSize.teams) / cost.at("configuration.written", MEASURED_TEAMS);
 }
--- a/bench/capacity/src/createFleetMember.ts
+++ b/bench/capacity/src/createFleetMember.ts
@@ -9,7 +9,10 @@
 import { createBenchEndpoint } from "./createBenchEndpoint.js";
 import type { FleetMember } from "./fleetMember.js";
 
-/** Makes a library-level process that follows the configuration, and enters it in the list; its caller starts it. */
+/**
+ * Creates a simulated process that follows the configuration, and announces it in the instance list. The caller starts
+ * its configuration.
+ */
 export async function createFleetMember(
     opts: {
         name: string;
--- a/bench/capacity/src/createMeasurement.ts
+++ b/bench/capacity/src/createMeasurement.ts
@@ -1,6 +1,6 @@
 import type { Measurement } from "./measurement.js";
 
-/** Fits a line through the points by least squares. */
+/** Creates a measurement and fits a line through its points by least squares. The slope is 0 for a single size. */
 export function createMeasurement(
     opts: Omit<Measurement, "slope" | "intercept" | "sizes" | "values"> & {
         points: { size: number; value: number; }[];
--- a/bench/capacity/src/fillPage.ts
+++ b/bench/capacity/src/fillPage.ts
@@ -1,4 +1,4 @@
-/** Replaces what stands between `<!-- table NAME -->` and `<!-- end NAME -->` in a page, for each table. */
+/** Replaces the text between `<!-- table NAME -->` and `<!-- end NAME -->` in a page, for each table that it has. */
 export function fillPage(page: string, tables: ReadonlyMap<string, string>): string {
     return [...tables.entries()].reduce((filled, [name, text]) => {
         const [begin, end] = [`<!-- table ${name} -->`, `<!-- end ${name} -->`];
--- a/bench/capacity/src/formatBytes.ts
+++ b/bench/capacity/src/formatBytes.ts
@@ -1,6 +1,6 @@
 const KIBIBYTE = 1024;
 
-/** A number of bytes as KB or MB of 1,024. */
+/** Formats a number of bytes as KB or MB, with 1,024 bytes to the KB. */
 export function formatBytes(bytes: number): string {
     return bytes >= KIBIBYTE * KIBIBYTE
         ? `${(bytes / KIBIBYTE / KIBIBYTE).toFixed(1)} MB`
--- a/bench/capacity/src/heapAfterCollection.ts
+++ b/bench/capacity/src/heapAfterCollection.ts
@@ -4,7 +4,10 @@
 setFlagsFromString("--expose-gc");
 const collect = runInNewContext("gc") as () => void;
 
-/** Bytes on the heap that are still referred to; buffers, such as segments held in memory, are not among them. */
+/**
+ * Collects garbage and returns the bytes of the heap that are still referenced. Buffers, such as segments in memory,
+ * are not included.
+ */
 export function heapAfterCollection(): number {
     collect();
     collect();
--- a/bench/capacity/src/keyValueTotals.ts
+++ b/bench/capacity/src/keyValueTotals.ts
@@ -6,13 +6,13 @@
 const CALLS_PER_PUBLISH = 2;
 const BATCH_WRITE_BUDGET_PER_SECOND = 64;
 
-/** One line of the key-value service's load. */
+/** Load on the key-value service from one cause. */
 export interface KeyValueTotal {
     cause: string;
     callsPerSecond: number;
 }
 
-/** Calls of the whole fleet on the key-value service, by cause. */
+/** Returns the calls of the whole fleet to the key-value service by cause, with their sum last. */
 export function keyValueTotals(rows: CapacityRow[]): KeyValueTotal[] {
     const callsOf = (role: string) => rows.find(row => row.role.startsWith(role))?.keyValueCallsPerSecond ?? 0;
     const totals = [
--- a/bench/capacity/src/measureBatch.ts
+++ b/bench/capacity/src/measureBatch.ts
@@ -34,11 +34,11 @@
     cpuMs: number;
     heapBytes: number;
     calls: number;
-    /** Of simulated time. */
+    /** Simulated duration. */
     seconds: number;
 }
 
-/** Cost of partition owners by the number of items of a job, and by the number of jobs at once. */
+/** Measures the cost of partition owners by the number of items of a job and by the number of concurrent jobs. */
 export async function measureBatch(opts: { itemSizes: number[]; jobSizes: number[]; }): Promise<Measurement[]> {
     const byItems: BatchPoint[] = [];
     for (const items of opts.itemSizes) {
@@ -65,7 +65,7 @@
     ];
 }
 
-/** Runs jobs to their end; the heap is that of half-way. */
+/** Runs jobs until they complete. The heap is measured when half of the items are done. */
 async function measurePoint(opts: { jobs: number; itemsPerJob: number; }): Promise<Omit<BatchPoint, "size">> {
     const clock = new ManualClock(START_TIME_MS);
     const platform = new SimulationPlatform({ clock, options: defaultSimulationOptions });
@@ -128,7 +128,7 @@
     }
 }
 
-/** Pulls and answers items until all are done. @returns the heap used half-way, in bytes */
+/** Pulls items and reports results until all are done. @returns the heap growth at half of the items, in bytes */
 async function runItems(
     platform: SimulationPlatform,
     entries: SimulatedEntry[],
@@ -182,7 +182,7 @@
     return { jobId, itemIndex, attempt, outcome: { kind: "completed", statusCode: 200, body } };
 }
 
-/** Lets simulated time pass until `promise` settles. */
+/** Advances simulated time until `promise` settles. */
 async function settle<Value>(clock: ManualClock, promise: Promise<Value>): Promise<Value> {
     let isSettled = false;
     const finish = () => {
@@ -197,5 +197,5 @@
 }
 
 function fail(): never {
-    throw new Error("the jobs did not end");
+    throw new Error("the batch jobs did not complete");
 }
--- a/bench/capacity/src/measureBatchIdle.ts
+++ b/bench/capacity/src/measureBatchIdle.ts
@@ -11,7 +11,7 @@
 const MS_PER_SECOND = 1_000;
 const CONDITIONS = "entries without jobs, two partitions in all, simulated time; lease calls counted";
 
-/** Key-value calls of the batch roles at rest, by the number of entries. */
+/** Measures the key-value calls of the batch roles without jobs, by the number of entries. */
 export async function measureBatchIdle(opts: { sizes: number[]; }): Promise<Measurement[]> {
     const points: { size: number; value: number; }[] = [];
     for (const size of opts.sizes) {
--- a/bench/capacity/src/measureConfiguration.ts
+++ b/bench/capacity/src/measureConfiguration.ts
@@ -28,7 +28,7 @@
     keyValueCalls: number;
 }
 
-/** Cost of holding, publishing and adopting configurations by the number of teams. */
+/** Measures the cost of holding, publishing and adopting a configuration by the number of teams. */
 export async function measureConfiguration(opts: { sizes: number[]; }): Promise<Measurement[]> {
     const points: ConfigurationPoint[] = [];
     for (const teams of opts.sizes) {
@@ -86,7 +86,10 @@
     return { teams, heapBytes, publishCpuMs, adoptCpuMs, writtenBytes, keyValueCalls };
 }
 
-/** Adopts revision after revision, as one process of the fleet does, with the chunks at hand. */
+/**
+ * Measures the mean processor time of adopting a revision, in milliseconds. As in a process of the fleet, each revision
+ * follows the previous one. The chunks are available without a fetch.
+ */
 async function measureAdoptionMs(
     opts: {
         publisher: ConfigurationPublisher;
@@ -147,5 +150,5 @@
 }
 
 function fail(): never {
-    throw new Error("nothing was published");
+    throw new Error("no configuration was published");
 }
--- a/bench/capacity/src/measureDistribution.ts
+++ b/bench/capacity/src/measureDistribution.ts
@@ -40,7 +40,7 @@
     configurations: DistributedConfiguration[];
 }
 
-/** Cost of the distribution of configurations by the size of a zone, at rest and for each publish. */
+/** Measures the cost of distributing configurations by the size of a zone, without publishes and for each publish. */
 export async function measureDistribution(opts: { sizes: number[]; durationMs: number; }): Promise<Measurement[]> {
     const points: DistributionPoint[] = [];
     for (const members of opts.sizes) {
@@ -136,7 +136,7 @@
     return { clock, keyValue, endpoints, configurations };
 }
 
-/** @returns time from the publish's acceptance until it is in force everywhere, in milliseconds */
+/** Publishes a team. @returns the time from the acceptance until all members adopt the revision, in milliseconds */
 async function publishOnce(zone: Zone, publisher: ConfigurationPublisher, n: number): Promise<number> {
     const teamId = `team-${n}` as never;
     const team = { teamId, displayName: `Team ${n}`, weight: 1, limits: { requestsPerSecond: 10 } };
--- a/bench/capacity/src/measureLinks.ts
+++ b/bench/capacity/src/measureLinks.ts
@@ -20,7 +20,7 @@
     heapBytes: number;
 }
 
-/** Cost of idle links: heartbeats, and memory of a link's end. */
+/** Measures the cost of idle links: heartbeats, and the memory of one end of a link. */
 export async function measureLinks(opts: { sizes: number[]; durationMs: number; }): Promise<Measurement[]> {
     const points: LinksPoint[] = [];
     for (const links of opts.sizes) {
--- a/bench/capacity/src/measurePlanner.ts
+++ b/bench/capacity/src/measurePlanner.ts
@@ -12,7 +12,7 @@
 const CONDITIONS =
     `one process, ${MODEL_COUNT} services of one model, four zones, plans made anew ${ROUND_COUNT} times`;
 
-/** Cost of planning a region by the number of its upstreams. */
+/** Measures the cost of planning a region by the number of its upstreams. */
 export function measurePlanner(opts: { sizes: number[]; }): Measurement[] {
     const points = opts.sizes.map(measurePoint);
     const common = { sizeUnit: "upstreams of a region", conditions: CONDITIONS };
--- a/bench/capacity/src/measureRelay.ts
+++ b/bench/capacity/src/measureRelay.ts
@@ -27,7 +27,7 @@
     sentBytesPerPublish: number;
 }
 
-/** Cost of a relay by the number of its children, at rest and for each publish. */
+/** Measures the cost of a relay by the number of its children, without publishes and for each publish. */
 export async function measureRelay(opts: { sizes: number[]; durationMs: number; }): Promise<Measurement[]> {
     const points: RelayPoint[] = [];
     for (const children of opts.sizes) {
--- a/bench/capacity/src/measureSegments.ts
+++ b/bench/capacity/src/measureSegments.ts
@@ -10,7 +10,7 @@
 const SEGMENT_BYTES = 1_000_000;
 const CONDITIONS = "one process, segments of 1 MB written, synced and read back once in a temporary folder";
 
-/** Cost of keeping segments by their number. */
+/** Measures the cost of storing segments by their number. */
 export async function measureSegments(opts: { sizes: number[]; }): Promise<Measurement[]> {
     const points: { segments: number; cpuMs: number; heapBytes: number; }[] = [];
     for (const segments of opts.sizes) {
--- a/bench/capacity/src/measurement.ts
+++ b/bench/capacity/src/measurement.ts
@@ -1,19 +1,19 @@
 /** One quantity measured at several sizes. */
 export interface Measurement {
-    /** Such as `links.cpu`. */
+    /** Name of the quantity, such as `links.cpu`. */
     name: string;
-    /** What grows, such as `links`. */
+    /** Unit of the sizes, such as `links of a process`. */
     sizeUnit: string;
     /** Unit of the values, such as `ms/s`. */
     unit: string;
-    /** Shape [points]. */
+    /** Sizes at which the quantity was measured, shape [points]. */
     sizes: number[];
-    /** Shape [points]. */
+    /** Measured values, shape [points]. */
     values: number[];
     /** Growth of the value per unit of size, by least squares. */
     slope: number;
     /** Value at size 0, by least squares. */
     intercept: number;
-    /** How it was measured, for the page. */
+    /** Conditions of the measurement, as printed in docs/CAPACITY.md. */
     conditions: string;
 }
--- a/bench/capacity/src/relayChildrenMain.ts
+++ b/bench/capacity/src/relayChildrenMain.ts
@@ -6,7 +6,7 @@
 
 const clock = new SystemClock();
 
-/** Starts the children of a relay in a process of their own, so that the relay's share can be told apart. */
+/** Starts the children of a relay in a separate process, so that the relay's own cost can be measured. */
 async function startChildren(request: { relay: InstanceRecord; children: number; }): Promise<void> {
     const instanceList = new MemoryInstanceList({ clock, lagMs: 0, ttlMs: Number.MAX_SAFE_INTEGER });
     await instanceList.announce(request.relay);
--- a/bench/capacity/src/renderTables.ts
+++ b/bench/capacity/src/renderTables.ts
@@ -5,7 +5,7 @@
 import type { KeyValueTotal } from "./keyValueTotals.js";
 import type { Measurement } from "./measurement.js";
 
-/** Tables of docs/CAPACITY.md by the name of their place in the page. */
+/** Renders the tables of docs/CAPACITY.md as Markdown, by the name of their placeholder in the page. */
 export function renderTables(
     opts: { measurements: Measurement[]; rows: CapacityRow[]; totals: KeyValueTotal[]; measuredAt: string; },
 ): Map<string, string> {
@@ -68,7 +68,7 @@
     );
 }
 
-/** Each process reads its region's list once a second today. */
+/** Renders the cost of reading the instance list. Currently each process reads its region's list once a second. */
 function renderInstanceListLine(): string {
     const records = (fleetSize.entries + fleetSize.upstreams) / fleetSize.regions;
     const bytesPerSecond = records * fleetSize.instanceRecordBytes;
--- a/bench/capacity/src/runCapacity.ts
+++ b/bench/capacity/src/runCapacity.ts
@@ -38,7 +38,7 @@
     durationMs: 1_000,
 };
 
-/** Measures the slopes that docs/CAPACITY.md is worked out from, and fills its tables. */
+/** Measures the quantities from which docs/CAPACITY.md computes the costs, and fills its tables. */
 export async function runCapacity(opts: CapacityOptions): Promise<CapacityReport> {
     const sizes = opts.isQuick === true ? QUICK_SIZES : FULL_SIZES;
     const measurements: Measurement[] = [];
--- a/bench/capacity/src/socketMeter.ts
+++ b/bench/capacity/src/socketMeter.ts
@@ -3,7 +3,7 @@
 
 const CHANNELS = ["net.client.socket", "net.server.socket"];
 
-/** Counts the bytes of all TCP sockets opened in this process while the meter runs. */
+/** Counts the bytes that are sent on TCP sockets opened in this process while the meter runs. */
 export class SocketMeter {
     private readonly sockets = new Set<Socket>();
     private readonly onSocket = (message: unknown) => {
@@ -14,11 +14,12 @@
         CHANNELS.forEach(channel => subscribe(channel, this.onSocket));
     }
 
-    /** Bytes sent so far. Both ends being in this process, they are the bytes received too. */
+    /** Returns the bytes sent so far. If both ends are in this process, this is also the number of bytes received. */
     readSentBytes(): number {
         return [...this.sockets].reduce((sum, socket) => sum + socket.bytesWritten, 0);
     }
 
+    /** Stops counting newly opened sockets. */
     stop(): void {
         CHANNELS.forEach(channel => unsubscribe(channel, this.onSocket));
     }
--- a/bench/capacity/src/valueAt.ts
+++ b/bench/capacity/src/valueAt.ts
@@ -1,8 +1,8 @@
 import type { Measurement } from "./measurement.js";
 
 /**
- * The value at `size`, never below zero: between measured sizes by interpolation, below the smallest in proportion to
- * it, above the largest on the fitted line, moved to meet the largest value.
+ * Returns the value at `size`, never below 0. It is interpolated between measured sizes, proportional to the size below
+ * the smallest one, and extrapolated from the value at the largest one by the fitted slope.
  */
 export function valueAt(measurement: Measurement, size: number): number {
     const points = measurement.sizes.map((measured, index) => ({
