--- a/bench/faults/src/faultsTestBed.ts
+++ b/bench/faults/src/faultsTestBed.ts
@@ -21,8 +21,8 @@
 const PUBLISH_RETRY_MS = 200;
 
 /**
- * Runs three entries in three zones, three engines and two plain services with their sides, and the stand-ins. All are
- * separate processes.
+ * Runs three entries in three zones, three engines and two plain services with their sides, and the stand-ins. Entries
+ * and sides are separate processes. The engines, the services and the stand-ins share one process.
  */
 export class FaultsTestBed {
     readonly model = MODEL;
--- a/bench/faults/src/keyedCallers.ts
+++ b/bench/faults/src/keyedCallers.ts
@@ -41,7 +41,7 @@
     private async callUntilAnswered(marker: string): Promise<void> {
         let outcome: KeyedOutcome["outcome"] = "unknown";
         let attempts = 0;
-        // Once an attempt ends without a known outcome, the call stays unknown even if a later attempt is not run.
+        // An attempt without a response leaves the outcome unknown, even if a later attempt is rejected as not run.
         let isUncertain = false;
         while (attempts < MAX_ATTEMPTS && outcome !== "answered") {
             attempts += 1;
