--- a/bench/capacity/src/createBenchEndpoint.ts
+++ b/bench/capacity/src/createBenchEndpoint.ts
@@ -7,7 +7,7 @@
 import { silentLogger } from "@knapweedwood/observability.logs/silentLogger";
 import { silentMetrics } from "@knapweedwood/observability.metrics/silentMetrics";
 
-/** Creates the link endpoint of one simulated process on the loopback interface, without logs and metrics. */
+/** Creates the link endpoint of one fleet member on the loopback interface, without logs and metrics. */
 export function createBenchEndpoint(name: string, kind: "entry" | "side"): WebSocketLinkEndpoint {
     return new WebSocketLinkEndpoint({
         identity: {
--- a/bench/capacity/src/createFleetMember.ts
+++ b/bench/capacity/src/createFleetMember.ts
@@ -10,8 +10,8 @@
 import type { FleetMember } from "./fleetMember.js";
 
 /**
- * Creates a simulated process that follows the configuration, and announces it in the instance list. The caller starts
- * its configuration.
+ * Creates a fleet member in this process that follows the configuration, and announces it in the instance list. The
+ * caller starts its configuration.
  */
 export async function createFleetMember(
     opts: {
--- a/bench/capacity/src/fleetMember.ts
+++ b/bench/capacity/src/fleetMember.ts
@@ -2,7 +2,7 @@
 import type { WebSocketLinkEndpoint } from "@knapweedwood/links.endpoint/webSocketLinkEndpoint";
 import type { InstanceRecord } from "@knapweedwood/routing.instance-list/instanceRecord";
 
-/** A simulated process that follows the configuration. It shares an operating-system process with others. */
+/** A fleet member that follows the configuration. It runs in this process, without a daemon. */
 export interface FleetMember {
     endpoint: WebSocketLinkEndpoint;
     record: InstanceRecord;
