--- a/bench/decisions/src/boardReporter.ts
+++ b/bench/decisions/src/loadReporter.ts
@@ -2,9 +2,9 @@
 import type { LoadReport } from "@knapweedwood/fleet.load/loadReport";
 import { LoadTracker } from "@knapweedwood/fleet.load/loadTracker";
 
-/** The load board of one process, and its reports to the others. */
-export class BoardReporter {
-    readonly board = new LoadTracker();
+/** Tracks the load that one simulated process sees, and creates the reports that it sends to the other processes. */
+export class LoadReporter {
+    readonly loadTracker = new LoadTracker();
     private readonly name: InstanceName;
     private readonly waiting: () => LoadReport["waiting"];
     private sequence = 0;
@@ -14,6 +14,7 @@
         this.waiting = waiting;
     }
 
+    /** Returns a report of the own counts with the next sequence number. */
     createReport(): LoadReport {
         this.sequence += 1;
         return {
@@ -21,7 +22,7 @@
             startedAtMs: 0,
             sequence: this.sequence,
             isKeyValueReachable: true,
-            counts: this.board.ownCounts().map(count => ({ ...count })),
+            counts: this.loadTracker.ownCounts().map(count => ({ ...count })),
             ejected: [],
             waiting: this.waiting(),
             configurationRevision: 0,
--- a/bench/mixed/src/batchItemMeans.ts
+++ b/bench/mixed/src/batchItemMeans.ts
@@ -7,15 +7,15 @@
 const SEED = 1;
 const BLOCK_TOKENS = 16;
 
-/** Mean size of the batch items: prompt tokens outside the shared prefix, and answer tokens. */
-export function batchItemMeans(): { prefillTokens: number; answerTokens: number; } {
+/** Estimates the mean size of a batch item: prompt tokens outside the shared prefix, and output tokens. */
+export function batchItemMeans(): { prefillTokens: number; outputTokens: number; } {
     const random = createRandom(SEED);
     const bodies = Array.from({ length: SAMPLES }, () => createBatchBody(random, "bench"));
     const prompts = bodies.map(promptTextOf);
     const sharedTokens = Math.floor(countTokens(commonPrefix(prompts)) / BLOCK_TOKENS) * BLOCK_TOKENS;
     return {
         prefillTokens: meanOf(prompts.map(countTokens)) - sharedTokens,
-        answerTokens: meanOf(bodies.map(body => Number(body.max_tokens))),
+        outputTokens: meanOf(bodies.map(body => Number(body.max_tokens))),
     };
 }
 
--- a/bench/mixed/src/simulateArm.ts
+++ b/bench/mixed/src/simulateArm.ts
@@ -4,19 +4,19 @@
 import { summarizeLatencies } from "./summarizeLatencies.js";
 import { sumTotals } from "./sumTotals.js";
 
-/** The engines work on batch items for so long before the first online call, so that costs are learned. */
+/** Time for which engines run batch items before the first online call, so that the gates can estimate their costs. */
 const WARM_UP_MS = 3000;
 
 type FleetOptions = ConstructorParameters<typeof SimulatedFleet>[0];
 
-/** Runs one arm in simulated time. */
+/** Runs one arm in simulated time. Totals cover the time after the warm-up. */
 export async function simulateArm(
     opts: FleetOptions & { arrivals: OnlineArrival[]; durationMs: number; },
 ): Promise<SimulatedArm> {
     const fleet = new SimulatedFleet(opts);
     const firstTokenMs: (number | undefined)[] = opts.arrivals.map(() => undefined);
     const gapsMs: number[] = [];
-    let refused = 0;
+    let failedCalls = 0;
     const call = async (arrival: OnlineArrival, index: number) => {
         const startMs = fleet.clock.nowMs();
         const tokenTimesMs = await fleet.call(arrival);
@@ -26,7 +26,7 @@
     opts.arrivals.forEach((arrival, index) =>
         fleet.clock.setTimer(WARM_UP_MS + arrival.atMs, () =>
             void call(arrival, index).catch(() => {
-                refused += 1;
+                failedCalls += 1;
             }))
     );
     await fleet.clock.advance(WARM_UP_MS);
@@ -36,7 +36,7 @@
         timeToFirstToken: summarizeLatencies(firstTokenMs.flatMap(timeMs => timeMs ?? [])),
         firstTokenMs,
         tokenGap: summarizeLatencies(gapsMs),
-        refused,
+        failedCalls,
         totals: sumTotals([fleet.totals(), before], [1, -1]),
     };
 }
--- a/bench/mixed/src/simulatedFleet.ts
+++ b/bench/mixed/src/simulatedFleet.ts
@@ -7,14 +7,14 @@
 import type { EngineTotals } from "@knapweedwood/standins.engine/engineTotals";
 import { InMemoryEngine } from "@knapweedwood/standins.engine/inMemoryEngine";
 import type { StepModel } from "@knapweedwood/standins.engine/stepModel";
-import { BatchSupply } from "./batchSupply.js";
+import { EndlessBatchSource } from "./endlessBatchSource.js";
 import type { OnlineArrival } from "./onlineArrival.js";
 import { sumTotals } from "./sumTotals.js";
 
-/** A backlog of so many prompt tokens weighs as much as one more call in the choice of a gate. */
-const PREFILL_TOKENS_A_CALL = 64;
+/** Number of waiting prompt tokens that count as one more call when the least loaded gate is chosen. */
+const PREFILL_TOKENS_PER_CALL = 64;
 
-/** Engines with their gates in one process, on a clock that is moved by hand. */
+/** Simulates engines with their gates in one process, on a manual clock. */
 export class SimulatedFleet {
     readonly clock = new ManualClock();
     private readonly engines: InMemoryEngine[];
@@ -28,11 +28,11 @@
         objective: GateObjective;
         createPolicy: () => AdmissionPolicy;
         withBatch: boolean;
-        /** How many of the engines, the last ones, serve batch work only; all serve both where 0. */
+        /** Number of engines, the last ones, that serve only batch work; where 0, all engines serve both kinds. */
         batchOnlyEngines: number;
     }) {
         const { clock } = this;
-        const supply = new BatchSupply({ clock, seed: opts.seed, model: "bench" });
+        const batchSource = new EndlessBatchSource({ clock, seed: opts.seed, model: "bench" });
         const firstBatchEngine = opts.batchOnlyEngines === 0 ? 0 : opts.engines - opts.batchOnlyEngines;
         this.engines = Array.from(
             { length: opts.engines },
@@ -46,14 +46,14 @@
                 metrics: silentMetrics,
                 policy: opts.createPolicy(),
                 objective: opts.objective,
-                batchSource: opts.withBatch && index >= firstBatchEngine ? supply : undefined,
+                batchSource: opts.withBatch && index >= firstBatchEngine ? batchSource : undefined,
             })
         );
         this.onlineGates = this.gates.slice(0, opts.engines - opts.batchOnlyEngines);
         this.gates.forEach(gate => gate.start());
     }
 
-    /** Runs a call at the least loaded gate. @returns the times of its tokens, shape [tokens] */
+    /** Runs a call on the least loaded gate. Returns the arrival times of its tokens, shape [tokens]. */
     async call(arrival: OnlineArrival): Promise<number[]> {
         const gate = this.onlineGates.reduce((best, other) => loadOf(other) < loadOf(best) ? other : best);
         const tokenTimesMs: number[] = [];
@@ -65,7 +65,7 @@
         return tokenTimesMs;
     }
 
-    /** What all engines have done so far. */
+    /** Returns the summed totals of all engines so far. */
     totals(): EngineTotals {
         return sumTotals(this.engines.map(engine => ({ ...engine.core.totals })));
     }
@@ -73,5 +73,5 @@
 
 function loadOf(gate: Gate): number {
     const load = gate.load();
-    return load.onlineRunning + load.onlineQueued + load.onlinePrefillTokens / PREFILL_TOKENS_A_CALL;
+    return load.onlineRunning + load.onlineQueued + load.onlinePrefillTokens / PREFILL_TOKENS_PER_CALL;
 }
