--- a/bench/capacity/src/capacityRows.ts
+++ b/bench/capacity/src/capacityRows.ts
@@ -6,12 +6,12 @@
 const SECONDS_PER_DAY = 86_400;
 const FAN_OUT = 16;
 const BYTES_PER_MEGABYTE = 1_000_000;
-const COPIES = 2;
-/** The size of the configuration that relays were measured with is below this. */
+const COPY_COUNT = 2;
+/** Relays were measured with a smaller configuration than this. */
 const MEASURED_TEAMS = 100;
 const CHANGES_PER_SECOND = fleetSize.changesPerDay / SECONDS_PER_DAY;
 
-/** Works out each role's cost from the measured slopes. */
+/** Computes the cost of each role from the measurements. Throws an `Error` if a quantity is missing. */
 export function capacityRows(measurements: Measurement[]): CapacityRow[] {
     const cost = costsOf(measurements);
     const [entry, relay] = [entryRow(cost), relayRow(cost)];
@@ -20,20 +20,23 @@
         sideRow(cost),
         relay,
         ownerRow(cost),
-        keeperRow(cost),
+        segmentStoreRow(cost),
         plannerRow(cost),
-        sumOf("entry and relay together", [entry, relay]),
+        sumRow("entry and relay together", [entry, relay]),
     ];
 }
 
 interface Costs {
+    /** Growth per unit of size, never negative. */
     slope: (name: string) => number;
-    /** Value at the largest size measured. */
+    /** Value at the largest measured size, never negative. */
     largest: (name: string) => number;
+    /** Value at a size, by {@link valueAt}. */
     at: (name: string, size: number) => number;
     configurationHeapBytes: number;
-    /** Of one process, for following the configuration. */
+    /** Processor time of one process for following the configuration. */
     followCpuMsPerSecond: number;
+    /** Bytes sent by one process for following the configuration. */
     followBytesPerSecond: number;
 }
 
@@ -105,7 +108,7 @@
     };
 }
 
-function sumOf(role: string, rows: CapacityRow[]): CapacityRow {
+function sumRow(role: string, rows: CapacityRow[]): CapacityRow {
     const total = (value: (row: CapacityRow) => number) => rows.reduce((sum, row) => sum + value(row), 0);
     return {
         role,
@@ -119,7 +122,7 @@
     };
 }
 
-/** How much larger a delta is with all teams than with the few of the measurement. */
+/** Ratio of the size of a delta with all teams to its size in the measurement, which has few teams. */
 function deltaGrowth(cost: Costs): number {
     return cost.at("configuration.written", fleetSize.teams) / cost.at("configuration.written", MEASURED_TEAMS);
 }
@@ -140,11 +143,11 @@
     };
 }
 
-function keeperRow(cost: Costs): CapacityRow {
-    const bytesPerSecond = (fleetSize.itemsPerDay * fleetSize.bytesPerItem * COPIES)
-        / SECONDS_PER_DAY / fleetSize.segmentKeepers;
+function segmentStoreRow(cost: Costs): CapacityRow {
+    const bytesPerSecond = (fleetSize.itemsPerDay * fleetSize.bytesPerItem * COPY_COUNT)
+        / SECONDS_PER_DAY / fleetSize.segmentStores;
     return {
-        role: `segment keeper (one of ${fleetSize.segmentKeepers}), added to its entry`,
+        role: `segment keeper (one of ${fleetSize.segmentStores}), added to its entry`,
         state: "segments on its disk; none in memory",
         messages: "segments of up to 1 MB, written to two keepers",
         cpuMsPerSecond: bytesPerSecond / BYTES_PER_MEGABYTE * cost.slope("segments.cpu"),
@@ -163,7 +166,7 @@
         state: `plan of ${upstreams} upstreams, ${(planBytes / 1024).toFixed(0)} KB in one value`,
         messages: "lease kept alive; the plan written when it changes, at most once a period",
         cpuMsPerSecond: cost.at("planner.cpu", upstreams) / fleetSize.plannerPeriodSeconds,
-        heapBytes: COPIES * planBytes,
+        heapBytes: COPY_COUNT * planBytes,
         bytesPerSecond: planBytes / fleetSize.plannerPeriodSeconds,
         keyValueCallsPerSecond: 2 / fleetSize.plannerPeriodSeconds,
         mechanism: "lease with a fencing number (placement/planner); sides converge (placement/orders)",
--- a/bench/capacity/src/createEndpoint.ts
+++ b/bench/capacity/src/createBenchEndpoint.ts
@@ -7,8 +7,8 @@
 import { silentLogger } from "@knapweedwood/observability.logs/silentLogger";
 import { silentMetrics } from "@knapweedwood/observability.metrics/silentMetrics";
 
-/** The links of one library-level process on loopback. */
-export function createEndpoint(name: string, kind: "entry" | "side"): WebSocketLinkEndpoint {
+/** Creates the link endpoint of one fleet member on the loopback interface, without logs and metrics. */
+export function createBenchEndpoint(name: string, kind: "entry" | "side"): WebSocketLinkEndpoint {
     return new WebSocketLinkEndpoint({
         identity: {
             instanceId: name as InstanceId,
--- a/bench/capacity/src/member.ts
+++ b/bench/capacity/src/fleetMember.ts
@@ -2,8 +2,8 @@
 import type { WebSocketLinkEndpoint } from "@knapweedwood/links.endpoint/webSocketLinkEndpoint";
 import type { InstanceRecord } from "@knapweedwood/routing.instance-list/instanceRecord";
 
-/** A library-level process that follows the configuration. */
-export interface Member {
+/** A fleet member that follows the configuration. It runs in this process, without a daemon. */
+export interface FleetMember {
     endpoint: WebSocketLinkEndpoint;
     record: InstanceRecord;
     configuration: DistributedConfiguration;
--- a/bench/capacity/src/measureLinks.ts
+++ b/bench/capacity/src/measureLinks.ts
@@ -2,7 +2,7 @@
 import { SystemClock } from "@knapweedwood/core.clock/systemClock";
 import type { WebSocketLinkEndpoint } from "@knapweedwood/links.endpoint/webSocketLinkEndpoint";
 import { CpuMeter } from "./cpuMeter.js";
-import { createEndpoint } from "./createEndpoint.js";
+import { createBenchEndpoint } from "./createBenchEndpoint.js";
 import { createMeasurement } from "./createMeasurement.js";
 import { heapAfterCollection } from "./heapAfterCollection.js";
 import type { Measurement } from "./measurement.js";
@@ -20,7 +20,7 @@
     heapBytes: number;
 }
 
-/** Cost of idle links: heartbeats, and memory of a link's end. */
+/** Measures the cost of idle links: heartbeats, and the memory of one end of a link. */
 export async function measureLinks(opts: { sizes: number[]; durationMs: number; }): Promise<Measurement[]> {
     const points: LinksPoint[] = [];
     for (const links of opts.sizes) {
@@ -45,8 +45,8 @@
     const clock = new SystemClock();
     const heapBeforeBytes = heapAfterCollection();
     const sockets = new SocketMeter();
-    const hub = createEndpoint("hub", "entry");
-    const peers = Array.from({ length: links }, (_, n) => createEndpoint(`peer-${n}`, "side"));
+    const hub = createBenchEndpoint("hub", "entry");
+    const peers = Array.from({ length: links }, (_, n) => createBenchEndpoint(`peer-${n}`, "side"));
     await connectAll(hub, peers);
     await sleep(clock, SETTLE_MS);
     const heapBytes = (heapAfterCollection() - heapBeforeBytes) / ENDS_PER_LINK;
--- a/bench/config-churn/src/countReversals.ts
+++ b/bench/config-churn/src/countReversals.ts
@@ -1,8 +1,8 @@
 import type { JudgedLife } from "./judgedLife.js";
 
-/** Counts how often a process went to a lower or equal revision. */
-export function countReversals(lives: readonly JudgedLife[]): number {
-    return lives
+/** Counts adoptions of a revision that was lower than or equal to the previous one of the same process run. */
+export function countReversals(histories: readonly JudgedLife[]): number {
+    return histories
         .map(({ adoptions }) =>
             adoptions.filter((adoption, index) => adoption.revision <= (adoptions[index - 1]?.revision ?? 0))
         )
--- a/bench/config-churn/src/judgedLife.ts
+++ b/bench/config-churn/src/judgedLife.ts
@@ -1,8 +1,8 @@
 import type { Adoption } from "./adoption.js";
-import type { Life } from "./life.js";
+import type { ProcessRun } from "./processRun.js";
 
-/** A life with the revisions it had in force. */
+/** A process run with the revisions it adopted. */
 export interface JudgedLife {
-    life: Pick<Life, "instanceId" | "startedAtMs" | "endedAtMs" | "pauses">;
+    run: Pick<ProcessRun, "instanceId" | "startedAtMs" | "endedAtMs" | "pauses">;
     adoptions: Adoption[];
 }
--- a/bench/config-churn/src/revisionLatencies.ts
+++ b/bench/config-churn/src/revisionLatencies.ts
@@ -1,30 +1,31 @@
 import type { JudgedLife } from "./judgedLife.js";
 
-/** A process counts for a revision when it had been up for this long before it was published. */
-const JOINED_MS = 5_000;
-/** And was not resumed within this time before. */
-const RESUMED_MS = 1_000;
+/** A process counts for a revision if it had been running for this long when the revision was published. */
+const MIN_UPTIME_MS = 5_000;
+/** A process does not count if it was resumed within this time before the publish. */
+const RESUME_GRACE_MS = 1_000;
 
 /**
- * Time from the publish of a revision until each undisturbed process had it or a higher one, in milliseconds; processes
- * that were starting, paused or killed meanwhile are left out. Infinite for one that never had it.
+ * Returns the time from the publish of a revision until each undisturbed process adopted it or a higher one, in
+ * milliseconds. Processes that were starting, paused or killed meanwhile are excluded. The time is `Infinity` for an
+ * undisturbed process that never adopted the revision.
  *
  * @returns shape [undisturbed processes]
  */
 export function revisionLatencies(
-    opts: { revision: number; publishedAtMs: number; lives: readonly JudgedLife[]; endMs: number; },
+    opts: { revision: number; publishedAtMs: number; histories: readonly JudgedLife[]; endMs: number; },
 ): number[] {
-    return opts.lives.flatMap(judged => {
-        const reached = judged.adoptions.find(adoption => adoption.revision >= opts.revision);
+    return opts.histories.flatMap(history => {
+        const reached = history.adoptions.find(adoption => adoption.revision >= opts.revision);
         const reachedAtMs = reached?.atMs ?? Infinity;
-        return isUndisturbed(judged, opts.publishedAtMs, Math.min(reachedAtMs, opts.endMs))
+        return isUndisturbed(history, opts.publishedAtMs, Math.min(reachedAtMs, opts.endMs))
             ? [Math.max(0, reachedAtMs - opts.publishedAtMs)]
             : [];
     });
 }
 
-function isUndisturbed({ life }: JudgedLife, fromMs: number, untilMs: number): boolean {
-    const isUp = life.startedAtMs + JOINED_MS <= fromMs && (life.endedAtMs ?? Infinity) > untilMs;
-    const isPaused = life.pauses.some(pause => pause.fromMs <= untilMs && pause.untilMs + RESUMED_MS >= fromMs);
+function isUndisturbed({ run }: JudgedLife, fromMs: number, untilMs: number): boolean {
+    const isUp = run.startedAtMs + MIN_UPTIME_MS <= fromMs && (run.endedAtMs ?? Infinity) > untilMs;
+    const isPaused = run.pauses.some(pause => pause.fromMs <= untilMs && pause.untilMs + RESUME_GRACE_MS >= fromMs);
     return isUp && !isPaused;
 }
--- a/bench/faults/src/batchWork.ts
+++ b/bench/faults/src/batchJob.ts
@@ -3,26 +3,28 @@
 import { KnapweedError } from "@knapweedwood/core.errors/knapweedError";
 import type { ApiClient } from "./apiClient.js";
 
-const CHECK_MS = 500;
+const POLL_INTERVAL_MS = 500;
 const MAX_WAIT_MS = 600_000;
 
-/** One job of the experiment and what came out of it. */
-export class BatchWork {
+/** Submits one batch job of the experiment and reads its results. */
+export class BatchJob {
     readonly name: string;
     readonly itemCount: number;
     private readonly opts: { api: ApiClient; clock: Clock; endpoint: string; bodyOf: (marker: string) => object; };
     private id: string | undefined;
 
-    constructor(opts: BatchWork["opts"] & { name: string; itemCount: number; }) {
+    constructor(opts: BatchJob["opts"] & { name: string; itemCount: number; }) {
         this.opts = opts;
         this.name = opts.name;
         this.itemCount = opts.itemCount;
     }
 
+    /** Returns the custom id of an item. It marks the item in the upstreams' records. */
     markerOf(index: number): string {
         return `${this.name}-${index}`;
     }
 
+    /** Creates the job and sends the creation request twice. Rejects if the second response names another batch. */
     async submit(): Promise<void> {
         const { api, endpoint, bodyOf } = this.opts;
         const lines = Array.from({ length: this.itemCount }, (_, index) => {
@@ -31,28 +33,38 @@
         });
         const inputFileId = await api.upload(lines.join(""));
         this.id = await api.createBatch({ inputFileId, endpoint, idempotencyKey: this.name });
-        const again = await api.createBatch({ inputFileId, endpoint, idempotencyKey: this.name });
-        if (again !== this.id) {
-            throw new KnapweedError("BENCH_RESEND_DIFFERS", `${this.name}: ${this.id} and ${again}`);
+        const resentId = await api.createBatch({ inputFileId, endpoint, idempotencyKey: this.name });
+        if (resentId !== this.id) {
+            throw new KnapweedError(
+                "BENCH_RESEND_DIFFERS",
+                `${this.name}: creating the batch twice gave ${this.id} and ${resentId}`,
+            );
         }
     }
 
-    /** Waits for the end of the job. @returns the lines of its output and error files */
+    /**
+     * Waits for the end of the job. Rejects if the job fails or does not end within 10 minutes.
+     *
+     * @returns the lines of its output and error files
+     */
     async finish(): Promise<{ output: Lines; errors: Lines; }> {
         const { api, clock } = this.opts;
         const endMs = clock.nowMs() + MAX_WAIT_MS;
         while (clock.nowMs() < endMs) {
-            const batch = await api.batch(this.id ?? "");
+            const batch = await api.getBatch(this.id ?? "");
             if (batch.status === "completed") {
-                return { output: await api.lines(batch.output_file_id), errors: await api.lines(batch.error_file_id) };
+                return {
+                    output: await api.readLines(batch.output_file_id),
+                    errors: await api.readLines(batch.error_file_id),
+                };
             }
             if (batch.status === "failed" || batch.status === "cancelled") {
                 throw new KnapweedError("BENCH_JOB_FAILED", JSON.stringify(batch));
             }
-            await sleep(clock, CHECK_MS);
+            await sleep(clock, POLL_INTERVAL_MS);
         }
-        throw new KnapweedError("BENCH_JOB_STUCK", JSON.stringify(await api.batch(this.id ?? "")));
+        throw new KnapweedError("BENCH_JOB_STUCK", JSON.stringify(await api.getBatch(this.id ?? "")));
     }
 }
 
-type Lines = Awaited<ReturnType<ApiClient["lines"]>>;
+type Lines = Awaited<ReturnType<ApiClient["readLines"]>>;
--- a/bench/faults/src/ownershipProbe.ts
+++ b/bench/faults/src/ownershipProbe.ts
@@ -9,7 +9,7 @@
 const MAX_WAIT_MS = 30_000;
 const PARTITION_COUNT = 16;
 
-/** Watches who owns the batch partitions. */
+/** Polls the key-value service for the owners of the batch partitions. */
 export class OwnershipProbe {
     private readonly opts: { keyValue: KeyValueService; clock: Clock; };
 
@@ -17,15 +17,19 @@
         this.opts = opts;
     }
 
-    /** @returns when each partition had an owner of another incarnation than the lost one; undefined where none did */
+    /**
+     * Waits until each partition has an owner and none of the ownership records of the lost instance remain.
+     *
+     * @returns the time when this was so; undefined after 30 seconds, or if the owners cannot be read at the start
+     */
     async waitUntilOwned(lostInstanceId: string): Promise<number | undefined> {
         const { clock } = this.opts;
         const endMs = clock.nowMs() + MAX_WAIT_MS;
-        const before = await this.revisionsOf(lostInstanceId);
-        while (before !== undefined && clock.nowMs() < endMs) {
-            const owners = await this.owners();
-            const isLeft = owners?.some(owner => before.has(owner.modRevision)) ?? true;
-            if (!isLeft && owners?.length === PARTITION_COUNT) {
+        const lostRevisions = await this.revisionsOf(lostInstanceId);
+        while (lostRevisions !== undefined && clock.nowMs() < endMs) {
+            const owners = await this.listOwners();
+            const hasLostOwner = owners?.some(owner => lostRevisions.has(owner.modRevision)) ?? true;
+            if (!hasLostOwner && owners?.length === PARTITION_COUNT) {
                 return clock.nowMs();
             }
             await sleep(clock, PROBE_INTERVAL_MS);
@@ -34,13 +38,13 @@
     }
 
     private async revisionsOf(instanceId: string): Promise<Set<number> | undefined> {
-        const owners = await this.owners();
+        const owners = await this.listOwners();
         return owners && new Set(
             owners.filter(owner => owner.instanceId === instanceId).map(owner => owner.modRevision),
         );
     }
 
-    private async owners(): Promise<{ instanceId: string; modRevision: number; }[] | undefined> {
+    private async listOwners(): Promise<{ instanceId: string; modRevision: number; }[] | undefined> {
         const entries = await this.opts.keyValue.list(partitionKeys.owners("batch")).catch(() => undefined);
         return entries?.map(entry => ({
             instanceId: decodeRecord<PartitionRecord>(entry.value).instanceId,
