--- a/bench/config-churn/src/revisionLatencies.ts
+++ b/bench/config-churn/src/revisionLatencies.ts
@@ -1,4 +1,4 @@
-import type { JudgedLife } from "./judgedLife.js";
+import type { RunHistory } from "./runHistory.js";
 
 /** A process counts for a revision if it had been running for this long when the revision was published. */
 const MIN_UPTIME_MS = 5_000;
@@ -13,7 +13,7 @@
  * @returns shape [undisturbed processes]
  */
 export function revisionLatencies(
-    opts: { revision: number; publishedAtMs: number; histories: readonly JudgedLife[]; endMs: number; },
+    opts: { revision: number; publishedAtMs: number; histories: readonly RunHistory[]; endMs: number; },
 ): number[] {
     return opts.histories.flatMap(history => {
         const reached = history.adoptions.find(adoption => adoption.revision >= opts.revision);
@@ -24,7 +24,7 @@
     });
 }
 
-function isUndisturbed({ run }: JudgedLife, fromMs: number, untilMs: number): boolean {
+function isUndisturbed({ run }: RunHistory, fromMs: number, untilMs: number): boolean {
     const isUp = run.startedAtMs + MIN_UPTIME_MS <= fromMs && (run.endedAtMs ?? Infinity) > untilMs;
     const isPaused = run.pauses.some(pause => pause.fromMs <= untilMs && pause.untilMs + RESUME_GRACE_MS >= fromMs);
     return isUp && !isPaused;
--- a/bench/config-churn/src/runConfigChurn.ts
+++ b/bench/config-churn/src/runConfigChurn.ts
@@ -6,12 +6,12 @@
 import type { ConfigChurnOptions } from "./configChurnOptions.js";
 import type { ConfigChurnReport } from "./configChurnReport.js";
 import { countReversals } from "./countReversals.js";
-import type { JudgedLife } from "./judgedLife.js";
 import type { PublishOutcome } from "./publishOutcome.js";
 import { publishTeam } from "./publishTeam.js";
 import { quantilesOf } from "./quantilesOf.js";
 import { readAdoptions } from "./readAdoptions.js";
 import { revisionLatencies } from "./revisionLatencies.js";
+import type { RunHistory } from "./runHistory.js";
 
 const SETTLE_MS = 8_000;
 const QUIET_MS = 10_000;
@@ -81,7 +81,7 @@
     }
 }
 
-async function readRunHistories(fleet: ChurnFleet): Promise<JudgedLife[]> {
+async function readRunHistories(fleet: ChurnFleet): Promise<RunHistory[]> {
     return Promise.all(fleet.runs.map(async run => ({
         run,
         adoptions: readAdoptions(await run.launched.readLog()),
@@ -91,7 +91,7 @@
 function createReport(
     opts: {
         published: Published[];
-        histories: JudgedLife[];
+        histories: RunHistory[];
         runningCount: number;
         faults: ConfigChurnReport["faults"];
     },
@@ -127,7 +127,7 @@
 }
 
 /** Returns the publish time of each revision, from the adoption time and age that processes logged. */
-function publishTimesByRevision(histories: JudgedLife[]): Map<number, number> {
+function publishTimesByRevision(histories: RunHistory[]): Map<number, number> {
     return new Map(
         histories.flatMap(({ adoptions }) =>
             adoptions.map((adoption): [number, number] => [adoption.revision, adoption.atMs - adoption.ageMs])
--- a/bench/config-churn/test/adoptionAnalysis.test.ts
+++ b/bench/config-churn/test/adoptionAnalysis.test.ts
@@ -1,12 +1,12 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { countReversals } from "../src/countReversals.js";
-import type { JudgedLife } from "../src/judgedLife.js";
 import { quantilesOf } from "../src/quantilesOf.js";
 import { readAdoptions } from "../src/readAdoptions.js";
 import { revisionLatencies } from "../src/revisionLatencies.js";
+import type { RunHistory } from "../src/runHistory.js";
 
-function history(revisions: [revision: number, atMs: number][], rest: Partial<JudgedLife["run"]> = {}): JudgedLife {
+function history(revisions: [revision: number, atMs: number][], rest: Partial<RunHistory["run"]> = {}): RunHistory {
     return {
         run: { instanceId: "i", startedAtMs: 0, endedAtMs: undefined, pauses: [], ...rest },
         adoptions: revisions.map(([revision, atMs]) => ({ revision, atMs, ageMs: 0 })),
