--- a/bench/capacity/src/capacityRows.ts
+++ b/bench/capacity/src/capacityRows.ts
@@ -7,7 +7,7 @@
 const FAN_OUT = 16;
 const BYTES_PER_MEGABYTE = 1_000_000;
 const COPY_COUNT = 2;
-/** Relays were measured with a smaller configuration than this. */
+/** Number of teams assumed for the relay measurement when its delta is scaled up. The measurement has fewer. */
 const MEASURED_TEAMS = 100;
 const CHANGES_PER_SECOND = fleetSize.changesPerDay / SECONDS_PER_DAY;
 
@@ -122,7 +122,7 @@
     };
 }
 
-/** Ratio of the size of a delta with all teams to its size in the measurement, which has few teams. */
+/** Returns the estimated size of a delta with all teams, as a multiple of its size with {@link MEASURED_TEAMS}. */
 function deltaGrowth(cost: Costs): number {
     return cost.at("configuration.written", fleetSize.teams) / cost.at("configuration.written", MEASURED_TEAMS);
 }
