--- a/bench/config-churn/src/churnFaults.ts
+++ b/bench/config-churn/src/churnFaults.ts
@@ -9,6 +9,7 @@
 
 /** Injects process kills and pauses, key-value outages and lost key-value responses while revisions are published. */
 export class ChurnFaults {
+    /** Number of faults by kind. A kill or pause counts even if no process was available for it. */
     readonly counts = { kills: 0, pauses: 0, outages: 0, lostAnswers: 0 };
     private readonly fleet: ChurnFleet;
     private readonly random: Random;
