--- a/bench/faults/src/batchJob.ts
+++ b/bench/faults/src/batchJob.ts
@@ -24,7 +24,10 @@
         return `${this.name}-${index}`;
     }
 
-    /** Creates the job and sends the creation request twice. Rejects if the second response names another batch. */
+    /**
+     * Creates the job and sends the creation request twice. Rejects with BENCH_RESEND_DIFFERS if the second response
+     * names another batch.
+     */
     async submit(): Promise<void> {
         const { api, endpoint, bodyOf } = this.opts;
         const lines = Array.from({ length: this.itemCount }, (_, index) => {
@@ -43,7 +46,8 @@
     }
 
     /**
-     * Waits for the end of the job. Rejects if the job fails or does not end within 10 minutes.
+     * Waits for the end of the job. Rejects with BENCH_JOB_FAILED if the job fails or is cancelled, and with
+     * BENCH_JOB_STUCK if it does not end within 10 minutes.
      *
      * @returns the lines of its output and error files
      */
--- a/bench/faults/src/faultSchedule.ts
+++ b/bench/faults/src/faultSchedule.ts
@@ -17,7 +17,7 @@
 
 /** Injects random faults at random intervals for a given time. */
 export class FaultSchedule {
-    /** Number of injected faults by kind. */
+    /** Number of chosen faults by kind, including those skipped because a process was already interrupted. */
     readonly counts: { [kind: string]: number; } = {};
     /** Time from the kill of an entry until each partition has a live owner. */
     readonly recovery = new LatencyRecorder();
@@ -67,7 +67,7 @@
 
     private async killEntry(): Promise<void> {
         const { bed, probe, clock } = this.opts;
-        // An acknowledged segment needs two of the three data folders to stay reachable.
+        // At most one entry is down: an acknowledged segment needs two of the three data folders to be reachable.
         if (bed.entries.some(entry => !entry.isRunning)) {
             return;
         }
--- a/bench/faults/src/faultsReport.ts
+++ b/bench/faults/src/faultsReport.ts
@@ -35,7 +35,7 @@
     };
     /** Time from the kill of an entry until each partition has a live owner. */
     recovery: LatencySummary;
-    /** Number of injected faults by kind. */
+    /** Number of chosen faults by kind, including those skipped because a process was already interrupted. */
     faults: { [kind: string]: number; };
     durationMs: number;
     /** Load average of the machine over one minute, before and after, and its number of processors. */
--- a/bench/faults/src/faultsTestBed.ts
+++ b/bench/faults/src/faultsTestBed.ts
@@ -41,6 +41,10 @@
         this.plan = plan;
     }
 
+    /**
+     * Starts all processes and publishes the service file. Rejects with BENCH_NOT_PUBLISHED if the 50th attempt to
+     * publish also returns an HTTP status other than 200.
+     */
     async start(): Promise<void> {
         await this.startPlatform();
         for (const zone of ZONES) {
--- a/bench/faults/src/ownershipProbe.ts
+++ b/bench/faults/src/ownershipProbe.ts
@@ -20,7 +20,8 @@
     /**
      * Waits until each partition has an owner and none of the ownership records of the lost instance remain.
      *
-     * @returns the time when this was so; undefined after 30 seconds, or if the owners cannot be read at the start
+     * @returns the time of the poll that found this, in milliseconds; undefined after 30 seconds, or if the owners
+     * cannot be read at the start
      */
     async waitUntilOwned(lostInstanceId: string): Promise<number | undefined> {
         const { clock } = this.opts;
--- a/bench/faults/src/runRecords.ts
+++ b/bench/faults/src/runRecords.ts
@@ -30,12 +30,12 @@
         return this.engineStarts.get(marker) ?? 0;
     }
 
-    /** Returns how often the plain services ran each marker. */
+    /** Returns the number of calls that the plain services ran, by marker. */
     countsByMarker(): Map<string, number> {
         return countBy(this.serviceCalls.flatMap(call => call.marker ?? []));
     }
 
-    /** Returns how often the plain services ran each body that was sent without a marker, by digest. */
+    /** Returns the number of calls without a marker that the plain services ran, by the digest of the body. */
     countsByBody(): Map<string, number> {
         return countBy(this.serviceCalls.filter(call => call.marker === undefined).map(call => call.bodyDigest));
     }
