--- a/bench/silent-links/src/runSilentLinks.ts
+++ b/bench/silent-links/src/runSilentLinks.ts
@@ -21,6 +21,7 @@
 const FRAME_GAP_MS = 10;
 const MEAN_FAULT_INTERVAL_MS = 300;
 const FAULT_KINDS: FaultRecord["kind"][] = ["forward", "backward", "both", "cut"];
+/** A call that starts within this time after a fault counts as affected: the loss may not be detected yet. */
 const DETECTION_LIMIT_MS = 1000;
 const MS_PER_SECOND = 1000;
 
--- a/bench/silent-links/src/silentLinksReport.ts
+++ b/bench/silent-links/src/silentLinksReport.ts
@@ -8,11 +8,11 @@
     faultCount: number;
     /** Connections that replaced a lost connection. */
     replacementCount: number;
-    /** Calls that were active on a link when it was silenced or cut, or that started before the loss was detected. */
+    /** Calls that were active on a link when it was silenced or cut, or that started up to 1 s later. */
     affected: AddedTime;
     /** All other calls. */
     others: AddedTime;
-    /** Calls whose response had missing, repeated or reordered frames. */
+    /** Calls with missing, repeated, reordered or foreign frames, or with a handler that was started again. */
     wrongCount: number;
     /** Calls that failed and certainly did not run. */
     notRunCount: number;
