--- a/fleet/view/src/route.ts
+++ b/fleet/view/src/route.ts
@@ -1,4 +1,4 @@
-import type { RouteKind } from "./routeKind.js";
+import type { RequestKind } from "./requestKind.js";
 import type { WeightedService } from "./weightedService.js";
 
 /** A rule that sends requests of a host and path prefix to a service. */
@@ -8,7 +8,7 @@
     host: string;
     /** Begins and ends with a slash. */
     prefix: string;
-    kind: RouteKind;
+    kind: RequestKind;
     /** Services that handle the requests, shape [services]; at least one. */
     services: WeightedService[];
     /** Longest time that a request may wait for its response, in milliseconds. */
--- a/fuzz/soak/src/soakOperator.ts
+++ b/fuzz/soak/src/soakOperator.ts
@@ -1,7 +1,7 @@
 import type { ServiceName } from "@knapweedwood/core.ids/serviceName";
 import type { FleetConfiguration } from "@knapweedwood/fleet.view/fleetConfiguration";
+import type { RequestKind } from "@knapweedwood/fleet.view/requestKind";
 import type { Route } from "@knapweedwood/fleet.view/route";
-import type { RouteKind } from "@knapweedwood/fleet.view/routeKind";
 import { wireKeys } from "@knapweedwood/platform.adapter/wireKeys";
 import { encodeConfiguration } from "@knapweedwood/platform.standins/encodeConfiguration";
 import { encodeUpstream } from "@knapweedwood/platform.standins/encodeUpstream";
@@ -75,7 +75,7 @@
         };
     }
 
-    private routeOf(name: string, kind: RouteKind, service: string, overrides: Partial<Route>): Route {
+    private routeOf(name: string, kind: RequestKind, service: string, overrides: Partial<Route>): Route {
         this.record.servicesOfPrefix.set(`/${name}/`, service);
         return {
             name,
